--- a/bench/routing/hibiscusbeam_policy.ts
+++ b/bench/routing/hibiscusbeam_policy.ts
@@ -1,7 +1,7 @@
 import type {
   Admission,
   FairQueue,
-  QueuePlace,
+  QueueClass,
   Router,
   TargetChoice,
 } from '@hibiscusbeam/core';
@@ -154,7 +154,7 @@
   };
 
   const judge = (): void => {
-    router.judge(now());
+    router.evaluate(now());
     for (const stalled of router.stalledAttempts()) {
       const attempt = attempts.get(stalled.attempt);
       if (attempt === undefined) continue;
@@ -227,7 +227,7 @@
   };
 }
 
-function placeOf(request: LoadRequest): QueuePlace {
+function placeOf(request: LoadRequest): QueueClass {
   const weight = weightOf(request.workspace);
   return {workspace: request.workspace, priority: 0, weight};
 }
--- a/examples/embed_configuration.ts
+++ b/examples/embed_configuration.ts
@@ -6,7 +6,7 @@
   type AcceptedConfiguration,
   type CommitOutcome,
   confirmPlan,
-  createGenerationKeeper,
+  createGenerationManager,
   type DigestText,
   initialConfiguration,
   parseIntent,
@@ -116,7 +116,7 @@
   console.log(refused.val.advice);
 }
 
-const keeper = createGenerationKeeper({
+const keeper = createGenerationManager({
   instance: 'oviedo-1',
   digestText,
   start,
--- a/packages/core/src/activation/activation_row.ts
+++ b/packages/core/src/activation/activation_row.ts
@@ -57,7 +57,7 @@
   // Guards against a count by an old configuration, which would show as
   // capacity under the floor: a target that has dropped the model since, or a
   // floor raised since, is not known to it.
-  if (request.generation < row.generation) return behind(row);
+  if (request.generation < row.generation) return configurationBehind(row);
   const {capacityFloor} = request;
   const serving = othersServing(row, settings.target, request);
   // Guards against too many swaps at once. The row's condition makes the count
@@ -115,6 +115,6 @@
   }).length;
 }
 
-function behind({generation}: ActivationRow): RowResult {
+function configurationBehind({generation}: ActivationRow): RowResult {
   return Err({kind: 'configurationBehind', generation});
 }
--- a/packages/core/src/activation/commands/change_row.ts
+++ b/packages/core/src/activation/commands/change_row.ts
@@ -1,6 +1,6 @@
 import {Err, Ok, type Result} from 'ts-results';
 import type {Flow} from '../../kernel/flow';
-import {conditionOf} from '../../lease/lease_row';
+import {unchangedCondition} from '../../lease/lease_row';
 import {commit, describePlatformError, readRow} from '../../lease/table_calls';
 import type {
   CommitEffect,
@@ -24,7 +24,7 @@
 } from '../types';
 
 /** Tries before giving way to other targets that write the same row. */
-const MAXIMUM_TRIES = 16;
+const MAX_ATTEMPTS = 16;
 
 /** A change of the row and how to tell that it has taken effect. */
 export interface RowChange {
@@ -54,12 +54,12 @@
   change: RowChange,
 ): ActivationFlow {
   const key = activationKey(settings.model);
-  let seen: CommitResult = {kind: 'unknown'};
-  for (let tries = 0; tries < MAXIMUM_TRIES; tries += 1) {
+  let lastResult: CommitResult = {kind: 'unknown'};
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
     // Guards against a swap begun on a permit that the table does not show:
     // after a lost reply the row is read, and only the row counts.
     const row: Result<TableRow | undefined, ActivationError> =
-      seen.kind === 'overtaken' ? Ok(seen.row) : yield* read(key);
+      lastResult.kind === 'overtaken' ? Ok(lastResult.row) : yield* read(key);
     if (row.err) return row;
     if (change.isSuperseded()) return Err({kind: 'superseded'});
     const current = parseActivationRow(row.val);
@@ -76,7 +76,7 @@
     );
     if (result.err) return result;
     if (result.val.kind === 'committed') return Ok(undefined);
-    seen = result.val;
+    lastResult = result.val;
   }
   return Err({kind: 'contended'});
 }
@@ -90,7 +90,7 @@
   const result = yield* commit({
     // Guards against a replaced agent's write: its count of itself as
     // serving would show as capacity that is not there.
-    conditions: [conditionOf(key, row?.version), settings.stillCurrent],
+    conditions: [unchangedCondition(key, row?.version), settings.stillCurrent],
     writes: [{kind: 'put', key, value: toJson(changed)}],
   });
   if (result.err) {
--- a/packages/core/src/activation/create_activation.ts
+++ b/packages/core/src/activation/create_activation.ts
@@ -15,7 +15,7 @@
   let holdsPermit = false;
 
   /** Begins a flow: earlier ones stop, and no permit counts as held. */
-  function begin(): () => boolean {
+  function beginFlow(): () => boolean {
     lastFlow += 1;
     const flow = lastFlow;
     holdsPermit = false;
@@ -23,7 +23,7 @@
   }
 
   function* takePermit(request: SwapRequest): ActivationFlow {
-    const isSuperseded = begin();
+    const isSuperseded = beginFlow();
     // Guards against an earlier report of ours that is still on its way: it
     // would count the target as serving after it unloaded. A permit of its own
     // name each time is always a write, and after it the report's condition on
@@ -43,7 +43,7 @@
     // Guards against counting a target that an earlier agent may still unload,
     // or that holds nothing: both would show as capacity under the floor.
     if (!evidence.loaded || !evidence.fenced) return Err({kind: 'notServing'});
-    const isSuperseded = begin();
+    const isSuperseded = beginFlow();
     return yield* changeRow(settings, {
       apply: row => withServing(row, settings, evidence.generation),
       isDone: entry =>
@@ -54,7 +54,7 @@
   }
 
   function* withdraw(generation: number): ActivationFlow {
-    const isSuperseded = begin();
+    const isSuperseded = beginFlow();
     return yield* changeRow(settings, {
       apply: row => withoutTarget(row, settings.target, generation),
       isDone: entry => entry === undefined,
--- a/packages/core/src/admission/demand_meter.ts
+++ b/packages/core/src/admission/demand_meter.ts
@@ -11,8 +11,8 @@
 
 /** Measures what the callers of one entry ask for. */
 export interface DemandMeter {
-  readonly note: (
-    request: Pick<ArrivingRequest, 'service' | 'priority' | 'placeTime'>,
+  readonly record: (
+    request: Pick<ArrivingRequest, 'service' | 'priority' | 'slotTime'>,
     now: MonotonicInstant,
   ) => void;
   /** Demand of the last second; what nobody asks for is left out. */
@@ -33,7 +33,7 @@
  * A priority as it is exchanged. Configurations may hold negative ones and
  * fractions, which messages can't carry.
  */
-export function exchangedPriority(priority: number): number {
+export function wirePriority(priority: number): number {
   return Number.isFinite(priority) ? Math.max(0, Math.trunc(priority)) : 0;
 }
 
@@ -41,18 +41,18 @@
 export function createDemandMeter(): DemandMeter {
   const counts = new Map<string, Counted>();
 
-  function note(
-    request: Pick<ArrivingRequest, 'service' | 'priority' | 'placeTime'>,
+  function record(
+    request: Pick<ArrivingRequest, 'service' | 'priority' | 'slotTime'>,
     now: MonotonicInstant,
   ): void {
-    const {service, placeTime} = request;
-    const priority = exchangedPriority(request.priority);
+    const {service, slotTime} = request;
+    const priority = wirePriority(request.priority);
     const key = `${priority} ${service}`;
     const counted = counts.get(key) ?? {service, priority, periods: new Map()};
     counts.set(key, counted);
     const period = Math.floor(now / PERIOD);
     const before = counted.periods.get(period) ?? 0;
-    counted.periods.set(period, before + placeTime);
+    counted.periods.set(period, before + slotTime);
   }
 
   function demands(
@@ -63,13 +63,13 @@
     const span = now - first * PERIOD;
     const measured: ServiceDemand[] = [];
     for (const [key, {service, priority, periods}] of counts) {
-      let placeTime = 0;
+      let slotTime = 0;
       for (const [period, asked] of periods) {
         if (period < first) periods.delete(period);
-        else placeTime += asked;
+        else slotTime += asked;
       }
       if (periods.size === 0) counts.delete(key);
-      const places = placeTime / span;
+      const places = slotTime / span;
       if (places === 0) continue;
       const waits = waiting(service, priority);
       measured.push({service, priority, places, waiting: waits});
@@ -77,5 +77,5 @@
     return measured;
   }
 
-  return {note, demands};
+  return {record, demands};
 }
--- a/packages/core/src/admission/level_admission.ts
+++ b/packages/core/src/admission/level_admission.ts
@@ -1,6 +1,6 @@
 import type {Milliseconds, MonotonicInstant, ServiceName} from '../types';
 import {hash32} from '../utils/hash';
-import {exchangedPriority} from './demand_meter';
+import {wirePriority} from './demand_meter';
 import {
   admissionLevel,
   shareAt,
@@ -8,12 +8,15 @@
   type FloorBase,
 } from './level';
 import type {PriorityDemand} from './site_demand';
-import type {ServicePressure} from './return_time';
+import type {ServicePressure} from './retry_delay';
 import type {ArrivingRequest, ServiceCapacity} from './types';
-import {createWorkspaceParts, type WorkspaceParts} from './workspace_parts';
+import {
+  createWorkspaceAdmission,
+  type WorkspaceAdmission,
+} from './workspace_admission';
 
 /** Time for which a level is kept before it is worked out anew. */
-const LEVEL_LIFE: Milliseconds = 100;
+const MAX_LEVEL_AGE: Milliseconds = 100;
 
 /**
  * Share of the places that admitted requests are to fill. In the model of
@@ -23,7 +26,7 @@
 const TARGET_UTILIZATION = 1;
 
 /** Share of all places that stays free of requests below the level. */
-const KEPT_FREE = 0.05;
+const RESERVED_SHARE = 0.05;
 
 /**
  * Time in which all entries together fill the places found free: longer than
@@ -77,7 +80,7 @@
 }
 
 interface ServiceState {
-  readonly parts: Map<number, WorkspaceParts>;
+  readonly parts: Map<number, WorkspaceAdmission>;
   level: AdmissionLevel | undefined;
   capacity: ServiceCapacity | undefined;
   decidedAt: MonotonicInstant;
@@ -97,7 +100,7 @@
   function stateOf(service: ServiceName, now: MonotonicInstant): ServiceState {
     const known = services.get(service);
     const state = known ?? {
-      parts: new Map<number, WorkspaceParts>(),
+      parts: new Map<number, WorkspaceAdmission>(),
       level: undefined,
       capacity: undefined,
       decidedAt: -Infinity,
@@ -106,7 +109,7 @@
     };
     services.set(service, state);
     const passed = now - state.decidedAt;
-    if (passed < LEVEL_LIFE) return state;
+    if (passed < MAX_LEVEL_AGE) return state;
     const capacity = options.capacity(service, now);
     state.capacity = capacity;
     state.level =
@@ -132,7 +135,7 @@
     passed: Milliseconds,
   ): number {
     if (capacity === undefined) return 0;
-    const free = capacity.free - capacity.places * KEPT_FREE;
+    const free = capacity.free - capacity.places * RESERVED_SHARE;
     if (free <= 0) return 0;
     const part = free / Math.max(1, options.entries());
     return Math.min(Math.max(1, part), spare + (part * passed) / FILL_TIME);
@@ -142,10 +145,10 @@
     {parts}: ServiceState,
     service: ServiceName,
     priority: number,
-  ): WorkspaceParts {
+  ): WorkspaceAdmission {
     const known = parts.get(priority);
     if (known !== undefined) return known;
-    const created = createWorkspaceParts(
+    const created = createWorkspaceAdmission(
       workspace =>
         hash32(`${instance} ${service} ${priority} ${workspace}`) / 2 ** 32,
     );
@@ -154,16 +157,16 @@
   }
 
   function decide(
-    {service, workspace = '', placeTime, ...request}: ArrivingRequest,
+    {service, workspace = '', slotTime, ...request}: ArrivingRequest,
     waiting: number,
     now: MonotonicInstant,
   ): LevelDecision {
     const state = stateOf(service, now);
-    const priority = exchangedPriority(request.priority);
+    const priority = wirePriority(request.priority);
     const parts = partsOf(state, service, priority);
     const {level} = state;
     const share = level === undefined ? 1 : shareAt(level, priority);
-    const isAdmitted = parts.admits({workspace, placeTime}, share, now);
+    const isAdmitted = parts.admits({workspace, slotTime}, share, now);
     if (level === undefined) return {kind: 'noLevel'};
     if (isAdmitted) {
       return {kind: 'admitted', level};
--- a/packages/core/src/admission/return_time.ts
+++ b/packages/core/src/admission/retry_delay.ts
@@ -6,22 +6,22 @@
  * one, and the spread. Callers that return while engines still load a version are
  * refused again.
  */
-export const LEAST_RETURN = 2.5;
-export const RETURN_SPREAD = 2.5;
+export const MIN_RETRY_OBJECTIVES = 2.5;
+export const RETRY_SPREAD_OBJECTIVES = 2.5;
 
 /** Longest overload whose refused requests are counted as a backlog. */
-const LONGEST_BACKLOG: Milliseconds = 4_000;
+const MAX_BACKLOG_TIME: Milliseconds = 4_000;
 
 /** Part of its time left that a caller waits before it asks again. */
-const LONGEST_RETURN = 1 / 3;
+const MAX_TIME_LEFT_SHARE = 1 / 3;
 
 /**
  * Where returns begin if they can't all be later than the least one, as a share
  * of the longest: for the most urgent requests, and what is added for the least
  * urgent ones. The rest is needed to spread them.
  */
-const FIRST_OF_LONGEST = 0.5;
-const LEAST_URGENT_LATER = 0.25;
+const FIRST_RETRY_SHARE = 0.5;
+const LEAST_URGENT_EXTRA_SHARE = 0.25;
 
 /** How short a service is of capacity. */
 export interface ServicePressure {
@@ -33,7 +33,7 @@
 }
 
 /** What the return of a refused request goes by. */
-export interface ReturnNeed {
+export interface RetryDelayRequest {
   readonly objective: Milliseconds;
   /** Until its caller's deadline. */
   readonly timeLeft: Milliseconds;
@@ -42,7 +42,7 @@
   readonly spread: number;
   readonly pressure: ServicePressure | undefined;
   /** Time until a target takes the request again, if one has said so. */
-  readonly least: Milliseconds;
+  readonly minDelay: Milliseconds;
 }
 
 /**
@@ -50,17 +50,17 @@
  * worked off and capacity has returned, urgent requests earlier, spread, and
  * never later than callers wait.
  */
-export function returnTime(need: ReturnNeed): Milliseconds {
+export function retryDelay(need: RetryDelayRequest): Milliseconds {
   const {objective, pressure, spread} = need;
   const rank = pressure ? rankOf(pressure.level, need.priority) : 0;
   const backlog = pressure ? backlogOf(pressure) : 0;
-  const soonest = objective * LEAST_RETURN;
-  const capacityIn = Math.max(need.least, pressure?.capacityIn ?? 0);
+  const soonest = objective * MIN_RETRY_OBJECTIVES;
+  const capacityIn = Math.max(need.minDelay, pressure?.capacityIn ?? 0);
   const first = Math.max(soonest, capacityIn) + rank * backlog;
-  const window = objective * RETURN_SPREAD + backlog;
-  const longest = Math.max(0, need.timeLeft) * LONGEST_RETURN;
+  const window = objective * RETRY_SPREAD_OBJECTIVES + backlog;
+  const longest = Math.max(0, need.timeLeft) * MAX_TIME_LEFT_SHARE;
   const last = Math.min(longest, first + window);
-  const early = last * (FIRST_OF_LONGEST + LEAST_URGENT_LATER * rank);
+  const early = last * (FIRST_RETRY_SHARE + LEAST_URGENT_EXTRA_SHARE * rank);
   const begin = last < first + window ? Math.min(first, early) : first;
   return begin + spread * (last - begin);
 }
@@ -76,7 +76,7 @@
   level: {demand, capacity},
   overloadedFor,
 }: ServicePressure): Milliseconds {
-  if (capacity <= 0) return LONGEST_BACKLOG;
+  if (capacity <= 0) return MAX_BACKLOG_TIME;
   const excess = Math.max(0, demand - capacity) / capacity;
-  return Math.min(LONGEST_BACKLOG, excess * overloadedFor);
+  return Math.min(MAX_BACKLOG_TIME, excess * overloadedFor);
 }
--- a/packages/core/src/admission/site_demand.ts
+++ b/packages/core/src/admission/site_demand.ts
@@ -8,7 +8,7 @@
 import type {ServiceDemand, ZoneDemand} from './types';
 
 /** Age after which demand that was heard of counts no more. */
-export const DEMAND_LIFE: Milliseconds = 3_000;
+export const MAX_DEMAND_AGE: Milliseconds = 3_000;
 
 /** Demand by priority. */
 export type PriorityDemand = ReadonlyMap<number, number>;
@@ -16,17 +16,20 @@
 /** What is known of the demand of all entries. */
 export interface SiteDemand {
   /** Takes the demand of an entry that follows this one. */
-  readonly noteFollower: (
+  readonly recordFollower: (
     instance: InstanceName,
     demands: readonly ServiceDemand[],
     now: MonotonicInstant,
   ) => void;
   /** Takes sums that a relay has told; older ones than known are dropped. */
-  readonly noteZones: (zones: readonly ZoneDemand[]) => void;
+  readonly recordZones: (zones: readonly ZoneDemand[]) => void;
   /** Sums by zone, the own one first, to be passed on. */
   readonly zones: (now: MonotonicInstant) => readonly ZoneDemand[];
   /** Demand for a service, of all entries as far as is known. */
-  readonly of: (service: ServiceName, now: MonotonicInstant) => PriorityDemand;
+  readonly demandFor: (
+    service: ServiceName,
+    now: MonotonicInstant,
+  ) => PriorityDemand;
 }
 
 /** What the site's demand is worked out from. */
@@ -42,7 +45,7 @@
 
 interface FollowerDemand {
   readonly demands: readonly ServiceDemand[];
-  readonly heardAt: MonotonicInstant;
+  readonly receivedAt: MonotonicInstant;
 }
 
 /** Creates the site's demand; nothing has been heard yet. */
@@ -50,18 +53,21 @@
   const followers = new Map<InstanceName, FollowerDemand>();
   const zoneDemands = new Map<ZoneName, ZoneDemand>();
 
-  function isFresh(heardAt: MonotonicInstant, now: MonotonicInstant): boolean {
-    return now - heardAt < DEMAND_LIFE;
+  function isFresh(
+    receivedAt: MonotonicInstant,
+    now: MonotonicInstant,
+  ): boolean {
+    return now - receivedAt < MAX_DEMAND_AGE;
   }
 
   /** The sum of this entry and of those that follow it. */
   function followed(now: MonotonicInstant): readonly ServiceDemand[] {
     const all = [...options.own(now)];
-    for (const [instance, {demands, heardAt}] of followers) {
-      if (isFresh(heardAt, now)) all.push(...demands);
+    for (const [instance, {demands, receivedAt}] of followers) {
+      if (isFresh(receivedAt, now)) all.push(...demands);
       else followers.delete(instance);
     }
-    return sumOf(all);
+    return sumDemands(all);
   }
 
   /**
@@ -71,15 +77,15 @@
   function ownZone(now: MonotonicInstant): ZoneDemand {
     const {zone} = options;
     const relayed = zoneDemands.get(zone);
-    const isKnown = relayed !== undefined && isFresh(relayed.heardAt, now);
+    const isKnown = relayed !== undefined && isFresh(relayed.receivedAt, now);
     if (isKnown && options.followsRelay()) return relayed;
-    const sum = {zone, demands: followed(now), heardAt: now};
+    const sum = {zone, demands: followed(now), receivedAt: now};
     return isKnown && placesOf(relayed) > placesOf(sum) ? relayed : sum;
   }
 
   function zones(now: MonotonicInstant): readonly ZoneDemand[] {
-    for (const [zone, {heardAt}] of zoneDemands) {
-      if (!isFresh(heardAt, now)) zoneDemands.delete(zone);
+    for (const [zone, {receivedAt}] of zoneDemands) {
+      if (!isFresh(receivedAt, now)) zoneDemands.delete(zone);
     }
     const others = [...zoneDemands.values()].filter(
       ({zone}) => zone !== options.zone,
@@ -89,23 +95,25 @@
 
   function isCutOff(now: MonotonicInstant): boolean {
     const isAnyKnown = [...zoneDemands.values(), ...followers.values()].some(
-      ({heardAt}) => isFresh(heardAt, now),
+      ({receivedAt}) => isFresh(receivedAt, now),
     );
     return !isAnyKnown;
   }
 
   return {
-    noteFollower: (instance, demands, now) =>
-      void followers.set(instance, {demands, heardAt: now}),
-    noteZones: demands => {
+    recordFollower: (instance, demands, now) =>
+      void followers.set(instance, {demands, receivedAt: now}),
+    recordZones: demands => {
       for (const zone of demands) {
         const before = zoneDemands.get(zone.zone);
-        if (before !== undefined && before.heardAt >= zone.heardAt) continue;
+        if (before !== undefined && before.receivedAt >= zone.receivedAt) {
+          continue;
+        }
         zoneDemands.set(zone.zone, zone);
       }
     },
     zones,
-    of: (service, now) => {
+    demandFor: (service, now) => {
       // An entry that hears of no other takes itself for one of many alike.
       const isAlone = isCutOff(now);
       const scale = isAlone ? Math.max(1, options.entries()) : 1;
@@ -124,7 +132,7 @@
 }
 
 /** Adds up demands by service and priority. */
-export function sumOf(
+export function sumDemands(
   demands: readonly ServiceDemand[],
 ): readonly ServiceDemand[] {
   const sums = new Map<string, ServiceDemand>();
--- a/packages/core/src/admission/place_times.ts
+++ b/packages/core/src/admission/slot_times.ts
@@ -1,19 +1,19 @@
 import type {Milliseconds, MonotonicInstant, ServiceName} from '../types';
 
 /** Memory of how long places were held; decays with this constant. */
-const MEMORY: Milliseconds = 5_000;
+const DECAY_TIME: Milliseconds = 5_000;
 
 /** Expected time that the profile's word counts for beside what was seen. */
 const PROFILE_WEIGHT: Milliseconds = 5_000;
 
 /** Bounds of what is learned, against hints that are far off. */
-const LEAST_FACTOR = 0.2;
-const MOST_FACTOR = 5;
+const MIN_FACTOR = 0.2;
+const MAX_FACTOR = 5;
 
 /** Learns how long requests hold places, against what was expected. */
-export interface PlaceTimes {
+export interface SlotTimes {
   /** `expected`: undefined if the request says nothing of its answer's length. */
-  readonly note: (
+  readonly record: (
     service: ServiceName,
     times: {
       readonly expected: Milliseconds | undefined;
@@ -22,7 +22,7 @@
     now: MonotonicInstant,
   ) => void;
   /** How long a request will hold its place; 0 if nothing is known. */
-  readonly placeTime: (
+  readonly slotTime: (
     service: ServiceName,
     expected: Milliseconds | undefined,
   ) => Milliseconds;
@@ -39,13 +39,13 @@
 }
 
 /** Creates the times; the profile is trusted until requests have ended. */
-export function createPlaceTimes(): PlaceTimes {
+export function createSlotTimes(): SlotTimes {
   const services = new Map<ServiceName, Seen>();
 
   return {
-    note: (service, {expected, held}, now) => {
+    record: (service, {expected, held}, now) => {
       const before = services.get(service);
-      const kept = before ? Math.exp((before.at - now) / MEMORY) : 0;
+      const kept = before ? Math.exp((before.at - now) / DECAY_TIME) : 0;
       const isKnown = expected !== undefined;
       services.set(service, {
         expected: (before?.expected ?? 0) * kept + (expected ?? 0),
@@ -56,7 +56,7 @@
         at: now,
       });
     },
-    placeTime: (service, expected) => {
+    slotTime: (service, expected) => {
       const seen = services.get(service);
       if (expected === undefined) {
         return seen === undefined ? 0 : seen.held / seen.count;
@@ -65,7 +65,7 @@
       const factor =
         (seen.heldAsExpected + PROFILE_WEIGHT) /
         (seen.expected + PROFILE_WEIGHT);
-      return expected * Math.min(MOST_FACTOR, Math.max(LEAST_FACTOR, factor));
+      return expected * Math.min(MAX_FACTOR, Math.max(MIN_FACTOR, factor));
     },
   };
 }
--- a/packages/core/src/admission/types.ts
+++ b/packages/core/src/admission/types.ts
@@ -22,7 +22,7 @@
   readonly zone: ZoneName;
   readonly demands: readonly ServiceDemand[];
   /** When it was surely so. */
-  readonly heardAt: MonotonicInstant;
+  readonly receivedAt: MonotonicInstant;
 }
 
 /** A request whose admission is decided on its arrival. */
@@ -32,7 +32,7 @@
   /** Undefined for callers without a key. */
   readonly workspace: WorkspaceName | undefined;
   /** How long it will hold a place on an engine of normal pace. */
-  readonly placeTime: Milliseconds;
+  readonly slotTime: Milliseconds;
 }
 
 /** What the usable engines of a service can take. */
--- a/packages/core/src/admission/waiting_order.ts
+++ b/packages/core/src/admission/waiting_order.ts
@@ -1,17 +1,17 @@
 import type {Milliseconds, MonotonicInstant, WorkspaceName} from '../types';
 
 /** Memory of the place time that workspaces have used; decays with this constant. */
-const MEMORY: Milliseconds = 2_000;
+const DECAY_TIME: Milliseconds = 2_000;
 
 /** Usage, in milliseconds of place time, below which a workspace is forgotten. */
-const FORGOTTEN = 1;
+const MIN_REMEMBERED_USE = 1;
 
 /**
  * Time before the end of its objective from which a request goes before more
  * urgent ones that have more time left: one look of the queue and its delay. More
  * would take places from the most urgent kind.
  */
-const PRESSING: Milliseconds = 25;
+const URGENT_TIME: Milliseconds = 25;
 
 /** What the order of waiting requests goes by. */
 export interface WaitingRequest {
@@ -25,7 +25,7 @@
   readonly isLaterAttempt: boolean;
   readonly workspace: WorkspaceName | undefined;
   /** How long it will hold its place. */
-  readonly placeTime: Milliseconds;
+  readonly slotTime: Milliseconds;
 }
 
 /** Who of those that wait for a place gets the next one. */
@@ -37,7 +37,7 @@
     now: MonotonicInstant,
   ) => number;
   /** Notes that a request has got a place. */
-  readonly notePlaced: (request: Request, now: MonotonicInstant) => void;
+  readonly recordStart: (request: Request, now: MonotonicInstant) => void;
 }
 
 /**
@@ -60,30 +60,32 @@
   ): Milliseconds {
     const known = used.get(workspace ?? '');
     if (known === undefined) return 0;
-    return known.time * Math.exp((known.at - now) / MEMORY);
+    return known.time * Math.exp((known.at - now) / DECAY_TIME);
   }
 
-  function isPressing(
+  function isUrgent(
     {onTimeUntil}: WaitingRequest,
     now: MonotonicInstant,
   ): boolean {
-    return onTimeUntil >= now && onTimeUntil - now < PRESSING;
+    return onTimeUntil >= now && onTimeUntil - now < URGENT_TIME;
   }
 
   return {
     compare: (one, other, now) =>
       Number(other.isResumed) - Number(one.isResumed) ||
       Number(one.onTimeUntil < now) - Number(other.onTimeUntil < now) ||
-      Number(isPressing(other, now)) - Number(isPressing(one, now)) ||
+      Number(isUrgent(other, now)) - Number(isUrgent(one, now)) ||
       one.priority - other.priority ||
       Number(one.isLaterAttempt) - Number(other.isLaterAttempt) ||
       usedBy(one.workspace, now) - usedBy(other.workspace, now) ||
       one.onTimeUntil - other.onTimeUntil,
-    notePlaced: ({workspace, placeTime}, now) => {
+    recordStart: ({workspace, slotTime}, now) => {
       for (const [name, {time, at}] of used) {
-        if (time * Math.exp((at - now) / MEMORY) < FORGOTTEN) used.delete(name);
+        if (time * Math.exp((at - now) / DECAY_TIME) < MIN_REMEMBERED_USE) {
+          used.delete(name);
+        }
       }
-      const time = usedBy(workspace, now) + placeTime;
+      const time = usedBy(workspace, now) + slotTime;
       used.set(workspace ?? '', {time, at: now});
     },
   };
--- a/packages/core/src/admission/workspace_parts.ts
+++ b/packages/core/src/admission/workspace_admission.ts
@@ -1,26 +1,26 @@
 import type {Milliseconds, MonotonicInstant} from '../types';
 
 /** Memory of what a workspace asks for; decays with this constant. */
-const MEMORY: Milliseconds = 2_000;
+const DECAY_TIME: Milliseconds = 2_000;
 
 /** Time after which a workspace that asks for nothing is forgotten. */
-const FORGOTTEN: Milliseconds = 30_000;
+const MAX_IDLE_TIME: Milliseconds = 30_000;
 
 /**
  * Requests by which the admissions of all workspaces together may differ from
  * their share. Parts that are worked out from few requests are too small in the
  * mean: without this bound 0.08 of the capacity stood empty at 43 entries.
  */
-const MOST_OWED = 1;
+const MAX_ADMISSION_DEBT = 1;
 
 /** A request of one priority. */
 export interface WorkspaceRequest {
   readonly workspace: string;
-  readonly placeTime: Milliseconds;
+  readonly slotTime: Milliseconds;
 }
 
 /** Admits requests of one priority by the equal parts of their workspaces. */
-export interface WorkspaceParts {
+export interface WorkspaceAdmission {
   /**
    * Notes a request; returns whether it is admitted when `share` of the whole
    * demand is.
@@ -44,15 +44,15 @@
  * 0 to 1: an entry that sees few requests of each would otherwise refuse the
  * first of all of them.
  */
-export function createWorkspaceParts(
+export function createWorkspaceAdmission(
   firstCredit: (workspace: string) => number,
-): WorkspaceParts {
+): WorkspaceAdmission {
   const asked = new Map<string, Asked>();
   /** Admissions that all workspaces together have to their credit. */
   let owed = 0;
 
   function remembered({placeTime, at}: Asked, now: MonotonicInstant): number {
-    return placeTime * Math.exp((at - now) / MEMORY);
+    return placeTime * Math.exp((at - now) / DECAY_TIME);
   }
 
   /** The largest part that any workspace gets if `share` of all is admitted. */
@@ -71,7 +71,7 @@
 
   function forgetOld(now: MonotonicInstant): void {
     for (const [workspace, {at}] of asked) {
-      if (now - at > FORGOTTEN) asked.delete(workspace);
+      if (now - at > MAX_IDLE_TIME) asked.delete(workspace);
     }
   }
 
@@ -92,7 +92,7 @@
   }
 
   function note(
-    {workspace, placeTime}: WorkspaceRequest,
+    {workspace, slotTime: placeTime}: WorkspaceRequest,
     now: MonotonicInstant,
   ): Asked {
     const known = asked.get(workspace);
@@ -117,8 +117,8 @@
       const {part, known} = partAndNote(request, share, now);
       known.credit += part;
       owed += share;
-      const isItsTurn = known.credit >= 1 && owed > -MOST_OWED;
-      if (!isItsTurn && owed < 1 + MOST_OWED) return false;
+      const isItsTurn = known.credit >= 1 && owed > -MAX_ADMISSION_DEBT;
+      if (!isItsTurn && owed < 1 + MAX_ADMISSION_DEBT) return false;
       known.credit = Math.max(0, known.credit - 1);
       owed -= 1;
       return true;
--- a/packages/core/src/configuration/commands/abandon_plan.ts
+++ b/packages/core/src/configuration/commands/abandon_plan.ts
@@ -4,7 +4,7 @@
 import type {PlanCommitFault, PlanRow, TableFlow} from '../types';
 import {readPlan} from './read_state';
 import {
-  commitUntilKnown,
+  commitWithRetries,
   describePlatformError,
   retryAfter,
 } from './table_steps';
@@ -21,7 +21,7 @@
   const abandoned: PlanRow = {plan, state: {kind: 'abandoned'}};
   const key = planKey(planId);
   const {version} = planRow.val;
-  const commit = yield* commitUntilKnown({
+  const commit = yield* commitWithRetries({
     conditions: [{kind: 'versionIs', key, version}],
     writes: [{kind: 'put', key, value: toJson(abandoned)}],
   });
--- a/packages/core/src/configuration/commands/confirm_plan.ts
+++ b/packages/core/src/configuration/commands/confirm_plan.ts
@@ -24,10 +24,10 @@
   PlanRow,
   TableFlow,
 } from '../types';
-import {describeOvertaking} from './describe_overtaking';
-import {readHead, readKnown, readPlan, type Versioned} from './read_state';
+import {describeConflict} from './describe_conflict';
+import {readHead, readRowOrFault, readPlan, type Versioned} from './read_state';
 import {
-  commitUntilKnown,
+  commitWithRetries,
   describePlatformError,
   retryAfter,
 } from './table_steps';
@@ -67,7 +67,7 @@
   const settled = settledOutcome(planRow.value);
   if (settled !== undefined) return settled;
   const {plan} = planRow.value;
-  const accepted = acceptedBy(plan, plan.base + 1);
+  const accepted = toAccepted(plan, plan.base + 1);
   if (decodeAccepted(accepted, options.digestText) === undefined) {
     return new Err({kind: 'malformedRow', key: planKey(planId)});
   }
@@ -75,13 +75,13 @@
   // accepted since. Its base must be the head, and the head's row version is a
   // condition of the commit, so that no other change fits in between.
   if ((head?.value.generation ?? 0) !== plan.base) {
-    return new Err(yield* describeOvertaking(plan, head?.value));
+    return new Err(yield* describeConflict(plan, head?.value));
   }
-  const moving = yield* findMoving(plan, head?.value);
+  const moving = yield* findConflictingMove(plan, head?.value);
   if (moving !== undefined) return new Err(moving);
   const bodiesKept = options.bodiesKept ?? BODIES_KEPT;
   const transaction = buildTransaction(planRow, head, accepted, bodiesKept);
-  const commit = yield* commitUntilKnown(transaction);
+  const commit = yield* commitWithRetries(transaction);
   switch (commit.kind) {
     case 'committed':
       return new Ok({accepted, wasConfirmed: false});
@@ -113,7 +113,7 @@
   if (settled !== undefined) return settled;
   // Still planned with the head moved: the commit can never take effect.
   if ((head?.value.generation ?? 0) === plan.base) return new Err(unknown);
-  return new Err(yield* describeOvertaking(plan, head?.value));
+  return new Err(yield* describeConflict(plan, head?.value));
 }
 
 interface HeadAndPlan {
@@ -146,25 +146,25 @@
     case 'abandoned':
       return new Err({kind: 'planAbandoned', planId: plan.planId});
     case 'confirmed': {
-      const accepted = acceptedBy(plan, state.generation);
+      const accepted = toAccepted(plan, state.generation);
       return new Ok({accepted, wasConfirmed: true});
     }
   }
 }
 
-function acceptedBy(plan: Plan, generation: Generation): AcceptedConfiguration {
+function toAccepted(plan: Plan, generation: Generation): AcceptedConfiguration {
   const {planId, digest, configuration} = plan;
   return {generation, digest, planId, configuration};
 }
 
 /** A plan must not touch what a move has closed and is about to open. */
-function* findMoving(
+function* findConflictingMove(
   plan: Plan,
   head: HeadRow | undefined,
 ): TableFlow<PlanCommitFault | undefined> {
   for (const moveId of head?.moves ?? []) {
     const key = moveKey(moveId);
-    const row = yield* readKnown(key);
+    const row = yield* readRowOrFault(key);
     if (!row.ok) return row.val;
     const move = row.val === undefined ? undefined : decodeMoveRow(row.val);
     if (move === undefined) return {kind: 'malformedRow', key};
--- a/packages/core/src/configuration/commands/describe_overtaking.ts
+++ b/packages/core/src/configuration/commands/describe_conflict.ts
@@ -1,28 +1,28 @@
 import type {Generation} from '../../types';
-import {bodyKey, operatorsPlanId} from '../queries/rows';
+import {bodyKey, operatorPlanId} from '../queries/rows';
 import {planSubjects, sharedSubjects} from '../queries/subjects';
 import type {
   HeadRow,
-  OtherChange,
+  InterveningChange,
   Plan,
   PlanCommitFault,
   TableFlow,
 } from '../types';
-import {readKnown, readPlan} from './read_state';
+import {readRowOrFault, readPlan} from './read_state';
 
 /** Most accepted changes that a conflict names, to bound its table reads. */
-const MOST_NAMED = 5;
+const MAX_REPORTED_CHANGES = 5;
 
 /** The answer to a plan whose base is no longer the head. */
-export function* describeOvertaking(
+export function* describeConflict(
   plan: Plan,
   head: HeadRow | undefined,
 ): TableFlow<PlanCommitFault> {
   const newest = head?.generation ?? 0;
-  const first = Math.max(plan.base + 1, newest - MOST_NAMED + 1);
-  const others: OtherChange[] = [];
+  const first = Math.max(plan.base + 1, newest - MAX_REPORTED_CHANGES + 1);
+  const others: InterveningChange[] = [];
   for (let generation = first; generation <= newest; generation += 1) {
-    const other = yield* readOther(plan, generation);
+    const other = yield* readInterveningChange(plan, generation);
     if (other !== undefined) others.push(other);
   }
   const isWhole = others.length === newest - plan.base && newest > plan.base;
@@ -35,18 +35,18 @@
     head: newest,
     others,
     relation,
-    advice: adviseAfter(relation, others.at(-1)),
+    advice: formatAdvice(relation, others.at(-1)),
   };
 }
 
-function* readOther(
+function* readInterveningChange(
   plan: Plan,
   generation: Generation,
-): TableFlow<OtherChange | undefined> {
-  const body = yield* readKnown(bodyKey(generation));
+): TableFlow<InterveningChange | undefined> {
+  const body = yield* readRowOrFault(bodyKey(generation));
   if (!body.ok || body.val === undefined) return undefined;
   const {planId} = body.val.value as {readonly planId: string};
-  const row = yield* readPlan(operatorsPlanId(planId));
+  const row = yield* readPlan(operatorPlanId(planId));
   if (!row.ok) return undefined;
   const other = row.val.value.plan;
   return {
@@ -58,13 +58,13 @@
   };
 }
 
-function adviseAfter(
+function formatAdvice(
   relation: 'sameThings' | 'unrelated' | 'unknown',
-  last: OtherChange | undefined,
+  last: InterveningChange | undefined,
 ): string {
   const replan = 're-plan with: hibiscusbeam intent plan FILE';
   if (relation === 'unrelated') return replan;
   if (last === undefined) return replan;
-  const look = `hibiscusbeam intent show ${operatorsPlanId(last.planId)}`;
-  return `look at the other change with: ${look}; then ${replan}`;
+  const showCommand = `hibiscusbeam intent show ${operatorPlanId(last.planId)}`;
+  return `look at the other change with: ${showCommand}; then ${replan}`;
 }
--- a/packages/core/src/configuration/commands/learn_generation.ts
+++ b/packages/core/src/configuration/commands/learn_generation.ts
@@ -13,10 +13,10 @@
 import type {PeerAnswer, StartEffect, StartFlow, StartReply} from '../types';
 
 /** Most peers that one starting process asks: bounds the load of a restart. */
-const MOST_ASKED = 64;
+const MAX_QUERIED_PEERS = 64;
 
 /** Pause before the platform and the peers are asked again. */
-const ASK_AGAIN: Milliseconds = 500;
+const RETRY_DELAY: Milliseconds = 500;
 
 /** What a starting process needs to know of itself. */
 export interface LearnGenerationOptions {
@@ -33,24 +33,24 @@
 export function* learnGeneration(options: LearnGenerationOptions): StartFlow {
   let lowest: Generation = 0;
   for (;;) {
-    const platform = yield* askPlatform(options.digestText);
+    const platform = yield* queryPlatform(options.digestText);
     if (platform.kind === 'known') return platform.accepted;
     // Failure: the head is read, then the platform goes down, and peers that
     // lag behind it answer. What the platform has said once is not forgotten.
     lowest = Math.max(lowest, platform.lowest);
-    const fromPeers = yield* askSeveralPeers(options, lowest);
+    const fromPeers = yield* queryPeers(options, lowest);
     if (fromPeers !== undefined) return fromPeers;
-    yield* waitFor(ASK_AGAIN);
+    yield* waitFor(RETRY_DELAY);
   }
 }
 
-type PlatformWord =
+type PlatformAnswer =
   | {readonly kind: 'known'; readonly accepted: AcceptedConfiguration}
   | {readonly kind: 'unknown'; readonly lowest: Generation};
 
-function* askPlatform(
+function* queryPlatform(
   digestText: DigestText,
-): Generator<StartEffect, PlatformWord, StartReply> {
+): Generator<StartEffect, PlatformAnswer, StartReply> {
   const row = yield* readStartRow(HEAD_KEY);
   if (!row.ok) return {kind: 'unknown', lowest: 0};
   if (row.val === undefined) {
@@ -73,21 +73,24 @@
   return reply.result;
 }
 
-function* askSeveralPeers(
+function* queryPeers(
   options: LearnGenerationOptions,
   lowest: Generation,
 ): Generator<StartEffect, AcceptedConfiguration | undefined, StartReply> {
   const listed = yield {kind: 'listPeers'};
   if (listed.kind !== 'peers') throw new Error('driver: expected peers');
   const others = listed.peers.filter(peer => peer !== options.instance);
-  const asked = rendezvousOrder(options.instance, others).slice(0, MOST_ASKED);
-  const reply = yield {kind: 'askPeers', peers: asked};
+  const queried = rendezvousOrder(options.instance, others).slice(
+    0,
+    MAX_QUERIED_PEERS,
+  );
+  const reply = yield {kind: 'askPeers', peers: queried};
   if (reply.kind !== 'peerAnswers') throw new Error('driver: expected answers');
   const ready = reply.answers.filter(isReady);
   // Failure: a process is replaced during an outage, asks one lagging peer and
   // takes up an older configuration than its predecessor had. With more than
   // half of those asked, a generation that half of them hold is always seen.
-  if (ready.length * 2 <= asked.length) return undefined;
+  if (ready.length * 2 <= queried.length) return undefined;
   const highest = Math.max(lowest, ...ready.map(answer => answer.generation));
   const holders = ready.filter(answer => answer.generation >= highest);
   for (const {peer} of holders) {
--- a/packages/core/src/configuration/commands/read_state.ts
+++ b/packages/core/src/configuration/commands/read_state.ts
@@ -14,7 +14,7 @@
 export function* readHead(): TableFlow<
   Result<Versioned<HeadRow> | undefined, PlanCommitFault>
 > {
-  const row = yield* readKnown(HEAD_KEY);
+  const row = yield* readRowOrFault(HEAD_KEY);
   if (!row.ok) return row;
   if (row.val === undefined) return new Ok(undefined);
   const value = decodeHead(row.val);
@@ -29,7 +29,7 @@
   planId: PlanId,
 ): TableFlow<Result<Versioned<PlanRow>, PlanCommitFault>> {
   const key = planKey(planId);
-  const row = yield* readKnown(key);
+  const row = yield* readRowOrFault(key);
   if (!row.ok) return row;
   if (row.val === undefined) return new Err({kind: 'unknownPlan', planId});
   const value = decodePlanRow(row.val);
@@ -38,7 +38,7 @@
 }
 
 /** Reads a row; a platform error becomes the operator's. */
-export function* readKnown(
+export function* readRowOrFault(
   key: TableKey,
 ): TableFlow<Result<TableRow | undefined, PlanCommitFault>> {
   const row = yield* readRow(key);
--- a/packages/core/src/configuration/commands/store_plan.ts
+++ b/packages/core/src/configuration/commands/store_plan.ts
@@ -3,7 +3,7 @@
 import {decodePlanRow, planKey, toJson} from '../queries/rows';
 import type {Plan, PlanCommitFault, PlanRow, TableFlow} from '../types';
 import {
-  commitUntilKnown,
+  commitWithRetries,
   describePlatformError,
   readRow,
   retryAfter,
@@ -15,7 +15,7 @@
 ): TableFlow<Result<Plan, PlanCommitFault>> {
   const key = planKey(plan.planId);
   const row: PlanRow = {plan, state: {kind: 'planned'}};
-  const stored = yield* commitUntilKnown({
+  const stored = yield* commitWithRetries({
     conditions: [{kind: 'absent', key}],
     writes: [{kind: 'put', key, value: toJson(row)}],
   });
--- a/packages/core/src/configuration/commands/table_steps.ts
+++ b/packages/core/src/configuration/commands/table_steps.ts
@@ -10,7 +10,7 @@
 import type {TableFlow} from '../types';
 
 /** Tries of one transaction whose replies are lost, before giving up. */
-const MOST_TRIES = 4;
+const MAX_ATTEMPTS = 4;
 
 /** Pause between tries: a platform that drops replies needs no more load. */
 const RETRY_PAUSE: Milliseconds = 250;
@@ -19,7 +19,7 @@
 const DEFAULT_RETRY_AFTER: Milliseconds = 5_000;
 
 /** What is known of a transaction after all tries. */
-export type CommitKnowledge =
+export type CommitStatus =
   | {readonly kind: 'committed'}
   /** Some condition failed, perhaps because an earlier try took effect. */
   | {readonly kind: 'conditionFailed'}
@@ -55,12 +55,12 @@
  * break its conditions. A lost reply is answered by trying again: the second
  * try then fails on the conditions that the first one broke.
  */
-export function* commitUntilKnown(
+export function* commitWithRetries(
   transaction: TableTransaction,
-): TableFlow<CommitKnowledge> {
+): TableFlow<CommitStatus> {
   let mayBeApplied = false;
-  for (let tries = 0; tries < MOST_TRIES; tries += 1) {
-    if (tries > 0) yield* pause(RETRY_PAUSE);
+  for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts += 1) {
+    if (attempts > 0) yield* pause(RETRY_PAUSE);
     const result = yield* commitOnce(transaction);
     if (result.ok) return {kind: result.val.kind};
     // Failure: "platform unavailable, nothing changed" after a try whose reply
--- a/packages/core/src/configuration/queries/apply_move.ts
+++ b/packages/core/src/configuration/queries/apply_move.ts
@@ -1,4 +1,4 @@
-import type {MoveItem, OwnChange, PlanFault} from '../types';
+import type {MoveItem, OwnerChange, PlanFault} from '../types';
 import {
   planFault,
   withTarget,
@@ -15,7 +15,7 @@
  */
 export function applyMove(
   draft: Draft,
-  change: OwnChange,
+  change: OwnerChange,
   path: string,
 ): ChangedDraft {
   const faults: PlanFault[] = [];
--- a/packages/core/src/configuration/queries/choose_targets.ts
+++ b/packages/core/src/configuration/queries/choose_targets.ts
@@ -1,6 +1,6 @@
 import type {SiteConfiguration, TargetName} from '../../types';
 import {rendezvousOrder} from '../../utils/hash';
-import type {PlaceChoice, PlanFacts, ServeChange} from '../types';
+import type {ZoneChoice, PlanFacts, ServeChange} from '../types';
 import {type PlanFault} from '../types';
 import {planFault} from './draft';
 import {lookUp} from './lookup';
@@ -22,7 +22,7 @@
   if ('instances' in choice) {
     return chooseByInstances(choice.instances, configuration, facts, path);
   }
-  return chooseByPlace(choice, change, configuration, facts, path);
+  return chooseByZone(choice, change, configuration, facts, path);
 }
 
 function chooseByInstances(
@@ -42,14 +42,14 @@
       faults.push(planFault('unknownInstance', path, detail));
       continue;
     }
-    const fault = whyNotServing(known.target, configuration, path);
+    const fault = findServingFault(known.target, configuration, path);
     if (fault !== undefined) faults.push(fault);
     targets.push(known.target);
   }
   return {targets: [...new Set(targets)].sort(), faults};
 }
 
-function whyNotServing(
+function findServingFault(
   name: TargetName,
   configuration: SiteConfiguration,
   path: string,
@@ -71,33 +71,33 @@
   return undefined;
 }
 
-function chooseByPlace(
-  choice: PlaceChoice,
+function chooseByZone(
+  choice: ZoneChoice,
   change: ServeChange,
   configuration: SiteConfiguration,
   facts: PlanFacts,
   path: string,
 ): ChosenTargets {
   const candidates = Object.entries(configuration.targets)
-    .filter(([, target]) => isPlaced(choice, target.zone))
+    .filter(([, target]) => isInChosenZone(choice, target.zone))
     .map(([name]) => name)
-    .filter(name => whyNotServing(name, configuration, path) === undefined);
+    .filter(name => findServingFault(name, configuration, path) === undefined);
   const wanted = choice.count ?? Math.max(1, candidates.length);
   if (candidates.length < wanted) {
     const place = choice.zone === undefined ? '' : ` in zone ${choice.zone}`;
     const detail = `${wanted} targets wanted${place}, ${candidates.length} can serve`;
     return {targets: [], faults: [planFault('tooFewTargets', path, detail)]};
   }
-  const order = orderByFitness(change, candidates, configuration, facts);
+  const order = orderByPreference(change, candidates, configuration, facts);
   return {targets: order.slice(0, wanted).sort(), faults: []};
 }
 
-function isPlaced(choice: PlaceChoice, zone: string): boolean {
+function isInChosenZone(choice: ZoneChoice, zone: string): boolean {
   return choice.zone === undefined || choice.zone === zone;
 }
 
 /** Those that serve the model first, then live ones, then the least used. */
-function orderByFitness(
+function orderByPreference(
   change: ServeChange,
   candidates: readonly TargetName[],
   configuration: SiteConfiguration,
--- a/packages/core/src/configuration/queries/configuration_digest.ts
+++ b/packages/core/src/configuration/queries/configuration_digest.ts
@@ -19,7 +19,7 @@
 }
 
 /** Whether the configuration is the one that its digest names. */
-export function digestFits(
+export function hasValidDigest(
   digestText: DigestText,
   accepted: AcceptedConfiguration,
 ): boolean {
--- a/packages/core/src/configuration/queries/estimate_transfers.ts
+++ b/packages/core/src/configuration/queries/estimate_transfers.ts
@@ -5,7 +5,7 @@
 /** What moving weights takes at the least. */
 export interface TransferEstimate {
   readonly originBytes: Bytes;
-  /** Lower bound from the rates of the links; see {@link boundSeconds}. */
+  /** Lower bound from the rates of the links; see {@link estimateMinSeconds}. */
   readonly expectedSeconds: number;
 }
 
@@ -27,7 +27,7 @@
   const originBytes = transfers
     .filter(transfer => transfer.fromOrigin)
     .reduce((sum, transfer) => sum + transfer.size, 0);
-  return {originBytes, expectedSeconds: boundSeconds(transfers, facts)};
+  return {originBytes, expectedSeconds: estimateMinSeconds(transfers, facts)};
 }
 
 function transferOf(
@@ -57,7 +57,7 @@
  * max(one copy over the origin's rate, the largest version over an instance's
  * link, all copies over all that the origin and the receivers can send).
  */
-function boundSeconds(
+function estimateMinSeconds(
   transfers: readonly ModelTransfer[],
   facts: PlanFacts,
 ): number {
@@ -74,11 +74,11 @@
     (sum, transfer) => sum + transfer.copies,
     0,
   );
-  const togetherRate = facts.originRate + receivers * facts.instanceRate;
+  const totalRate = facts.originRate + receivers * facts.instanceRate;
   return Math.max(
     origin / facts.originRate,
     largest / facts.instanceRate,
-    all / togetherRate,
+    all / totalRate,
   );
 }
 
--- a/packages/core/src/configuration/queries/follow.ts
+++ b/packages/core/src/configuration/queries/generation_status.ts
@@ -1,15 +1,15 @@
 import type {Generation, TableRow, TableTransaction} from '../../types';
-import type {InForce, ProcessGeneration} from '../types';
+import type {GenerationStatus, ProcessGeneration} from '../types';
 import {decodePlanRow} from './rows';
 
 /** Generations behind the head after which nobody looks at a plan any more. */
 const PLAN_HISTORY = 64;
 
 /** Whether a generation is in force everywhere, and who lags if not. */
-export function followGeneration(
+export function getGenerationStatus(
   generation: Generation,
   processes: readonly ProcessGeneration[],
-): InForce {
+): GenerationStatus {
   const lagging = processes.filter(
     process => (process.generation ?? -1) < generation,
   );
--- a/packages/core/src/configuration/queries/intent_schema.ts
+++ b/packages/core/src/configuration/queries/intent_schema.ts
@@ -1,19 +1,19 @@
 import * as z from 'zod';
 
 /** Most changes in one intent: a plan must stay readable. */
-const MOST_CHANGES = 200;
+const MAX_CHANGES = 200;
 
 /** Most names in one list: more than the largest site has. */
-const MOST_NAMES = 2_000;
+const MAX_NAMES = 2_000;
 
 /** Longest name or text that an operator may give. */
-const LONGEST_NAME = 200;
+const MAX_NAME_LENGTH = 200;
 
 const NAME_CHARACTERS = /^[A-Za-z0-9][A-Za-z0-9._:-]*$/;
 
 const nameSchema = z
   .string()
-  .max(LONGEST_NAME)
+  .max(MAX_NAME_LENGTH)
   .regex(
     NAME_CHARACTERS,
     'must begin with a letter or digit and hold only letters, digits and . _ : -',
@@ -21,13 +21,13 @@
 
 const uniqueNames = z
   .array(nameSchema)
-  .max(MOST_NAMES)
+  .max(MAX_NAMES)
   .refine(names => new Set(names).size === names.length, {
     message: 'names must not repeat',
   })
   .readonly();
 
-const someNames = uniqueNames.refine(names => names.length > 0, {
+const nonEmptyNames = uniqueNames.refine(names => names.length > 0, {
   message: 'at least one name',
 });
 
@@ -35,9 +35,9 @@
 
 const targetChoiceSchema = z
   .strictObject({
-    instances: someNames.optional(),
+    instances: nonEmptyNames.optional(),
     zone: nameSchema.optional(),
-    count: z.int().min(1).max(MOST_NAMES).optional(),
+    count: z.int().min(1).max(MAX_NAMES).optional(),
   })
   .refine(
     choice =>
@@ -61,14 +61,14 @@
 
 const joinSchema = z.strictObject({
   kind: z.literal('join'),
-  targets: someNames,
+  targets: nonEmptyNames,
   owner: ownerSchema.optional(),
   fencing: z.enum(['checked', 'ignored']).optional(),
 });
 
 const leaveSchema = z.strictObject({
   kind: z.literal('leave'),
-  targets: someNames,
+  targets: nonEmptyNames,
 });
 
 const workspaceSchema = z.strictObject({
@@ -102,7 +102,7 @@
 
 /** An intent as operators write it, already parsed from YAML or JSON. */
 export const intentSchema = z.strictObject({
-  summary: z.string().max(LONGEST_NAME).default(''),
+  summary: z.string().max(MAX_NAME_LENGTH).default(''),
   changes: z
     .array(
       z.discriminatedUnion('kind', [
@@ -116,6 +116,6 @@
       ]),
     )
     .min(1)
-    .max(MOST_CHANGES)
+    .max(MAX_CHANGES)
     .readonly(),
 });
--- a/packages/core/src/configuration/queries/parse_intent.ts
+++ b/packages/core/src/configuration/queries/parse_intent.ts
@@ -41,15 +41,15 @@
     case 'serve':
       return `serve ${change.model} ${change.version}`;
     case 'join':
-      return `join ${countOf(change.targets, 'target')}`;
+      return `join ${formatCount(change.targets, 'target')}`;
     case 'leave':
-      return `leave ${countOf(change.targets, 'target')}`;
+      return `leave ${formatCount(change.targets, 'target')}`;
     case 'workspace':
       return `workspace ${change.workspace}`;
     case 'service':
       return `service ${change.service}`;
     case 'own':
-      return `move ${countOf([...change.targets, ...change.workspaces], 'item')} to ${change.owner}`;
+      return `move ${formatCount([...change.targets, ...change.workspaces], 'item')} to ${change.owner}`;
     case 'switch-off':
       return 'switch off the older system';
     default:
@@ -57,7 +57,7 @@
   }
 }
 
-function countOf(names: readonly string[], noun: string): string {
+function formatCount(names: readonly string[], noun: string): string {
   const [only] = names;
   if (names.length === 1 && only !== undefined) return only;
   return `${names.length} ${noun}s`;
--- a/packages/core/src/configuration/queries/plan_intent.ts
+++ b/packages/core/src/configuration/queries/plan_intent.ts
@@ -47,7 +47,7 @@
 }
 
 /** The models and versions whose facts the plan of `intent` needs. */
-export function versionsWanted(
+export function requiredVersions(
   intent: Intent,
 ): readonly {readonly model: string; readonly version: string}[] {
   return intent.changes
@@ -58,7 +58,10 @@
 /** Plans an intent on top of `base`, or lists every reason against it. */
 export function planIntent(request: PlanRequest): Result<Plan, PlanFault[]> {
   const {intent, base, facts, planId} = request;
-  const faults = [...findRepeats(intent), ...findMoving(intent, facts)];
+  const faults = [
+    ...findDuplicateSubjects(intent),
+    ...findMoving(intent, facts),
+  ];
   let draft: Draft = {configuration: base.configuration, moved: []};
   for (const [position, change] of intent.changes.entries()) {
     const path = `changes[${position}]`;
@@ -66,7 +69,9 @@
     draft = changed.draft;
     faults.push(...changed.faults);
   }
-  faults.push(...findBrokenModels(base.configuration, draft.configuration));
+  faults.push(
+    ...findUnderservedModels(base.configuration, draft.configuration),
+  );
   const changes = describePlan(base.configuration, draft);
   if (faults.length === 0 && changes.length === 0) {
     faults.push(planFault('nothingToChange', '', 'this is in force already'));
@@ -90,7 +95,7 @@
   });
 }
 
-function findRepeats(intent: Intent): readonly PlanFault[] {
+function findDuplicateSubjects(intent: Intent): readonly PlanFault[] {
   const stated = new Set<string>();
   const faults: PlanFault[] = [];
   for (const [position, change] of intent.changes.entries()) {
@@ -120,7 +125,7 @@
 }
 
 /** Targets that leave or move must not take a model below its floor. */
-function findBrokenModels(
+function findUnderservedModels(
   before: SiteConfiguration,
   after: SiteConfiguration,
 ): readonly PlanFault[] {
--- a/packages/core/src/configuration/queries/rows.ts
+++ b/packages/core/src/configuration/queries/rows.ts
@@ -9,7 +9,7 @@
   TableRow,
 } from '../../types';
 import type {HeadRow, MoveRow, PlanRow} from '../types';
-import {digestFits} from './configuration_digest';
+import {hasValidDigest} from './configuration_digest';
 
 /** Key of the row that names the generation in force. */
 export const HEAD_KEY: TableKey = 'configuration/head';
@@ -48,7 +48,7 @@
 }
 
 /** The operator's plan behind a generation's plan id. */
-export function operatorsPlanId(planId: PlanId): PlanId {
+export function operatorPlanId(planId: PlanId): PlanId {
   return planId.endsWith(OPENING_SUFFIX)
     ? planId.slice(0, -OPENING_SUFFIX.length)
     : planId;
@@ -137,5 +137,5 @@
   const parsed = bodySchema.safeParse(value);
   if (!parsed.success) return undefined;
   const accepted = value as AcceptedConfiguration;
-  return digestFits(digestText, accepted) ? accepted : undefined;
+  return hasValidDigest(digestText, accepted) ? accepted : undefined;
 }
--- a/packages/core/src/configuration/types.ts
+++ b/packages/core/src/configuration/types.ts
@@ -1,5 +1,5 @@
 export * from './types/effects';
 export * from './types/intent';
 export * from './types/plan';
-export * from './types/spreading';
+export * from './types/propagation';
 export * from './types/stored';
--- a/packages/core/src/configuration/types/intent.ts
+++ b/packages/core/src/configuration/types/intent.ts
@@ -16,13 +16,13 @@
 }
 
 /** Targets chosen by zone, by count, or both; without count, all of the zone. */
-export interface PlaceChoice {
+export interface ZoneChoice {
   readonly zone?: ZoneName | undefined;
   readonly count?: number | undefined;
 }
 
 /** How an intent names the targets it is about. */
-export type TargetChoice = InstanceChoice | PlaceChoice;
+export type TargetChoice = InstanceChoice | ZoneChoice;
 
 /** One model at one version on the chosen targets. */
 export interface ServeChange {
@@ -71,7 +71,7 @@
 }
 
 /** Moves targets and workspaces to one of the two systems. */
-export interface OwnChange {
+export interface OwnerChange {
   readonly kind: 'own';
   readonly owner: Owner;
   readonly targets: readonly TargetName[];
@@ -90,7 +90,7 @@
   | LeaveChange
   | WorkspaceChange
   | ServiceChange
-  | OwnChange
+  | OwnerChange
   | SwitchOffChange;
 
 /** What an operator states; nothing changes until its plan is confirmed. */
--- a/packages/core/src/configuration/types/spreading.ts
+++ b/packages/core/src/configuration/types/propagation.ts
@@ -9,11 +9,11 @@
 import type {TableFlowEffect, TableFlowReply} from './effects';
 
 /** Bounds of spreading; the defaults are in `commands/keeper_bounds.ts`. */
-export interface KeeperBounds {
+export interface GenerationManagerBounds {
   /** Head reads per second that all processes of the site share. */
   readonly headReadsPerSecond: number;
   /** Shortest time between two head reads of one process. */
-  readonly shortestPoll: Milliseconds;
+  readonly minPollPeriod: Milliseconds;
   /** Peers told at once of a newly adopted generation. */
   readonly fanOut: number;
   /** A pull without answer for so long goes to another peer. */
@@ -21,7 +21,7 @@
 }
 
 /** What a generation keeper asks of its daemon. */
-export type KeeperEffect =
+export type GenerationManagerEffect =
   /** The daemon starts to use this configuration. */
   | {readonly kind: 'adopted'; readonly accepted: AcceptedConfiguration}
   /** Send these peers a heartbeat now, so that they pull. */
@@ -53,7 +53,7 @@
   | {readonly kind: 'peer'; readonly peer: InstanceName};
 
 /** What a keeper is told at each tick. */
-export interface KeeperTick {
+export interface GenerationManagerTick {
   readonly now: MonotonicInstant;
   /** Peers that this process has a session with. */
   readonly peers: readonly InstanceName[];
@@ -99,7 +99,7 @@
 }
 
 /** How far a generation has come. */
-export interface InForce {
+export interface GenerationStatus {
   readonly isInForce: boolean;
   /** Processes that are behind or silent. */
   readonly lagging: readonly ProcessGeneration[];
--- a/packages/core/src/configuration/types/stored.ts
+++ b/packages/core/src/configuration/types/stored.ts
@@ -37,7 +37,7 @@
 }
 
 /** A change that was accepted after a plan's base. */
-export interface OtherChange {
+export interface InterveningChange {
   readonly generation: Generation;
   readonly planId: PlanId;
   readonly summary: string;
@@ -63,7 +63,7 @@
       readonly base: Generation;
       readonly head: Generation;
       /** The newest of the changes that came first, oldest first. */
-      readonly others: readonly OtherChange[];
+      readonly others: readonly InterveningChange[];
       readonly relation: 'sameThings' | 'unrelated' | 'unknown';
       /** What the operator should do, in one line. */
       readonly advice: string;
--- a/packages/core/src/distribution/bounds.ts
+++ b/packages/core/src/distribution/bounds.ts
@@ -1,11 +1,11 @@
 /** Most chunks in one manifest; a have-map then takes at most 8 KiB. */
-export const MOST_CHUNKS = 65_536;
+export const MAX_CHUNKS = 65_536;
 
 /** Largest chunk: it is held whole in memory until it is verified. */
-export const LARGEST_CHUNK_BYTES = 256 * 1024 * 1024;
+export const MAX_CHUNK_BYTES = 256 * 1024 * 1024;
 
 /** Largest version; above it a manifest's sizes are surely wrong. */
-export const LARGEST_VERSION_BYTES = 4 * 1024 ** 4;
+export const MAX_VERSION_BYTES = 4 * 1024 ** 4;
 
 /** Downloads at once; enough to keep a link busy while senders queue. */
 export const DOWNLOAD_SLOTS = 8;
@@ -20,7 +20,7 @@
  * last of 41 engines has a version after 4.7 s in place of 5.0; with two after 4.5
  * s, but 168 asks of an agent are refused in place of 39 (laboratory, whole link).
  */
-export const WAITING_UPLOADS = 4;
+export const MAX_WAITING_UPLOADS = 4;
 
 /** Downloads from the origin at once: one being sent, one on its way. */
 export const ORIGIN_SLOTS = 2;
@@ -33,34 +33,34 @@
 export const CROSS_ZONE_PICKS = 2;
 
 /** Most neighbours, so that other views of the members cannot add more. */
-export const MOST_NEIGHBOURS = 40;
+export const MAX_NEIGHBOURS = 40;
 
 /** Members of a zone that may copy a chunk in from another zone at once. */
 export const CROSS_ZONE_RANKS = 2;
 
 /** Versions not yet wanted here whose have-maps are kept per neighbour. */
-export const UNKNOWN_VERSIONS_KEPT = 4;
+export const MAX_UNKNOWN_VERSIONS = 4;
 
 /** Bad chunks after which a sender is cut off: one may be the link's fault. */
 export const BAD_CHUNKS_UNTIL_CUT_OFF = 2;
 
 /** Patience before any chunk time is known, and its limits. */
-export const FIRST_PATIENCE = 3_000;
-export const SHORTEST_PATIENCE = 500;
-export const LONGEST_PATIENCE = 60_000;
+export const INITIAL_TAKEOVER_TIMEOUT_MS = 3_000;
+export const MIN_TAKEOVER_TIMEOUT_MS = 500;
+export const MAX_TAKEOVER_TIMEOUT_MS = 60_000;
 
 /** Time without progress that counts as a stall, and its limits. */
-export const FIRST_STALL = 3_000;
-export const SHORTEST_STALL = 1_000;
-export const LONGEST_STALL = 30_000;
-export const LONGEST_ORIGIN_STALL = 120_000;
+export const INITIAL_STALL_TIMEOUT_MS = 3_000;
+export const MIN_STALL_TIMEOUT_MS = 1_000;
+export const MAX_STALL_TIMEOUT_MS = 30_000;
+export const MAX_ORIGIN_STALL_TIMEOUT_MS = 120_000;
 
 /** Wait for the neighbours' first have-maps before the origin is asked. */
-export const SETTLE_TIME = 300;
+export const SETTLE_TIME_MS = 300;
 
 /** Waits after a failed request; doubled each time up to the longest. */
-export const FIRST_BACKOFF = 100;
-export const LONGEST_BACKOFF = 5_000;
+export const INITIAL_BACKOFF_MS = 100;
+export const MAX_BACKOFF_MS = 5_000;
 
 /** Longest time that a gained chunk waits to be announced with others. */
-export const LONGEST_ANNOUNCE_DELAY = 250;
+export const MAX_ANNOUNCE_DELAY_MS = 250;
--- a/packages/core/src/distribution/commands/announce.ts
+++ b/packages/core/src/distribution/commands/announce.ts
@@ -5,10 +5,10 @@
 import {wakeAt, type SwarmState, type WantedVersion} from '../state';
 
 /** Share of a chunk's time that a gain may wait for others to go with it. */
-const DELAY_SHARE = 1 / 4;
+const ANNOUNCE_DELAY_SHARE = 1 / 4;
 
 /** Sends the whole have-map; also when empty, which says "I want it too". */
-export function announceAll(
+export function announceHeld(
   state: SwarmState,
   version: WantedVersion,
   neighbours: readonly InstanceName[],
@@ -30,7 +30,7 @@
  * The last of 41 engines has a version after 5.0 s in place of 5.5, and 2.0 copies
  * go between three zones in place of 2.3 (laboratory, whole link).
  */
-export function introduce(
+export function offerToCopiers(
   state: SwarmState,
   version: WantedVersion,
   position: number,
@@ -59,7 +59,7 @@
   for (const instance of version.holders) {
     const zone = state.zones.get(instance);
     if (zone === undefined || zone === state.options.zone) continue;
-    if (state.gone.has(instance)) continue;
+    if (state.disconnected.has(instance)) continue;
     const score = mixHashes(hash32(instance), chunkHash);
     if (score <= (best.get(zone)?.score ?? -1)) continue;
     best.set(zone, {instance, score});
@@ -68,7 +68,7 @@
 }
 
 /** Notes a gain to be announced shortly, together with the next ones. */
-export function announceLater(
+export function queueAnnouncement(
   state: SwarmState,
   version: WantedVersion,
   position: number,
@@ -78,7 +78,7 @@
 }
 
 /** Sends the gains that are due, to all who still miss chunks. */
-export function announceDue(state: SwarmState): void {
+export function sendDueAnnouncements(state: SwarmState): void {
   for (const version of state.versions.values()) {
     if (version.announceAt === undefined) continue;
     if (version.announceAt > state.now) {
@@ -89,7 +89,8 @@
     version.announceAt = undefined;
     const neighbours = [...version.neighbours].filter(
       instance =>
-        !isComplete(version, instance) && !version.introduced.has(instance),
+        !isComplete(version, instance) &&
+        !version.crossZoneSources.has(instance),
     );
     if (neighbours.length === 0) continue;
     state.effects.push({
@@ -103,7 +104,10 @@
 
 function announceDelay(state: SwarmState): number {
   const chunkTime = state.neighbourTime.mean() ?? 0;
-  return Math.min(bounds.LONGEST_ANNOUNCE_DELAY, chunkTime * DELAY_SHARE);
+  return Math.min(
+    bounds.MAX_ANNOUNCE_DELAY_MS,
+    chunkTime * ANNOUNCE_DELAY_SHARE,
+  );
 }
 
 function isComplete(version: WantedVersion, instance: InstanceName): boolean {
--- a/packages/core/src/distribution/commands/availability.ts
+++ b/packages/core/src/distribution/commands/availability.ts
@@ -2,7 +2,7 @@
 import type {Neighbour, SwarmState, WantedVersion} from '../state';
 
 /** Notes that a chunk is held here or by a neighbour for the first time. */
-export function noteSeen(
+export function recordFirstSeen(
   state: SwarmState,
   version: WantedVersion,
   position: number,
@@ -12,30 +12,30 @@
   const owner = version.ranks.owner[position]!;
   if (owner < 0) return;
   const self = state.options.instance;
-  const expected = expectedAt(state, version, position);
+  const expected = ownerDueAt(state, version, position);
   if (version.holders[owner] !== self) {
     // An outage of the origin makes all chunks late at once; taken whole, it
     // would make the patience many times too long.
     const longest = 2 * state.patience.bound();
     const late = Math.max(0, state.now - expected);
-    state.patience.add(Math.min(longest, late));
+    state.patience.addSample(Math.min(longest, late));
   }
-  version.lastSign[owner] = state.now;
+  version.lastOwnerProgress[owner] = state.now;
 }
 
 /** When the owner of a chunk should have asked the origin for it. */
-export function expectedAt(
+export function ownerDueAt(
   state: SwarmState,
   version: WantedVersion,
   position: number,
 ): number {
   const owner = version.ranks.owner[position]!;
-  const lastSign = owner < 0 ? 0 : version.lastSign[owner]!;
-  return Math.max(turnAt(state, version, position), lastSign);
+  const lastSign = owner < 0 ? 0 : version.lastOwnerProgress[owner]!;
+  return Math.max(scheduledAt(state, version, position), lastSign);
 }
 
 /** The instant of a chunk's turn at the origin. */
-export function turnAt(
+export function scheduledAt(
   state: SwarmState,
   version: WantedVersion,
   position: number,
@@ -43,7 +43,8 @@
   const rate = state.originRate;
   if (rate === undefined) return version.wantedAt;
   const size = version.manifest.chunks[position]!.size;
-  const turn = version.turns?.[position] ?? version.ranks.turn[position]!;
+  const turn =
+    version.originOrder?.[position] ?? version.ranks.originOrder[position]!;
   return version.wantedAt + (turn * size * 1000) / rate;
 }
 
@@ -59,7 +60,7 @@
     if (!have.add(position)) continue;
     if (neighbour.suspendedUntil !== undefined) continue;
     version.availability[position]! += 1;
-    noteSeen(state, version, position);
+    recordFirstSeen(state, version, position);
   }
 }
 
@@ -102,7 +103,7 @@
     const have = version.haves.get(neighbour.instance);
     for (const position of have?.positions() ?? []) {
       version.availability[position]! += 1;
-      noteSeen(state, version, position);
+      recordFirstSeen(state, version, position);
     }
   }
 }
--- a/packages/core/src/distribution/commands/chunks.ts
+++ b/packages/core/src/distribution/commands/chunks.ts
@@ -5,13 +5,13 @@
   type Transfer,
   type WantedVersion,
 } from '../state';
-import type {StoreLife, TransferId} from '../types';
-import {announceAll, announceLater, introduce} from './announce';
-import {noteSeen, resume} from './availability';
-import {blameSender, cancelChunk, endTransfer} from './transfers';
+import type {StoreIncarnation, TransferId} from '../types';
+import {announceHeld, queueAnnouncement, offerToCopiers} from './announce';
+import {recordFirstSeen, resume} from './availability';
+import {recordBadChunk, cancelChunk, endTransfer} from './transfers';
 
 /** Takes in the whole bytes of a chunk, verified or found bad. */
-export function takeChunk(
+export function acceptChunk(
   state: SwarmState,
   id: TransferId,
   digest: Digest,
@@ -23,10 +23,10 @@
   // when their digest is that chunk's. Otherwise a crossed answer or a bad
   // link would put wrong bytes under a good name.
   if (!verified || digest !== transfer.digest) {
-    blameSender(state, transfer);
+    recordBadChunk(state, transfer);
     return;
   }
-  learn(state, transfer);
+  recordDownloadTime(state, transfer);
   countBytes(state, transfer);
   if (transfer.sender.kind === 'origin') state.fromOrigin.add(digest);
   if (state.life === undefined || isHeldOrStoring(state, digest)) return;
@@ -43,7 +43,7 @@
 export function confirmStored(
   state: SwarmState,
   digest: Digest,
-  life: StoreLife,
+  life: StoreIncarnation,
 ): void {
   state.storing.delete(digest);
   // A store that restarted has lost the chunk; its late confirmation would
@@ -54,12 +54,12 @@
   state.held.add(digest);
   cancelChunk(state, digest);
   for (const version of state.versions.values()) {
-    gain(state, version, digest);
+    addGainedChunk(state, version, digest);
   }
 }
 
 /** The store did not take a chunk; it will be fetched again, not at once. */
-export function failStored(state: SwarmState, digest: Digest): void {
+export function recordStoreFailure(state: SwarmState, digest: Digest): void {
   state.storing.delete(digest);
   state.storeBackoffUntil = state.now + backoff(state.storeFailures);
   state.storeFailures += 1;
@@ -68,7 +68,7 @@
 /** Replaces what is held by what the store itself reports. */
 export function replaceHeld(
   state: SwarmState,
-  life: StoreLife,
+  life: StoreIncarnation,
   digests: readonly Digest[],
 ): void {
   if (life !== state.life) state.storing.clear();
@@ -76,13 +76,13 @@
   state.held.clear();
   for (const digest of digests) state.held.add(digest);
   for (const version of state.versions.values()) {
-    fillHeld(state, version);
-    announceAll(state, version, [...version.neighbours]);
+    refreshHeld(state, version);
+    announceHeld(state, version, [...version.neighbours]);
   }
 }
 
 /** Sets a version's positions from what is held. */
-export function fillHeld(state: SwarmState, version: WantedVersion): void {
+export function refreshHeld(state: SwarmState, version: WantedVersion): void {
   version.missing = [];
   version.ready = false;
   version.manifest.chunks.forEach((chunk, position) => {
@@ -92,9 +92,9 @@
       return;
     }
     version.held.add(position);
-    noteSeen(state, version, position);
+    recordFirstSeen(state, version, position);
   });
-  version.turns ??= turnsOf(version);
+  version.originOrder ??= orderMissing(version);
   reportReady(state, version);
 }
 
@@ -102,8 +102,8 @@
  * Turns of the chunks that are missing alone: members that hold an older
  * version miss the same few, and turns of the others would pass unused.
  */
-function turnsOf(version: WantedVersion): Int32Array {
-  const {turn} = version.ranks;
+function orderMissing(version: WantedVersion): Int32Array {
+  const {originOrder: turn} = version.ranks;
   const order = [...version.missing];
   order.sort((left, right) => turn[left]! - turn[right]!);
   const turns = new Int32Array(turn.length);
@@ -111,13 +111,17 @@
   return turns;
 }
 
-function gain(state: SwarmState, version: WantedVersion, digest: Digest): void {
+function addGainedChunk(
+  state: SwarmState,
+  version: WantedVersion,
+  digest: Digest,
+): void {
   const position = version.positions.get(digest);
   if (position === undefined || !version.held.add(position)) return;
   version.missing.splice(version.missing.indexOf(position), 1);
-  noteSeen(state, version, position);
-  if (state.fromOrigin.delete(digest)) introduce(state, version, position);
-  announceLater(state, version, position);
+  recordFirstSeen(state, version, position);
+  if (state.fromOrigin.delete(digest)) offerToCopiers(state, version, position);
+  queueAnnouncement(state, version, position);
   reportReady(state, version);
 }
 
@@ -134,15 +138,15 @@
   return state.held.has(digest) || state.storing.has(digest);
 }
 
-function learn(state: SwarmState, transfer: Transfer): void {
+function recordDownloadTime(state: SwarmState, transfer: Transfer): void {
   const time = state.now - transfer.startedAt;
   if (transfer.sender.kind === 'origin') {
-    state.originTime.add(time);
+    state.originTime.addSample(time);
     state.originFailures = 0;
     state.originStalls = 0;
     return;
   }
-  state.neighbourTime.add(time);
+  state.neighbourTime.addSample(time);
   const neighbour = state.neighbours.get(transfer.sender.instance);
   if (neighbour === undefined) return;
   neighbour.failures = 0;
--- a/packages/core/src/distribution/commands/live_load.ts
+++ b/packages/core/src/distribution/commands/live_load.ts
@@ -7,7 +7,7 @@
  * Makes room for live requests: as the target's queue grows from empty to
  * one request per slot, transfers go down to their last slot.
  */
-export function takeLiveLoad(
+export function applyLiveLoad(
   state: SwarmState,
   queued: number,
   slots: number,
--- a/packages/core/src/distribution/commands/neighbours.ts
+++ b/packages/core/src/distribution/commands/neighbours.ts
@@ -5,11 +5,11 @@
 import {rankAmong, rankFetchers} from '../ranks';
 import type {SwarmMember} from '../types';
 import {addHave, forgetHave} from './availability';
-import {announceAll} from './announce';
+import {announceHeld} from './announce';
 import {cancelTransfer} from './transfers';
 
 /** Takes in the live agents; chooses the neighbours of every version anew. */
-export function changeMembers(
+export function updateMembers(
   state: SwarmState,
   members: readonly SwarmMember[],
 ): void {
@@ -20,7 +20,7 @@
     if (state.zones.has(instance)) continue;
     forgetNeighbour(state, instance);
     state.neighbours.delete(instance);
-    state.gone.delete(instance);
+    state.disconnected.delete(instance);
   }
   for (const version of state.versions.values()) {
     refreshNeighbours(state, version);
@@ -34,7 +34,7 @@
 ): void {
   refreshHolders(state, version);
   const live = liveHolders(state, version);
-  rank(state, version, live);
+  updateRanks(state, version, live);
   const chosen = new Set(
     chooseNeighbours(
       {instance: state.options.instance, zone: state.options.zone},
@@ -53,7 +53,7 @@
   }
   version.neighbours = chosen;
   const added = [...chosen].filter(instance => !before.has(instance));
-  announceAll(state, version, added);
+  announceHeld(state, version, added);
   for (const instance of before) {
     if (chosen.has(instance)) continue;
     const neighbour = state.neighbours.get(instance);
@@ -72,11 +72,17 @@
       ? [...state.zones.keys(), state.options.instance].sort()
       : wantedHolders;
   if (isSameList(next, version.holders)) return;
-  const signs = new Map(
-    version.holders.map((name, place) => [name, version.lastSign[place]!]),
+  const lastProgress = new Map(
+    version.holders.map((name, place) => [
+      name,
+      version.lastOwnerProgress[place]!,
+    ]),
   );
   version.holders = next;
-  version.lastSign = Float64Array.from(next, name => signs.get(name) ?? 0);
+  version.lastOwnerProgress = Float64Array.from(
+    next,
+    name => lastProgress.get(name) ?? 0,
+  );
   // A chunk's new fetcher has its time before the next in rank asks.
   version.availability.forEach((holders, position) => {
     if (holders === 0) version.unreachableSince[position] = state.now;
@@ -94,21 +100,21 @@
 }
 
 /** Takes in chunks that a neighbour gained. */
-export function takeHave(
+export function applyHave(
   state: SwarmState,
   instance: InstanceName,
   versionDigest: VersionDigest,
   gained: readonly number[],
 ): void {
-  noteHeard(state, instance);
+  recordContact(state, instance);
   if (state.cutOff.has(instance)) return;
   const neighbour = neighbourOf(state, instance);
   const version = state.versions.get(versionDigest);
   if (version === undefined) {
-    keepUnknown(neighbour, versionDigest, gained);
+    rememberUnknownVersion(neighbour, versionDigest, gained);
     return;
   }
-  if (!admit(state, version, instance, gained)) return;
+  if (!admitNeighbour(state, version, instance, gained)) return;
   addHave(state, version, neighbour, gained);
 }
 
@@ -117,10 +123,10 @@
   state: SwarmState,
   instance: InstanceName,
 ): void {
-  noteHeard(state, instance);
+  recordContact(state, instance);
   for (const version of state.versions.values()) {
     if (version.neighbours.has(instance)) {
-      announceAll(state, version, [instance]);
+      announceHeld(state, version, [instance]);
     }
   }
 }
@@ -129,20 +135,23 @@
  * A session ended: what the neighbour held is unknown until it says so again.
  * Its next session starts with the whole have-map.
  */
-export function loseNeighbour(state: SwarmState, instance: InstanceName): void {
+export function disconnectNeighbour(
+  state: SwarmState,
+  instance: InstanceName,
+): void {
   forgetNeighbour(state, instance);
-  if (state.gone.has(instance)) return;
-  state.gone.add(instance);
-  rankAnew(state);
+  if (state.disconnected.has(instance)) return;
+  state.disconnected.add(instance);
+  updateAllRanks(state);
 }
 
-function noteHeard(state: SwarmState, instance: InstanceName): void {
-  if (state.gone.delete(instance)) rankAnew(state);
+function recordContact(state: SwarmState, instance: InstanceName): void {
+  if (state.disconnected.delete(instance)) updateAllRanks(state);
 }
 
-function rankAnew(state: SwarmState): void {
+function updateAllRanks(state: SwarmState): void {
   for (const version of state.versions.values()) {
-    rank(state, version, liveHolders(state, version));
+    updateRanks(state, version, liveHolders(state, version));
   }
 }
 
@@ -169,7 +178,7 @@
   const created: Neighbour = {
     instance,
     busyUntil: 0,
-    lastAsked: -Infinity,
+    lastRequestedAt: -Infinity,
     suspendedUntil: undefined,
     failures: 0,
     badChunks: 0,
@@ -180,14 +189,14 @@
   return created;
 }
 
-function rank(
+function updateRanks(
   state: SwarmState,
   version: WantedVersion,
   live: readonly SwarmMember[],
 ): void {
   const {instance: self, zone} = state.options;
   const chunks = version.manifest.chunks.map(chunk => chunk.digest);
-  const reachable = reachableOf(state, live);
+  const reachable = reachableMembers(state, live);
   const names = new Set(reachable.map(member => member.instance));
   const ownZone = reachable.filter(member => member.zone === zone);
   version.ranks = rankFetchers(
@@ -211,11 +220,13 @@
  * after its bound everywhere. Guard: who is not reached has no rank. A node that
  * has lost half of the others is itself cut off, and takes over nothing.
  */
-function reachableOf(
+function reachableMembers(
   state: SwarmState,
   live: readonly SwarmMember[],
 ): readonly SwarmMember[] {
-  const reachable = live.filter(({instance}) => !state.gone.has(instance));
+  const reachable = live.filter(
+    ({instance}) => !state.disconnected.has(instance),
+  );
   return reachable.length > live.length / 2 ? reachable : live;
 }
 
@@ -234,26 +245,26 @@
 }
 
 /** A member that chose us by its own view of the members is a neighbour. */
-function admit(
+function admitNeighbour(
   state: SwarmState,
   version: WantedVersion,
   instance: InstanceName,
   gained: readonly number[],
 ): boolean {
   if (version.neighbours.has(instance)) return true;
-  if (isIntroduction(state, version, instance, gained)) {
-    version.introduced.add(instance);
+  if (isCrossZoneOffer(state, version, instance, gained)) {
+    version.crossZoneSources.add(instance);
     version.neighbours.add(instance);
     return true;
   }
-  if (version.neighbours.size >= bounds.MOST_NEIGHBOURS) return false;
+  if (version.neighbours.size >= bounds.MAX_NEIGHBOURS) return false;
   version.neighbours.add(instance);
-  announceAll(state, version, [instance]);
+  announceHeld(state, version, [instance]);
   return true;
 }
 
 /** Whether a member of another zone tells of chunks to be copied in by this one. */
-function isIntroduction(
+function isCrossZoneOffer(
   state: SwarmState,
   version: WantedVersion,
   instance: InstanceName,
@@ -266,7 +277,7 @@
   );
 }
 
-function keepUnknown(
+function rememberUnknownVersion(
   neighbour: Neighbour,
   versionDigest: VersionDigest,
   gained: readonly number[],
@@ -274,11 +285,11 @@
   const versions = neighbour.unknownVersions;
   const kept = versions.get(versionDigest) ?? new Set();
   for (const position of gained) {
-    if (position < bounds.MOST_CHUNKS) kept.add(position);
+    if (position < bounds.MAX_CHUNKS) kept.add(position);
   }
   versions.delete(versionDigest);
   versions.set(versionDigest, kept);
-  if (versions.size <= bounds.UNKNOWN_VERSIONS_KEPT) return;
+  if (versions.size <= bounds.MAX_UNKNOWN_VERSIONS) return;
   const oldest = versions.keys().next().value;
   if (oldest !== undefined) versions.delete(oldest);
 }
--- a/packages/core/src/distribution/commands/schedule_limits.ts
+++ b/packages/core/src/distribution/commands/schedule_limits.ts
@@ -2,7 +2,7 @@
 import type {SwarmState} from '../state';
 
 /** Whether a chunk is held, being stored, or on its way. */
-export function isUnderWay(state: SwarmState, digest: Digest): boolean {
+export function isHeldOrInFlight(state: SwarmState, digest: Digest): boolean {
   return (
     state.active.has(digest) ||
     state.storing.has(digest) ||
@@ -14,7 +14,7 @@
  * Whether one more chunk fits the transfer buffer. A chunk larger than the
  * whole buffer may go alone, or it could never be fetched.
  */
-export function hasBuffer(state: SwarmState, size: Bytes): boolean {
+export function fitsTransferBuffer(state: SwarmState, size: Bytes): boolean {
   let used = 0;
   for (const transfer of state.transfers.values()) used += transfer.size;
   for (const stored of state.storing.values()) used += stored;
--- a/packages/core/src/distribution/commands/schedule_neighbours.ts
+++ b/packages/core/src/distribution/commands/schedule_neighbours.ts
@@ -1,15 +1,15 @@
 import * as bounds from '../bounds';
 import {
-  slotsLeft,
+  availableSlots,
   wakeAt,
   type Neighbour,
   type SwarmState,
   type WantedVersion,
 } from '../state';
-import {hasBuffer, isUnderWay} from './schedule_limits';
+import {fitsTransferBuffer, isHeldOrInFlight} from './schedule_limits';
 import {startTransfer} from './transfers';
 
-interface Choice {
+interface ChunkChoice {
   readonly position: number;
   readonly sender: Neighbour;
 }
@@ -19,7 +19,7 @@
   state: SwarmState,
   version: WantedVersion,
 ): void {
-  const slots = slotsLeft(
+  const slots = availableSlots(
     state,
     state.options.downloadSlots ?? bounds.DOWNLOAD_SLOTS,
   );
@@ -28,7 +28,7 @@
     const choice = chooseRarest(state, version, freeNeighbours(state, version));
     if (choice === undefined) return;
     const chunk = version.manifest.chunks[choice.position]!;
-    if (!hasBuffer(state, chunk.size)) return;
+    if (!fitsTransferBuffer(state, chunk.size)) return;
     startTransfer(state, chunk.digest, chunk.size, {
       kind: 'neighbour',
       instance: choice.sender.instance,
@@ -60,9 +60,9 @@
   state: SwarmState,
   version: WantedVersion,
   free: readonly Neighbour[],
-): Choice | undefined {
+): ChunkChoice | undefined {
   if (free.length === 0) return undefined;
-  let best: Choice | undefined;
+  let best: ChunkChoice | undefined;
   let bestCount = Infinity;
   let bestTie = Infinity;
   for (const position of version.missing) {
@@ -71,7 +71,7 @@
     if (count === 0 || count > bestCount) continue;
     if (count === bestCount && tie >= bestTie) continue;
     const digest = version.manifest.chunks[position]!.digest;
-    if (isUnderWay(state, digest)) continue;
+    if (isHeldOrInFlight(state, digest)) continue;
     const sender = chooseSender(state, version, position, free);
     if (sender === undefined) continue;
     best = {position, sender};
@@ -92,7 +92,7 @@
   free: readonly Neighbour[],
 ): Neighbour | undefined {
   let best: Neighbour | undefined;
-  let bestAsked = Infinity;
+  let bestRequestedAt = Infinity;
   let bestIsOwnZone = false;
   for (const neighbour of free) {
     const have = version.haves.get(neighbour.instance);
@@ -100,9 +100,9 @@
     const isOwnZone = isInOwnZone(state, neighbour.instance);
     if (bestIsOwnZone && !isOwnZone) continue;
     const isBetterZone = isOwnZone && !bestIsOwnZone;
-    if (!isBetterZone && neighbour.lastAsked >= bestAsked) continue;
+    if (!isBetterZone && neighbour.lastRequestedAt >= bestRequestedAt) continue;
     best = neighbour;
-    bestAsked = neighbour.lastAsked;
+    bestRequestedAt = neighbour.lastRequestedAt;
     bestIsOwnZone = isOwnZone;
   }
   if (best === undefined || bestIsOwnZone) return best;
@@ -125,9 +125,9 @@
     }
   }
   const ranks = state.options.crossZoneRanks ?? bounds.CROSS_ZONE_RANKS;
-  const turnsToWait = version.zoneRank[position]! - ranks + 1;
-  if (turnsToWait <= 0) return true;
-  const wait = turnsToWait * state.neighbourTime.bound();
+  const ranksToWait = version.zoneRank[position]! - ranks + 1;
+  if (ranksToWait <= 0) return true;
+  const wait = ranksToWait * state.neighbourTime.bound();
   const at = version.firstSeen[position]! + wait;
   if (at > state.now) wakeAt(state, at);
   return at <= state.now;
--- a/packages/core/src/distribution/commands/schedule_origin.ts
+++ b/packages/core/src/distribution/commands/schedule_origin.ts
@@ -1,9 +1,14 @@
 import type {Digest} from '../../types';
 import * as bounds from '../bounds';
-import {slotsLeft, wakeAt, type SwarmState, type WantedVersion} from '../state';
-import {expectedAt, turnAt} from './availability';
-import {patience} from '../queries/patience';
-import {hasBuffer, isUnderWay} from './schedule_limits';
+import {
+  availableSlots,
+  wakeAt,
+  type SwarmState,
+  type WantedVersion,
+} from '../state';
+import {ownerDueAt, scheduledAt} from './availability';
+import {takeoverTimeout} from '../queries/takeover_timeout';
+import {fitsTransferBuffer, isHeldOrInFlight} from './schedule_limits';
 import {startTransfer} from './transfers';
 
 /** Asks the origin for the chunks that are this node's turn to fetch. */
@@ -20,7 +25,7 @@
   for (const position of dueNow(state, version)) {
     if (originTransfers(state) >= originSlots(state)) return;
     const chunk = version.manifest.chunks[position]!;
-    if (!hasBuffer(state, chunk.size)) return;
+    if (!fitsTransferBuffer(state, chunk.size)) return;
     startTransfer(state, chunk.digest, chunk.size, {kind: 'origin'});
   }
 }
@@ -31,8 +36,8 @@
     const at = dueAt(state, version, position);
     if (at === Infinity) continue;
     const chunk = version.manifest.chunks[position]!;
-    if (isUnderWay(state, chunk.digest)) continue;
-    if (isAskedOfOrigin(state, chunk.digest)) continue;
+    if (isHeldOrInFlight(state, chunk.digest)) continue;
+    if (isRequestedFromOrigin(state, chunk.digest)) continue;
     if (at <= state.now) due.push({position, at});
     else wakeAt(state, at);
   }
@@ -53,20 +58,20 @@
 ): number {
   const rank = version.ranks.ownRank[position]!;
   if (version.prefer === 'time' && rank === 1) {
-    return turnAt(state, version, position) + passTime(state, version);
+    return scheduledAt(state, version, position) + fullCopyTime(state, version);
   }
   if (version.availability[position]! > 0) return Infinity;
-  if (rank === 0) return turnAt(state, version, position);
+  if (rank === 0) return scheduledAt(state, version, position);
   const base = Math.max(
-    expectedAt(state, version, position),
+    ownerDueAt(state, version, position),
     version.unreachableSince[position]!,
-    state.originClock,
+    state.takeoverBase,
   );
-  return base + rank * patience(state);
+  return base + rank * takeoverTimeout(state);
 }
 
 /** Time that the origin needs for one copy; 0 if its rate is not known. */
-function passTime(state: SwarmState, version: WantedVersion): number {
+function fullCopyTime(state: SwarmState, version: WantedVersion): number {
   const rate = state.originRate;
   if (rate === undefined) return 0;
   let bytes = 0;
@@ -80,7 +85,7 @@
  */
 function originAllowedAt(state: SwarmState, version: WantedVersion): number {
   const settled = version.haves.size >= version.neighbours.size;
-  const settleTime = state.options.settleTime ?? bounds.SETTLE_TIME;
+  const settleTime = state.options.settleTime ?? bounds.SETTLE_TIME_MS;
   const settledAt = settled ? 0 : version.wantedAt + settleTime;
   return Math.max(settledAt, state.originBackoffUntil);
 }
@@ -88,7 +93,7 @@
 /** One at a time after a failure, when many ask for what is overdue. */
 function originSlots(state: SwarmState): number {
   const isFailing = state.originFailures > 0 || state.originStalls > 0;
-  return isFailing ? 1 : slotsLeft(state, bounds.ORIGIN_SLOTS);
+  return isFailing ? 1 : availableSlots(state, bounds.ORIGIN_SLOTS);
 }
 
 /** Downloads from the origin; a stalled one still burdens its link. */
@@ -100,7 +105,7 @@
   return count;
 }
 
-function isAskedOfOrigin(state: SwarmState, digest: Digest): boolean {
+function isRequestedFromOrigin(state: SwarmState, digest: Digest): boolean {
   for (const transfer of state.transfers.values()) {
     const isOrigin = transfer.sender.kind === 'origin';
     if (isOrigin && transfer.digest === digest) return true;
--- a/packages/core/src/distribution/commands/transfers.ts
+++ b/packages/core/src/distribution/commands/transfers.ts
@@ -38,7 +38,7 @@
   const neighbour = state.neighbours.get(sender.instance);
   if (neighbour !== undefined) {
     neighbour.transfer = id;
-    neighbour.lastAsked = state.now;
+    neighbour.lastRequestedAt = state.now;
   }
   state.effects.push({
     kind: 'askNeighbour',
@@ -106,7 +106,7 @@
 }
 
 /** Takes in a sender's chunk whose digest is wrong. */
-export function blameSender(state: SwarmState, transfer: Transfer): void {
+export function recordBadChunk(state: SwarmState, transfer: Transfer): void {
   const neighbour = senderOf(state, transfer);
   if (neighbour === undefined) {
     failOrigin(state, {kind: 'unavailable'});
@@ -131,7 +131,7 @@
 }
 
 /** Notes bytes of a download. */
-export function noteProgress(state: SwarmState, id: TransferId): void {
+export function recordProgress(state: SwarmState, id: TransferId): void {
   const transfer = state.transfers.get(id);
   if (transfer === undefined) return;
   transfer.lastProgress = state.now;
@@ -146,16 +146,16 @@
  * and would hold the chunk for ever; after a learned time the chunk may be
  * asked of another, and after twice that time the download is given up.
  */
-export function findStalls(state: SwarmState): void {
+export function handleStalls(state: SwarmState): void {
   for (const transfer of [...state.transfers.values()]) {
     const limit = stallLimit(state, transfer);
-    const quiet = state.now - transfer.lastProgress;
-    if (quiet >= 2 * limit) {
+    const idle = state.now - transfer.lastProgress;
+    if (idle >= 2 * limit) {
       cancelTransfer(state, transfer.id);
       if (transfer.sender.kind === 'origin') state.originStalls += 1;
       continue;
     }
-    if (quiet >= limit && !transfer.stalled) stall(state, transfer, limit);
+    if (idle >= limit && !transfer.stalled) markStalled(state, transfer, limit);
     const next = transfer.stalled ? 2 * limit : limit;
     wakeAt(state, transfer.lastProgress + next);
   }
@@ -167,7 +167,11 @@
   }
 }
 
-function stall(state: SwarmState, transfer: Transfer, limit: number): void {
+function markStalled(
+  state: SwarmState,
+  transfer: Transfer,
+  limit: number,
+): void {
   transfer.stalled = true;
   lowerActive(state, transfer.digest);
   const neighbour = senderOf(state, transfer);
@@ -182,7 +186,7 @@
   // after a fixed time, all would start over again for ever and none would
   // end; with twice the time after each, they end.
   const limit = state.originTime.bound() * 2 ** state.originStalls;
-  return Math.min(bounds.LONGEST_ORIGIN_STALL, limit);
+  return Math.min(bounds.MAX_ORIGIN_STALL_TIMEOUT_MS, limit);
 }
 
 function failOrigin(state: SwarmState, failure: RequestFailure): void {
@@ -195,7 +199,7 @@
   // While the origin answers nobody, the patience of every rank runs out at
   // once, and after the outage all would ask for the same chunks. Counting it
   // anew from the last failure keeps the ranks apart.
-  state.originClock = state.originBackoffUntil;
+  state.takeoverBase = state.originBackoffUntil;
 }
 
 function failNeighbour(state: SwarmState, neighbour: Neighbour): void {
--- a/packages/core/src/distribution/commands/uploads.ts
+++ b/packages/core/src/distribution/commands/uploads.ts
@@ -1,12 +1,12 @@
 import type {Digest, InstanceName, Milliseconds} from '../../types';
 import * as bounds from '../bounds';
-import {slotsLeft, wakeAt, type SwarmState, type Upload} from '../state';
+import {availableSlots, wakeAt, type SwarmState, type Upload} from '../state';
 import type {RequestFailure, UploadId} from '../types';
-import {announceAll} from './announce';
+import {announceHeld} from './announce';
 import {forgetHave} from './availability';
 
 /** Admits, queues or refuses an upload that a neighbour asks for. */
-export function askUpload(
+export function requestUpload(
   state: SwarmState,
   id: UploadId,
   neighbour: InstanceName,
@@ -16,23 +16,23 @@
     refuse(state, id, {kind: 'notHeld'});
     return;
   }
-  correctHave(state, neighbour, digest);
+  resetStaleHave(state, neighbour, digest);
   // The others of its zone wait for this copy, which comes once; those of the
   // own zone can have the chunk from one another too.
-  const goesFirst = state.zones.get(neighbour) !== state.options.zone;
-  if (isServed(state, neighbour) || (isFull(state) && !goesFirst)) {
+  const isPrioritized = state.zones.get(neighbour) !== state.options.zone;
+  if (hasUpload(state, neighbour) || (isQueueFull(state) && !isPrioritized)) {
     refuse(state, id, {kind: 'busy', retryAfter: retryAfter(state)});
     return;
   }
   const {now} = state;
   const upload = {id, neighbour, digest, startedAt: now, lastProgress: now};
-  if (goesFirst) state.waitingUploads.unshift(upload);
+  if (isPrioritized) state.waitingUploads.unshift(upload);
   else state.waitingUploads.push(upload);
-  startWaiting(state);
+  startWaitingUploads(state);
 }
 
 /** Notes that a piece of an upload was taken by the other side. */
-export function noteUploadProgress(state: SwarmState, id: UploadId): void {
+export function recordUploadProgress(state: SwarmState, id: UploadId): void {
   const upload = state.uploads.get(id);
   if (upload !== undefined) upload.lastProgress = state.now;
 }
@@ -41,19 +41,19 @@
 export function endUpload(state: SwarmState, id: UploadId): void {
   const upload = state.uploads.get(id);
   if (upload !== undefined) {
-    state.uploadTime.add(state.now - upload.startedAt);
+    state.uploadTime.addSample(state.now - upload.startedAt);
     state.uploads.delete(id);
   }
   const waiting = state.waitingUploads.findIndex(entry => entry.id === id);
   if (waiting >= 0) state.waitingUploads.splice(waiting, 1);
-  startWaiting(state);
+  startWaitingUploads(state);
 }
 
 /**
  * Stops uploads that the other side does not read. A frozen reader keeps its
  * stream open and would hold an upload slot for ever.
  */
-export function findStalledUploads(state: SwarmState): void {
+export function stopStalledUploads(state: SwarmState): void {
   const limit = state.uploadTime.bound();
   for (const upload of [...state.uploads.values()]) {
     const stopAt = upload.lastProgress + limit;
@@ -64,11 +64,11 @@
     state.uploads.delete(upload.id);
     state.effects.push({kind: 'stopUpload', upload: upload.id});
   }
-  startWaiting(state);
+  startWaitingUploads(state);
 }
 
-function startWaiting(state: SwarmState): void {
-  const slots = slotsLeft(
+function startWaitingUploads(state: SwarmState): void {
+  const slots = availableSlots(
     state,
     state.options.uploadSlots ?? bounds.UPLOAD_SLOTS,
   );
@@ -83,7 +83,7 @@
 }
 
 /** A neighbour that asks for what it once held has lost its chunks. */
-function correctHave(
+function resetStaleHave(
   state: SwarmState,
   instance: InstanceName,
   digest: Digest,
@@ -95,11 +95,11 @@
     if (position === undefined) continue;
     if (version.haves.get(instance)?.has(position) !== true) continue;
     forgetHave(state, version, neighbour);
-    announceAll(state, version, [instance]);
+    announceHeld(state, version, [instance]);
   }
 }
 
-function isServed(state: SwarmState, neighbour: InstanceName): boolean {
+function hasUpload(state: SwarmState, neighbour: InstanceName): boolean {
   const isSame = (upload: Upload) => upload.neighbour === neighbour;
   return (
     state.waitingUploads.some(isSame) ||
@@ -107,19 +107,19 @@
   );
 }
 
-function isFull(state: SwarmState): boolean {
-  return state.waitingUploads.length >= bounds.WAITING_UPLOADS;
+function isQueueFull(state: SwarmState): boolean {
+  return state.waitingUploads.length >= bounds.MAX_WAITING_UPLOADS;
 }
 
 /** Time until about half of the waiting uploads are through. */
 function retryAfter(state: SwarmState): Milliseconds {
-  const uploadTime = state.uploadTime.mean() ?? bounds.FIRST_BACKOFF;
-  const slots = slotsLeft(
+  const uploadTime = state.uploadTime.mean() ?? bounds.INITIAL_BACKOFF_MS;
+  const slots = availableSlots(
     state,
     state.options.uploadSlots ?? bounds.UPLOAD_SLOTS,
   );
   const half = (state.waitingUploads.length + 1) / 2;
-  return Math.min(bounds.LONGEST_BACKOFF, (uploadTime * half) / slots);
+  return Math.min(bounds.MAX_BACKOFF_MS, (uploadTime * half) / slots);
 }
 
 function refuse(
--- a/packages/core/src/distribution/commands/versions.ts
+++ b/packages/core/src/distribution/commands/versions.ts
@@ -4,9 +4,9 @@
 import {mixHashes, rankFetchers} from '../ranks';
 import type {SwarmState, WantedVersion} from '../state';
 import type {VersionHolders} from '../types';
-import {announceAll} from './announce';
-import {fillHeld} from './chunks';
-import {refreshNeighbours, takeHave} from './neighbours';
+import {announceHeld} from './announce';
+import {refreshHeld} from './chunks';
+import {refreshNeighbours, applyHave} from './neighbours';
 import {cancelTransfer} from './transfers';
 
 /** Starts to fetch a version, or changes how one in progress is fetched. */
@@ -33,13 +33,13 @@
   );
   state.versions.set(versionDigest, version);
   refreshNeighbours(state, version);
-  if (state.life !== undefined) fillHeld(state, version);
-  announceAll(state, version, [...version.neighbours]);
+  if (state.life !== undefined) refreshHeld(state, version);
+  announceHeld(state, version, [...version.neighbours]);
   for (const neighbour of state.neighbours.values()) {
     const kept = neighbour.unknownVersions.get(versionDigest);
     neighbour.unknownVersions.delete(versionDigest);
     if (kept === undefined) continue;
-    takeHave(state, neighbour.instance, versionDigest, [...kept]);
+    applyHave(state, neighbour.instance, versionDigest, [...kept]);
   }
 }
 
@@ -86,15 +86,15 @@
     held: createBitSet(count),
     missing: manifest.chunks.map((_chunk, position) => position),
     ranks: rankFetchers([], [], () => true, state.options.instance),
-    turns: undefined,
+    originOrder: undefined,
     zoneRank: new Int32Array(count),
-    introduced: new Set(),
+    crossZoneSources: new Set(),
     neighbours: new Set(),
     haves: new Map(),
     availability: new Uint16Array(count),
     unreachableSince: new Float64Array(count).fill(state.now),
     firstSeen: new Float64Array(count).fill(-1),
-    lastSign: new Float64Array(),
+    lastOwnerProgress: new Float64Array(),
     tieBreak: Uint32Array.from(manifest.chunks, chunk =>
       mixHashes(state.options.seed, hash32(chunk.digest)),
     ),
--- a/packages/core/src/distribution/learned_time.ts
+++ b/packages/core/src/distribution/duration_estimate.ts
@@ -6,8 +6,8 @@
 const DEVIATIONS = 4;
 
 /** A duration learned from samples, with a bound that few samples exceed. */
-export interface LearnedTime {
-  readonly add: (sample: Milliseconds) => void;
+export interface DurationEstimate {
+  readonly addSample: (sample: Milliseconds) => void;
   /** Mean of the samples; undefined before the first. */
   readonly mean: () => Milliseconds | undefined;
   /** Mean and four deviations, within the limits. */
@@ -15,15 +15,15 @@
 }
 
 /** Creates a learned time that answers `first` until it has a sample. */
-export function createLearnedTime(limits: {
+export function createDurationEstimate(limits: {
   readonly first: Milliseconds;
   readonly shortest: Milliseconds;
   readonly longest: Milliseconds;
-}): LearnedTime {
+}): DurationEstimate {
   let mean: number | undefined;
   let deviation = 0;
   return {
-    add(sample) {
+    addSample(sample) {
       if (mean === undefined) {
         mean = sample;
         deviation = sample / 2;
--- a/packages/core/src/distribution/neighbour_choice.ts
+++ b/packages/core/src/distribution/neighbour_choice.ts
@@ -29,16 +29,16 @@
     hash: hash32(member.instance),
   }));
   const own = {...self, hash: hash32(self.instance)};
-  const picked = new Set(picksOf(own, hashed, picks));
+  const picked = new Set(choosePicks(own, hashed, picks));
   for (const member of hashed) {
     if (member.instance === self.instance) continue;
-    if (picksBack(member, own, hashed, picks)) picked.add(member.instance);
+    if (wouldPick(member, own, hashed, picks)) picked.add(member.instance);
   }
   return [...picked].sort();
 }
 
 /** Whether `from` picks `to`; counts, since sorting for each would be slow. */
-function picksBack(
+function wouldPick(
   from: HashedMember,
   to: HashedMember,
   members: readonly HashedMember[],
@@ -61,7 +61,7 @@
   return better < picks.crossZone + missing;
 }
 
-function picksOf(
+function choosePicks(
   from: HashedMember,
   members: readonly HashedMember[],
   picks: NeighbourPicks,
--- a/packages/core/src/distribution/queries/check_manifest.ts
+++ b/packages/core/src/distribution/queries/check_manifest.ts
@@ -65,7 +65,7 @@
 function countFaults(manifest: Manifest): readonly ManifestFault[] {
   const count = manifest.chunks.length;
   if (count === 0) return [{kind: 'noChunks'}];
-  return count > bounds.MOST_CHUNKS ? [{kind: 'tooManyChunks', count}] : [];
+  return count > bounds.MAX_CHUNKS ? [{kind: 'tooManyChunks', count}] : [];
 }
 
 function chunkFaults(manifest: Manifest): readonly ManifestFault[] {
@@ -87,12 +87,12 @@
 
 function totalFaults(manifest: Manifest): readonly ManifestFault[] {
   const size = manifest.chunks.reduce((sum, chunk) => sum + chunk.size, 0);
-  return size > bounds.LARGEST_VERSION_BYTES
+  return size > bounds.MAX_VERSION_BYTES
     ? [{kind: 'versionTooLarge', size}]
     : [];
 }
 
 function isChunkSize(size: number): boolean {
   if (!Number.isSafeInteger(size)) return false;
-  return size > 0 && size <= bounds.LARGEST_CHUNK_BYTES;
+  return size > 0 && size <= bounds.MAX_CHUNK_BYTES;
 }
--- a/packages/core/src/distribution/queries/progress.ts
+++ b/packages/core/src/distribution/queries/progress.ts
@@ -1,5 +1,5 @@
 import type {InstanceName, VersionDigest} from '../../types';
-import {patience} from './patience';
+import {takeoverTimeout} from './takeover_timeout';
 import type {SwarmState, WantedVersion} from '../state';
 import type {SwarmDump, VersionProgress} from '../types';
 
@@ -26,7 +26,7 @@
 }
 
 /** Whether each chunk of a wanted version is here or with a neighbour. */
-export function isWithinReach(
+export function isFullyReachable(
   state: SwarmState,
   versionDigest: VersionDigest,
 ): boolean {
@@ -62,7 +62,7 @@
     suspended: [...state.neighbours.values()]
       .filter(neighbour => neighbour.suspendedUntil !== undefined)
       .map(neighbour => neighbour.instance),
-    patience: patience(state),
+    patience: takeoverTimeout(state),
   };
 }
 
--- a/packages/core/src/distribution/queries/patience.ts
+++ b/packages/core/src/distribution/queries/takeover_timeout.ts
@@ -1,5 +1,5 @@
 import type {Milliseconds} from '../../types';
-import {LONGEST_PATIENCE} from '../bounds';
+import {MAX_TAKEOVER_TIMEOUT_MS} from '../bounds';
 import type {SwarmState} from '../state';
 
 /**
@@ -12,7 +12,7 @@
  * after 6.1 s, and the origin sent 1 to 3 in 100 more (laboratory, one frozen at
  * 300 ms, worst of ten seeds). Of 80 members none fails: 5 in 100 more.
  */
-const STEPS = 3;
+const TAKEOVER_STEPS = 3;
 
 /**
  * Times that the origin's whole link needs for a chunk, taken as one step
@@ -21,14 +21,14 @@
 const ORIGIN_TIMES_PER_STEP = 8;
 
 /** How long a rank waits for the one before it, in milliseconds. */
-export function patience(state: SwarmState): Milliseconds {
+export function takeoverTimeout(state: SwarmState): Milliseconds {
   const step = Math.max(
     state.neighbourTime.mean() ?? 0,
     state.originTime.mean() ?? 0,
     state.neighbourTime.mean() === undefined ? expectedStep(state) : 0,
   );
-  const learned = Math.max(state.patience.bound(), STEPS * step);
-  return Math.min(LONGEST_PATIENCE, learned);
+  const estimated = Math.max(state.patience.bound(), TAKEOVER_STEPS * step);
+  return Math.min(MAX_TAKEOVER_TIMEOUT_MS, estimated);
 }
 
 function expectedStep(state: SwarmState): Milliseconds {
--- a/packages/core/src/distribution/ranks.ts
+++ b/packages/core/src/distribution/ranks.ts
@@ -16,7 +16,7 @@
   /** This node's rank, per chunk. */
   readonly ownRank: Int32Array;
   /** Place of each chunk in the order that the origin is asked in. */
-  readonly turn: Int32Array;
+  readonly originOrder: Int32Array;
 }
 
 /**
@@ -39,21 +39,21 @@
   const owner = new Int32Array(chunks.length).fill(-1);
   const ownRank = new Int32Array(chunks.length).fill(fetchers.length);
   const turn = new Int32Array(chunks.length);
-  if (fetchers.length === 0) return {owner, ownRank, turn};
+  if (fetchers.length === 0) return {owner, ownRank, originOrder: turn};
   const used = new Uint8Array(fetchers.length);
   const scores = new Uint32Array(fetchers.length);
-  turnOrder(chunkHashes).forEach((chunk, place) => {
+  sortByHash(chunkHashes).forEach((chunk, place) => {
     if (place % fetchers.length === 0) used.fill(0);
     fetcherHashes.forEach((hash, fetcher) => {
       scores[fetcher] = mixHashes(hash, chunkHashes[chunk]!);
     });
-    const balanced = bestOf(scores, used);
+    const balanced = findBest(scores, used);
     used[balanced] = 1;
     turn[chunk] = place;
-    owner[chunk] = lost[balanced] === 0 ? balanced : bestOf(scores, lost);
+    owner[chunk] = lost[balanced] === 0 ? balanced : findBest(scores, lost);
     ownRank[chunk] = rankOf(selfPosition, owner[chunk]!, scores, lost);
   });
-  return {owner, ownRank, turn};
+  return {owner, ownRank, originOrder: turn};
 }
 
 /** This node's rank per chunk among `members`, by bare rendezvous hash. */
@@ -77,14 +77,14 @@
   });
 }
 
-function turnOrder(chunkHashes: readonly number[]): readonly number[] {
+function sortByHash(chunkHashes: readonly number[]): readonly number[] {
   return chunkHashes
     .map((_hash, position) => position)
     .sort((left, right) => chunkHashes[left]! - chunkHashes[right]!);
 }
 
 /** The fetcher of the best score that is not excluded; -1 if all are. */
-function bestOf(scores: Uint32Array, excluded: Uint8Array): number {
+function findBest(scores: Uint32Array, excluded: Uint8Array): number {
   let best = -1;
   for (let fetcher = 0; fetcher < scores.length; fetcher += 1) {
     if (excluded[fetcher] === 1) continue;
--- a/packages/core/src/distribution/state.ts
+++ b/packages/core/src/distribution/state.ts
@@ -11,10 +11,13 @@
 } from '../types';
 import type {BitSet} from './bit_set';
 import * as bounds from './bounds';
-import {createLearnedTime, type LearnedTime} from './learned_time';
+import {
+  createDurationEstimate,
+  type DurationEstimate,
+} from './duration_estimate';
 import type {OriginRanks} from './ranks';
 import type {
-  StoreLife,
+  StoreIncarnation,
   SwarmEffect,
   SwarmNodeOptions,
   TransferId,
@@ -44,7 +47,7 @@
   readonly instance: InstanceName;
   /** No request before this time. */
   busyUntil: number;
-  lastAsked: number;
+  lastRequestedAt: number;
   /** Its chunks do not count as reachable before this time. */
   suspendedUntil: number | undefined;
   failures: number;
@@ -74,7 +77,7 @@
    * Place of each chunk among those not held when the store first reported,
    * in the order that the origin is asked in; undefined before that.
    */
-  turns: Int32Array | undefined;
+  originOrder: Int32Array | undefined;
   /** This node's rank among its own zone's holders, per chunk. */
   zoneRank: Int32Array;
   neighbours: Set<InstanceName>;
@@ -82,7 +85,7 @@
    * Neighbours of other zones that have told of a chunk that this node is to copy
    * into its zone. They are not told of what it gains.
    */
-  readonly introduced: Set<InstanceName>;
+  readonly crossZoneSources: Set<InstanceName>;
   readonly haves: Map<InstanceName, BitSet>;
   /** Reachable neighbours that hold each chunk. */
   readonly availability: Uint16Array;
@@ -91,7 +94,7 @@
   /** When each chunk was first held here or by a neighbour; -1 before. */
   readonly firstSeen: Float64Array;
   /** When a chunk of each holder was last first seen, by its place. */
-  lastSign: Float64Array;
+  lastOwnerProgress: Float64Array;
   readonly tieBreak: Uint32Array;
   readonly gained: number[];
   announceAt: number | undefined;
@@ -118,7 +121,7 @@
   effects: SwarmEffect[];
   nextTransfer: TransferId;
   /** Life of the chunk store; undefined until it reports what it holds. */
-  life: StoreLife | undefined;
+  life: StoreIncarnation | undefined;
   readonly held: Set<Digest>;
   /** Chunks that came from the origin itself. */
   readonly fromOrigin: Set<Digest>;
@@ -134,7 +137,7 @@
   readonly neighbours: Map<InstanceName, Neighbour>;
   readonly cutOff: Set<InstanceName>;
   /** Members whose session ended and that were not heard of since. */
-  readonly gone: Set<InstanceName>;
+  readonly disconnected: Set<InstanceName>;
   readonly transfers: Map<TransferId, Transfer>;
   /** Downloads per chunk that are not stalled. */
   readonly active: Map<Digest, number>;
@@ -143,21 +146,21 @@
   /** Downloads from the origin given up since the last whole one. */
   originStalls: number;
   /** Ranks above 0 count their patience from here at the earliest. */
-  originClock: number;
+  takeoverBase: number;
   readonly uploads: Map<UploadId, Upload>;
   readonly waitingUploads: Upload[];
-  readonly patience: LearnedTime;
-  readonly originTime: LearnedTime;
-  readonly neighbourTime: LearnedTime;
-  readonly uploadTime: LearnedTime;
+  readonly patience: DurationEstimate;
+  readonly originTime: DurationEstimate;
+  readonly neighbourTime: DurationEstimate;
+  readonly uploadTime: DurationEstimate;
   /** Share of the slots that live requests leave, from 0 to 1. */
   slotShare: number;
 }
 
 const STALL_LIMITS = {
-  first: bounds.FIRST_STALL,
-  shortest: bounds.SHORTEST_STALL,
-  longest: bounds.LONGEST_STALL,
+  first: bounds.INITIAL_STALL_TIMEOUT_MS,
+  shortest: bounds.MIN_STALL_TIMEOUT_MS,
+  longest: bounds.MAX_STALL_TIMEOUT_MS,
 };
 
 /** The state of a node that has just started. */
@@ -179,23 +182,23 @@
     versions: new Map(),
     neighbours: new Map(),
     cutOff: new Set(),
-    gone: new Set(),
+    disconnected: new Set(),
     transfers: new Map(),
     active: new Map(),
     originBackoffUntil: 0,
     originFailures: 0,
     originStalls: 0,
-    originClock: 0,
+    takeoverBase: 0,
     uploads: new Map(),
     waitingUploads: [],
-    patience: createLearnedTime({
-      first: bounds.FIRST_PATIENCE,
-      shortest: bounds.SHORTEST_PATIENCE,
-      longest: bounds.LONGEST_PATIENCE,
+    patience: createDurationEstimate({
+      first: bounds.INITIAL_TAKEOVER_TIMEOUT_MS,
+      shortest: bounds.MIN_TAKEOVER_TIMEOUT_MS,
+      longest: bounds.MAX_TAKEOVER_TIMEOUT_MS,
     }),
-    originTime: createLearnedTime(STALL_LIMITS),
-    neighbourTime: createLearnedTime(STALL_LIMITS),
-    uploadTime: createLearnedTime(STALL_LIMITS),
+    originTime: createDurationEstimate(STALL_LIMITS),
+    neighbourTime: createDurationEstimate(STALL_LIMITS),
+    uploadTime: createDurationEstimate(STALL_LIMITS),
     slotShare: 1,
   };
 }
@@ -206,15 +209,15 @@
 }
 
 /** Slots of `full` that live requests leave; at least one. */
-export function slotsLeft(state: SwarmState, full: number): number {
+export function availableSlots(state: SwarmState, full: number): number {
   return Math.max(1, Math.floor(full * state.slotShare));
 }
 
 /** Wait after the `failures`-th failure in a row. */
 export function backoff(
   failures: number,
-  longest: Milliseconds = bounds.LONGEST_BACKOFF,
+  longest: Milliseconds = bounds.MAX_BACKOFF_MS,
 ): Milliseconds {
-  const wait = bounds.FIRST_BACKOFF * 2 ** Math.min(failures, 16);
+  const wait = bounds.INITIAL_BACKOFF_MS * 2 ** Math.min(failures, 16);
   return Math.min(longest, wait);
 }
--- a/packages/core/src/distribution/swarm_node.ts
+++ b/packages/core/src/distribution/swarm_node.ts
@@ -1,34 +1,34 @@
 import {unreachable} from '../kernel/flow';
-import {announceDue} from './commands/announce';
+import {sendDueAnnouncements} from './commands/announce';
 import {
   confirmStored,
-  failStored,
+  recordStoreFailure,
   replaceHeld,
-  takeChunk,
+  acceptChunk,
 } from './commands/chunks';
-import {takeLiveLoad} from './commands/live_load';
+import {applyLiveLoad} from './commands/live_load';
 import {
-  changeMembers,
+  updateMembers,
   connectNeighbour,
-  loseNeighbour,
-  takeHave,
+  disconnectNeighbour,
+  applyHave,
 } from './commands/neighbours';
 import {scheduleNeighbours} from './commands/schedule_neighbours';
 import {scheduleOrigin} from './commands/schedule_origin';
-import {failTransfer, findStalls, noteProgress} from './commands/transfers';
+import {failTransfer, handleStalls, recordProgress} from './commands/transfers';
 import {
-  askUpload,
+  requestUpload,
   endUpload,
-  findStalledUploads,
-  noteUploadProgress,
+  stopStalledUploads,
+  recordUploadProgress,
 } from './commands/uploads';
 import {dropVersion, wantVersion} from './commands/versions';
-import {transferShare} from './queries/headroom';
+import {transferShare} from './queries/transfer_share';
 import {
   dumpOf,
   heldPositionsOf,
   isHaveKnown,
-  isWithinReach,
+  isFullyReachable,
   neighboursOf,
   progressOf,
 } from './queries/progress';
@@ -60,7 +60,7 @@
     heldPositions: versionDigest => heldPositionsOf(state, versionDigest),
     isHaveKnown: (neighbour, versionDigest) =>
       isHaveKnown(state, neighbour, versionDigest),
-    isWithinReach: versionDigest => isWithinReach(state, versionDigest),
+    isFullyReachable: versionDigest => isFullyReachable(state, versionDigest),
     transferShare: () => transferShare(state),
     dump: () => dumpOf(state),
   };
@@ -71,7 +71,7 @@
     case 'tick':
       return;
     case 'membersChanged':
-      return changeMembers(state, event.members);
+      return updateMembers(state, event.members);
     case 'versionWanted':
       state.originRate = event.originBytesPerSecond ?? state.originRate;
       return wantVersion(
@@ -84,7 +84,7 @@
     case 'versionSuperseded':
       return dropVersion(state, event.versionDigest);
     case 'neighbourHave':
-      return takeHave(
+      return applyHave(
         state,
         event.neighbour,
         event.versionDigest,
@@ -93,25 +93,25 @@
     case 'neighbourConnected':
       return connectNeighbour(state, event.neighbour);
     case 'neighbourGone':
-      return loseNeighbour(state, event.neighbour);
+      return disconnectNeighbour(state, event.neighbour);
     case 'progress':
-      return noteProgress(state, event.transfer);
+      return recordProgress(state, event.transfer);
     case 'chunkArrived':
-      return takeChunk(state, event.transfer, event.digest, event.verified);
+      return acceptChunk(state, event.transfer, event.digest, event.verified);
     case 'requestFailed':
       return failTransfer(state, event.transfer, event.failure);
     case 'chunkStored':
       return confirmStored(state, event.digest, event.life);
     case 'storeFailed':
-      return failStored(state, event.digest);
+      return recordStoreFailure(state, event.digest);
     case 'heldReported':
       return replaceHeld(state, event.life, event.digests);
     case 'liveRequestLoad':
-      return takeLiveLoad(state, event.queued, event.slots);
+      return applyLiveLoad(state, event.queued, event.slots);
     case 'uploadAsked':
-      return askUpload(state, event.upload, event.neighbour, event.digest);
+      return requestUpload(state, event.upload, event.neighbour, event.digest);
     case 'uploadProgress':
-      return noteUploadProgress(state, event.upload);
+      return recordUploadProgress(state, event.upload);
     case 'uploadEnded':
       return endUpload(state, event.upload);
     default:
@@ -126,12 +126,12 @@
 
 function schedule(state: SwarmState): void {
   state.wakeUp = undefined;
-  findStalledUploads(state);
-  findStalls(state);
+  stopStalledUploads(state);
+  handleStalls(state);
   // Nothing is fetched before the store has said what it holds: it might be
   // down, and then there is nowhere to put a chunk.
   if (state.life !== undefined) scheduleDownloads(state);
-  announceDue(state);
+  sendDueAnnouncements(state);
 }
 
 function scheduleDownloads(state: SwarmState): void {
--- a/packages/core/src/distribution/pace.ts
+++ b/packages/core/src/distribution/transfer_pacer.ts
@@ -6,12 +6,12 @@
 } from '../types';
 
 /** Time that a pace may make up for after a pause. */
-const BURST: Milliseconds = 100;
+const MAX_BURST: Milliseconds = 100;
 
 /** Holds transfers to their share of one direction of a link. */
-export interface Pace {
+export interface TransferPacer {
   /** Takes `bytes` more; returns when the share has carried them. */
-  readonly take: (bytes: Bytes, now: MonotonicInstant) => MonotonicInstant;
+  readonly reserve: (bytes: Bytes, now: MonotonicInstant) => MonotonicInstant;
 }
 
 /**
@@ -19,15 +19,15 @@
  * share the link: without a bound, a rollout would fill it on both ends and
  * their answers would queue behind chunks.
  */
-export function createPace(
+export function createTransferPacer(
   linkBytesPerSecond: BytesPerSecond | undefined,
   share: () => number,
-): Pace {
+): TransferPacer {
   let freeAt: MonotonicInstant = 0;
   return {
-    take: (bytes, now) => {
+    reserve: (bytes, now) => {
       if (linkBytesPerSecond === undefined) return now;
-      const start = Math.max(now - BURST, freeAt);
+      const start = Math.max(now - MAX_BURST, freeAt);
       freeAt = start + (bytes * 1000) / (linkBytesPerSecond * share());
       return Math.max(now, freeAt);
     },
--- a/packages/core/src/distribution/transfer_policy.ts
+++ b/packages/core/src/distribution/transfer_policy.ts
@@ -38,7 +38,7 @@
  * - A whole chunk takes a link of 6.6 Mbit/s for 60 ms, and an event of a live
  *   answer would wait behind it.
  */
-export const AGENT_TRANSFERS: TransferPolicy = {
+export const AGENT_TRANSFER_POLICY: TransferPolicy = {
   transferBuffer: 16 * 1024 * 1024,
   downloadSlots: 6,
   uploadSlots: 2,
--- a/packages/core/src/distribution/types.ts
+++ b/packages/core/src/distribution/types.ts
@@ -17,7 +17,7 @@
 export type UploadId = number;
 
 /** Number of a chunk store's life; a new one means that it lost its chunks. */
-export type StoreLife = string;
+export type StoreIncarnation = string;
 
 /** A live agent that may take part in the swarm. */
 export interface SwarmMember {
@@ -123,12 +123,12 @@
       readonly kind: 'chunkStored';
       readonly digest: Digest;
       /** Life of the store that took the chunk. */
-      readonly life: StoreLife;
+      readonly life: StoreIncarnation;
     }
   | {readonly kind: 'storeFailed'; readonly digest: Digest}
   | {
       readonly kind: 'heldReported';
-      readonly life: StoreLife;
+      readonly life: StoreIncarnation;
       readonly digests: readonly Digest[];
     }
   | {
@@ -167,7 +167,7 @@
       readonly kind: 'storeChunk';
       readonly transfer: TransferId;
       readonly digest: Digest;
-      readonly life: StoreLife;
+      readonly life: StoreIncarnation;
     }
   | {
       readonly kind: 'announce';
@@ -213,7 +213,7 @@
     versionDigest: VersionDigest,
   ) => boolean;
   /** Whether each chunk of a wanted version is here or with a neighbour. */
-  readonly isWithinReach: (versionDigest: VersionDigest) => boolean;
+  readonly isFullyReachable: (versionDigest: VersionDigest) => boolean;
   /** Share of each link's rate that transfers may take now, from 0 to 1. */
   readonly transferShare: () => number;
   readonly dump: () => SwarmDump;
--- a/packages/core/src/distribution/version_plan.ts
+++ b/packages/core/src/distribution/version_plan.ts
@@ -1,6 +1,6 @@
-import {VERSION_MARGIN} from '../placement/version_rule';
+import {VERSION_BOUND_MARGIN} from '../placement/named_versions';
 import type {Milliseconds, MonotonicInstant} from '../types';
-import {committedAge, loadAge, type LoadPlace} from './load_places';
+import {committedAge, loadAge, type LoadOffset} from './load_offsets';
 
 /** A version as the plan sees it. */
 export interface PlannedVersion {
@@ -23,30 +23,30 @@
   | {
       readonly kind: 'stage';
       readonly version: Version;
-      readonly givenUp: readonly Version[];
+      readonly replacedVersions: readonly Version[];
     }
   /** The version is fetched, and staged after the one in hand. */
   | {
       readonly kind: 'prepare';
       readonly version: Version;
-      readonly givenUp: readonly Version[];
+      readonly replacedVersions: readonly Version[];
     };
 
 /** What the plan needs. */
 export interface VersionPlanOptions<Version extends PlannedVersion> {
   /** Time after a version's naming in which all must have it. */
   readonly bound: Milliseconds;
-  readonly place: () => LoadPlace;
+  readonly place: () => LoadOffset;
   /** Whether all chunks of a version can be had without its origin. */
-  readonly isSecured: (version: Version) => boolean;
+  readonly isIndependentOfOrigin: (version: Version) => boolean;
   /** Whether a version's chunks can wait outside the staging area. */
-  readonly canWait: (version: Version) => boolean;
+  readonly fitsOutsideStaging: (version: Version) => boolean;
 }
 
 /** Which versions an engine is given, one after the other. */
 export interface VersionPlan<Version extends PlannedVersion> {
   /** Takes a newer version; undefined if it is none. */
-  readonly take: (
+  readonly addVersion: (
     version: Version,
     now: MonotonicInstant,
   ) => PlanStep<Version> | undefined;
@@ -56,19 +56,19 @@
     now: MonotonicInstant,
   ) => PlanStep<Version> | undefined;
   /** The version that is staged or served. */
-  readonly inHand: () => Version | undefined;
+  readonly current: () => Version | undefined;
   /** The versions that are fetched or there. */
   readonly wanted: () => readonly Version[];
   /** The newest version known; 0 before the first. */
   readonly newest: () => number;
   /** Whether the version in hand keeps the staging area from a newer one. */
-  readonly keepsStaging: (now: MonotonicInstant) => boolean;
+  readonly occupiesStaging: (now: MonotonicInstant) => boolean;
   /** Whether the engine already serves the version in hand. */
   readonly isServed: () => boolean;
   /** Notes that all chunks of the version in hand are there. */
-  readonly noteMoved: (now: MonotonicInstant) => void;
+  readonly recordTransferred: (now: MonotonicInstant) => void;
   /** Whether the chunks of the version in hand come later than they should. */
-  readonly isPressed: (now: MonotonicInstant) => boolean;
+  readonly isBehindSchedule: (now: MonotonicInstant) => boolean;
   /** Whether the engine may be told to load the version in hand now. */
   readonly mayLoad: (now: MonotonicInstant) => boolean;
   /** Time until the load; undefined if none is near. */
@@ -79,7 +79,7 @@
  * Share of a version's bound at which its chunks should have been moved at 0.7
  * of a link; later than that they get all of it.
  */
-const PRESSED_FROM = 0.5;
+const BEHIND_SCHEDULE_SHARE = 0.5;
 
 /**
  * Creates the plan of one engine.
@@ -100,26 +100,26 @@
   options: VersionPlanOptions<Version>,
 ): VersionPlan<Version> {
   const {bound} = options;
-  let inHand: Version | undefined;
-  let following: Version | undefined;
+  let current: Version | undefined;
+  let next: Version | undefined;
   /** When all chunks of the version in hand were there. */
-  let movedAt: MonotonicInstant | undefined;
+  let transferredAt: MonotonicInstant | undefined;
   let engine: PlannedEngine = {served: undefined, isLoading: false};
   /** All versions that were taken and that the engine does not serve yet. */
-  let newer: readonly PlannedVersion[] = [];
+  let unservedVersions: readonly PlannedVersion[] = [];
 
-  const newest = (): number => (following ?? inHand)?.version ?? 0;
+  const newest = (): number => (next ?? current)?.version ?? 0;
 
   function isServed(): boolean {
-    if (inHand === undefined || engine.served === undefined) return false;
-    return engine.served >= inHand.version;
+    if (current === undefined || engine.served === undefined) return false;
+    return engine.served >= current.version;
   }
 
   /** Whether the one that follows was named at most so long after this one. */
   function isFollowedWithin(limit: Milliseconds): boolean {
-    if (inHand === undefined || following === undefined) return false;
-    if (!options.isSecured(following)) return false;
-    return following.knownSince - inHand.knownSince < limit;
+    if (current === undefined || next === undefined) return false;
+    if (!options.isIndependentOfOrigin(next)) return false;
+    return next.knownSince - current.knownSince < limit;
   }
 
   const isReplaced = (): boolean => isFollowedWithin(committedAge(0, bound));
@@ -131,97 +131,103 @@
    * One that is skipped stays for the others to fetch, until what the engine
    * serves may start nothing more.
    */
-  function keepsStaging(now: MonotonicInstant): boolean {
-    if (inHand === undefined || isServed() || engine.isLoading) return false;
+  function occupiesStaging(now: MonotonicInstant): boolean {
+    if (current === undefined || isServed() || engine.isLoading) return false;
     if (isReplaced()) return false;
-    const age = now - inHand.knownSince;
-    const isWorthKeeping = options.canWait(inHand) && options.isSecured(inHand);
+    const age = now - current.knownSince;
+    const isWorthKeeping =
+      options.fitsOutsideStaging(current) &&
+      options.isIndependentOfOrigin(current);
     const from = isWorthKeeping ? 0 : committedAge(0, bound);
-    const end = isSkipped() ? bound - VERSION_MARGIN : bound;
+    const end = isSkipped() ? bound - VERSION_BOUND_MARGIN : bound;
     return age >= from && age < end;
   }
 
-  function take(
+  function addVersion(
     version: Version,
     now: MonotonicInstant,
   ): PlanStep<Version> | undefined {
     if (version.version <= newest()) return undefined;
-    newer = [...newer, version];
-    if (!keepsStaging(now)) return turnTo(version);
-    const givenUp = following === undefined ? [] : [following];
-    following = version;
-    return {kind: 'prepare', version, givenUp};
+    unservedVersions = [...unservedVersions, version];
+    if (!occupiesStaging(now)) return switchTo(version);
+    const replacedVersions = next === undefined ? [] : [next];
+    next = version;
+    return {kind: 'prepare', version, replacedVersions};
   }
 
-  function turnTo(version: Version): PlanStep<Version> {
-    const givenUp = [inHand, following].filter(
+  function switchTo(version: Version): PlanStep<Version> {
+    const replacedVersions = [current, next].filter(
       known => known !== undefined && known !== version,
     ) as readonly Version[];
-    inHand = version;
-    following = undefined;
-    movedAt = undefined;
-    return {kind: 'stage', version, givenUp};
+    current = version;
+    next = undefined;
+    transferredAt = undefined;
+    return {kind: 'stage', version, replacedVersions};
   }
 
   function observe(
-    standing: PlannedEngine,
+    status: PlannedEngine,
     now: MonotonicInstant,
   ): PlanStep<Version> | undefined {
-    engine = standing;
-    const served = standing.served ?? 0;
-    newer = newer.filter(({version}) => version > served);
-    if (following === undefined || keepsStaging(now)) return undefined;
-    return turnTo(following);
+    engine = status;
+    const served = status.served ?? 0;
+    unservedVersions = unservedVersions.filter(({version}) => version > served);
+    if (next === undefined || occupiesStaging(now)) return undefined;
+    return switchTo(next);
   }
 
   /** From when on what the engine serves may start nothing. */
   function outdatedAt(): MonotonicInstant {
-    const earliest = Math.min(...newer.map(({knownSince}) => knownSince));
-    return earliest + bound - VERSION_MARGIN;
+    const earliest = Math.min(
+      ...unservedVersions.map(({knownSince}) => knownSince),
+    );
+    return earliest + bound - VERSION_BOUND_MARGIN;
   }
 
   /** An engine that may start nothing as it is loads at once. */
   function mayLoad(now: MonotonicInstant): boolean {
-    if (inHand === undefined || engine.isLoading || isServed()) return false;
+    if (current === undefined || engine.isLoading || isServed()) return false;
     if (engine.served === undefined || now >= outdatedAt()) return true;
-    return !isSkipped() && now >= loadsAt(inHand);
+    return !isSkipped() && now >= loadsAt(current);
   }
 
   function loadsAt({knownSince}: Version): MonotonicInstant {
-    const moved = movedAt === undefined ? undefined : movedAt - knownSince;
+    const moved =
+      transferredAt === undefined ? undefined : transferredAt - knownSince;
     return knownSince + loadAge(options.place(), moved, bound);
   }
 
   /** Chunks that come this late leave no time for those of other transfers. */
-  function isPressed(now: MonotonicInstant): boolean {
-    if (inHand === undefined || isServed()) return false;
+  function isBehindSchedule(now: MonotonicInstant): boolean {
+    if (current === undefined || isServed()) return false;
     return (
-      movedAt === undefined && now - inHand.knownSince >= PRESSED_FROM * bound
+      transferredAt === undefined &&
+      now - current.knownSince >= BEHIND_SCHEDULE_SHARE * bound
     );
   }
 
   function loadsIn(now: MonotonicInstant): Milliseconds | undefined {
-    if (inHand === undefined || engine.isLoading || isServed()) {
+    if (current === undefined || engine.isLoading || isServed()) {
       return undefined;
     }
-    return Math.min(loadsAt(inHand), outdatedAt()) - now;
+    return Math.min(loadsAt(current), outdatedAt()) - now;
   }
 
   return {
-    take,
+    addVersion,
     observe,
-    inHand: () => inHand,
+    current: () => current,
     wanted: () =>
-      [inHand, following].filter(
+      [current, next].filter(
         version => version !== undefined,
       ) as readonly Version[],
     newest,
-    keepsStaging,
+    occupiesStaging,
     isServed,
-    noteMoved: now => {
-      movedAt ??= now;
+    recordTransferred: now => {
+      transferredAt ??= now;
     },
-    isPressed,
+    isBehindSchedule,
     mayLoad,
     loadsIn,
   };
--- a/packages/core/src/forecast/seen_paces.ts
+++ b/packages/core/src/forecast/observed_pace.ts
@@ -1,10 +1,10 @@
 import type {Milliseconds, MonotonicInstant} from '../types';
 
 /** Memory of the fast estimate: slow periods last for half a second and more. */
-const FAST_MEMORY: Milliseconds = 500;
+const FAST_DECAY_TIME: Milliseconds = 500;
 
 /** Memory of the usual value, for engines that are slow for good. */
-const SLOW_MEMORY: Milliseconds = 30_000;
+const SLOW_DECAY_TIME: Milliseconds = 30_000;
 
 /**
  * Answers at the profile's pace that an estimate begins with. A single first
@@ -14,11 +14,11 @@
 const SLOW_PRIOR = 8;
 
 /** Bounds of one answer's ratio: a frozen engine is the silence watch's matter. */
-const LEAST_RATIO = 0.25;
-const MOST_RATIO = 8;
+const MIN_RATIO = 0.25;
+const MAX_RATIO = 8;
 
 /** What an entry has seen of the first events of one engine. */
-export interface SeenPace {
+export interface ObservedPace {
   /** Notes that a first event took `ratio` times its forecast. */
   readonly record: (ratio: number, now: MonotonicInstant) => void;
   /** The natural logarithm of the pace; fades to 0 with its age. */
@@ -26,12 +26,12 @@
 }
 
 /** Creates the estimates of one engine's life. */
-export function createSeenPace(): SeenPace {
-  const fast = createEstimate(FAST_MEMORY, FAST_PRIOR);
-  const slow = createEstimate(SLOW_MEMORY, SLOW_PRIOR);
+export function createObservedPace(): ObservedPace {
+  const fast = createEstimate(FAST_DECAY_TIME, FAST_PRIOR);
+  const slow = createEstimate(SLOW_DECAY_TIME, SLOW_PRIOR);
   return {
     record: (ratio, now) => {
-      const bounded = Math.min(MOST_RATIO, Math.max(LEAST_RATIO, ratio));
+      const bounded = Math.min(MAX_RATIO, Math.max(MIN_RATIO, ratio));
       if (!Number.isFinite(bounded)) return;
       const usual = slow.value(now);
       slow.record(Math.log(bounded), now);
--- a/packages/core/src/forecast/relative_paces.ts
+++ b/packages/core/src/forecast/relative_paces.ts
@@ -1,5 +1,5 @@
 /** Share by which paces must differ for engines to count as uneven. */
-const EVEN_SPREAD = 0.1;
+const MAX_EVEN_SPREAD = 0.1;
 
 /** What is known of the pace of one engine. */
 export interface EnginePace {
@@ -39,7 +39,7 @@
   const usual = medianOf(paces);
   return {
     paces,
-    isUneven: paces.some(pace => Math.abs(pace / usual - 1) > EVEN_SPREAD),
+    isUneven: paces.some(pace => Math.abs(pace / usual - 1) > MAX_EVEN_SPREAD),
   };
 }
 
--- a/packages/core/src/forecast/stream_end.ts
+++ b/packages/core/src/forecast/stream_end.ts
@@ -7,7 +7,7 @@
 const PAUSES = 5;
 
 /** Pauses seen before a stream's end is judged. */
-const LEAST_PAUSES = 3;
+const MIN_PAUSES = 3;
 
 /**
  * Times that the rest of a stream must exceed what is left to its deadline, and
@@ -17,9 +17,9 @@
 
 /** The pauses between the events of a stream at one engine. */
 export interface EventPauses {
-  readonly note: (now: MonotonicInstant) => void;
+  readonly record: (now: MonotonicInstant) => void;
   /** Undefined until enough were seen. */
-  readonly usual: () => Milliseconds | undefined;
+  readonly median: () => Milliseconds | undefined;
 }
 
 /** Creates the pauses of a stream that begins. */
@@ -27,12 +27,12 @@
   let last: MonotonicInstant | undefined;
   let pauses: readonly Milliseconds[] = [];
   return {
-    note: now => {
+    record: now => {
       if (last !== undefined) pauses = [...pauses, now - last].slice(-PAUSES);
       last = now;
     },
-    usual: () => {
-      if (pauses.length < LEAST_PAUSES) return undefined;
+    median: () => {
+      if (pauses.length < MIN_PAUSES) return undefined;
       const sorted = [...pauses].sort((one, other) => one - other);
       return sorted[Math.floor(sorted.length / 2)];
     },
@@ -40,14 +40,14 @@
 }
 
 /** What is left of a stream. */
-export interface StreamRest {
+export interface RemainingStream {
   readonly events: number;
   /** Pause between two events where it runs. */
   readonly pause: Milliseconds;
   /** Pause between two events at an engine of the usual pace. */
-  readonly usualPause: Milliseconds;
+  readonly typicalPause: Milliseconds;
   /** Time until its caller's deadline. */
-  readonly left: Milliseconds;
+  readonly timeLeft: Milliseconds;
 }
 
 /**
@@ -56,13 +56,18 @@
  * Failure: a stream begins in time at an engine that is five times slower, and
  * is cut at its caller's deadline with half of its events.
  */
-export function gainOfMove(rest: StreamRest): Milliseconds | undefined {
+export function timeSavedByMove(
+  rest: RemainingStream,
+): Milliseconds | undefined {
   const here = rest.events * rest.pause;
-  if (!(here > rest.left * MARGIN)) return undefined;
-  return here - rest.events * rest.usualPause;
+  if (!(here > rest.timeLeft * MARGIN)) return undefined;
+  return here - rest.events * rest.typicalPause;
 }
 
 /** Whether a stream that begins again elsewhere after `first` ends in time. */
-export function endsInTime(rest: StreamRest, first: Milliseconds): boolean {
-  return (first + rest.events * rest.usualPause) * MARGIN < rest.left;
+export function endsInTime(
+  rest: RemainingStream,
+  first: Milliseconds,
+): boolean {
+  return (first + rest.events * rest.typicalPause) * MARGIN < rest.timeLeft;
 }
--- a/packages/core/src/forecast/stream_lengths.ts
+++ b/packages/core/src/forecast/stream_lengths.ts
@@ -2,7 +2,7 @@
 const WEIGHT = 0.1;
 
 /** Whole streams of a route that are seen before any length is expected. */
-const LEAST_SEEN = 5;
+const MIN_STREAMS = 5;
 
 interface Seen {
   readonly count: number;
@@ -18,7 +18,7 @@
   /** Notes a whole stream; `tokens` is its caller's hint, 0 for none. */
   readonly record: (route: string, events: number, tokens: number) => void;
   /** Events still expected after so many; undefined until enough were seen. */
-  readonly rest: (
+  readonly remaining: (
     route: string,
     passed: number,
     tokens: number,
@@ -42,9 +42,9 @@
         seen ? move(seen, events, ratio) : first(events, ratio),
       );
     },
-    rest: (route, passed, tokens) => {
+    remaining: (route, passed, tokens) => {
       const seen = routes.get(route);
-      if (seen === undefined || seen.count < LEAST_SEEN) return undefined;
+      if (seen === undefined || seen.count < MIN_STREAMS) return undefined;
       const {mean, deviation, eventsPerToken} = seen;
       if (tokens > 0 && eventsPerToken !== undefined) {
         return Math.max(0, tokens * eventsPerToken - passed);
--- a/packages/core/src/forwarding/forward_request.ts
+++ b/packages/core/src/forwarding/forward_request.ts
@@ -6,8 +6,8 @@
   ForwardReply,
   ForwardResult,
   NotRunCause,
-  PlaceReply,
-  SendReport,
+  SlotReply,
+  AttemptReport,
   UnknownCause,
 } from './types';
 
@@ -16,28 +16,28 @@
  * refuse it unrun. Two suffice where lists of targets are a second old; more
  * would let a full service be asked by everybody.
  */
-const EXTRA_SENDS = 2;
+const EXTRA_ATTEMPTS = 2;
 
 /** How far a request has come. */
 interface Progress<Target> {
   tried: Target[];
   /** Sends, but for those whose targets were not reached. */
-  tries: number;
+  reached: number;
   /** Sends that may have run, those under way included. */
-  runs: number;
+  possibleRuns: number;
   /** Sends under way, as of the last report. */
-  underWay: number;
+  attemptsInFlight: number;
   /** Why nothing is known of the last send that may have run. */
   lastCause: UnknownCause;
   /** Set once events have reached the caller. */
   streamBegun: boolean;
   lastEventId: string | undefined;
   /** Whether a whole answer of an earlier send is at hand. */
-  answerAtHand: boolean;
+  hasAnswer: boolean;
   /** Whether a repeat has been taken that no send has used. */
-  repeatTaken: boolean;
+  retryTaken: boolean;
   /** Whether a repeat was denied that the sends under way still call for. */
-  wantsRepeat: boolean;
+  wantsRetry: boolean;
 }
 
 /** What the flow does next. */
@@ -46,7 +46,7 @@
   | {readonly kind: 'wait'}
   | {readonly kind: 'end'; readonly result: ForwardResult};
 
-type Steps<Target> = Flow<ForwardEffect<Target>, ForwardReply<Target>, Step>;
+type StepFlow<Target> = Flow<ForwardEffect<Target>, ForwardReply<Target>, Step>;
 
 /**
  * Decides what happens to one request, from the first target to the final
@@ -60,27 +60,27 @@
 ): Flow<ForwardEffect<Target>, ForwardReply<Target>, ForwardResult> {
   const progress: Progress<Target> = {
     tried: [],
-    tries: 0,
-    runs: 0,
-    underWay: 0,
+    reached: 0,
+    possibleRuns: 0,
+    attemptsInFlight: 0,
     lastCause: 'connectionLost',
     streamBegun: false,
     lastEventId: undefined,
-    answerAtHand: false,
-    repeatTaken: false,
-    wantsRepeat: false,
+    hasAnswer: false,
+    retryTaken: false,
+    wantsRetry: false,
   };
   let step: Step = {kind: 'search'};
   for (;;) {
     switch (step.kind) {
       case 'search':
-        step = yield* searchAndSend(request, progress);
+        step = yield* chooseTargetAndSend(request, progress);
         break;
       case 'wait': {
-        const {wantsRepeat} = progress;
-        const reply = yield {kind: 'wait', wantsRepeat};
+        const {wantsRetry} = progress;
+        const reply = yield {kind: 'wait', wantsRetry};
         if (reply.kind === 'repeat') {
-          step = afterRepeat(progress, reply.allowed);
+          step = afterRetryReply(progress, reply.allowed);
           break;
         }
         step = yield* afterReport(request, progress, reportOf(reply));
@@ -95,22 +95,22 @@
 }
 
 /** Looks for a target and sends the request there. */
-function* searchAndSend<Target>(
+function* chooseTargetAndSend<Target>(
   request: ForwardedRequest,
   progress: Progress<Target>,
-): Steps<Target> {
+): StepFlow<Target> {
   const reply = yield {kind: 'choosePlace', tried: progress.tried};
   if (reply.kind === 'sent') {
     return yield* afterReport(request, progress, reply);
   }
-  const place = placeOf(reply);
-  if (place.kind !== 'place') return withoutPlace(progress, place);
-  const {target} = place;
+  const slot = slotOf(reply);
+  if (slot.kind !== 'place') return withoutSlot(progress, slot);
+  const {target} = slot;
   progress.tried.push(target);
-  progress.tries += 1;
-  progress.runs += 1;
-  progress.underWay += 1;
-  progress.repeatTaken = false;
+  progress.reached += 1;
+  progress.possibleRuns += 1;
+  progress.attemptsInFlight += 1;
+  progress.retryTaken = false;
   const report = reportOf(
     yield {kind: 'send', target, resumeAfter: progress.lastEventId},
   );
@@ -121,20 +121,21 @@
 function* afterReport<Target>(
   request: ForwardedRequest,
   progress: Progress<Target>,
-  {outcome, underWay, silent}: SendReport,
-): Steps<Target> {
-  progress.underWay = underWay;
-  progress.wantsRepeat = false;
+  {outcome, attemptsInFlight, silent}: AttemptReport,
+): StepFlow<Target> {
+  progress.attemptsInFlight = attemptsInFlight;
+  progress.wantsRetry = false;
   const consequence = consequenceOf(request, progress, outcome);
   if (consequence.kind === 'end') return consequence;
-  const {mayRepeat, otherwise} = consequence;
-  const isAnyNotSilent = silent < underWay && outcome.kind !== 'handedOn';
-  if (mayRepeat && !isAnyNotSilent) {
-    const isRepeat = hasArrived(outcome);
-    if (!isRepeat || (yield* takeRepeat(progress))) return {kind: 'search'};
-    progress.wantsRepeat = true;
+  const {mayRetry, otherwise} = consequence;
+  const isAnyNotSilent =
+    silent < attemptsInFlight && outcome.kind !== 'handedOn';
+  if (mayRetry && !isAnyNotSilent) {
+    const isRetry = mayHaveReachedTarget(outcome);
+    if (!isRetry || (yield* takeRetry(progress))) return {kind: 'search'};
+    progress.wantsRetry = true;
   }
-  if (underWay > 0) return {kind: 'wait'};
+  if (attemptsInFlight > 0) return {kind: 'wait'};
   return {kind: 'end', result: otherwise};
 }
 
@@ -145,17 +146,17 @@
  * request then waits for it until its deadline, though others may repeat again
  * 50 ms later.
  */
-function afterRepeat<Target>(
+function afterRetryReply<Target>(
   progress: Progress<Target>,
   allowed: boolean,
 ): Step {
-  progress.wantsRepeat = false;
-  progress.repeatTaken = allowed;
+  progress.wantsRetry = false;
+  progress.retryTaken = allowed;
   return {kind: allowed ? 'search' : 'wait'};
 }
 
 /** Whether anything of the request may have reached the target of a send. */
-function hasArrived(outcome: AttemptOutcome): boolean {
+function mayHaveReachedTarget(outcome: AttemptOutcome): boolean {
   if (outcome.kind !== 'notRun') return true;
   return outcome.cause !== 'outdated' && !isUnreached(outcome.cause);
 }
@@ -175,13 +176,13 @@
   }
 }
 
-function* takeRepeat<Target>(
+function* takeRetry<Target>(
   progress: Progress<Target>,
 ): Flow<ForwardEffect<Target>, ForwardReply<Target>, boolean> {
-  if (progress.repeatTaken) return true;
+  if (progress.retryTaken) return true;
   const reply = yield {kind: 'takeRepeat'};
-  progress.repeatTaken = reply.kind === 'repeat' && reply.allowed;
-  return progress.repeatTaken;
+  progress.retryTaken = reply.kind === 'repeat' && reply.allowed;
+  return progress.retryTaken;
 }
 
 /** What follows from a report. */
@@ -190,7 +191,7 @@
   | {
       readonly kind: 'open';
       /** Whether the request may be sent once more. */
-      readonly mayRepeat: boolean;
+      readonly mayRetry: boolean;
       /** The answer if it isn't, and no send is under way. */
       readonly otherwise: ForwardResult;
     };
@@ -209,32 +210,32 @@
     case 'answered':
       return afterAnswer(request, progress, outcome.success);
     case 'notRun': {
-      progress.runs -= 1;
-      if (isUnreached(outcome.cause)) progress.tries -= 1;
+      progress.possibleRuns -= 1;
+      if (isUnreached(outcome.cause)) progress.reached -= 1;
       const {cause: reason} = outcome;
       const notRun = {kind: 'notRun', reason, retryAfter: undefined} as const;
       return {
         kind: 'open',
-        mayRepeat: maySendAgain(request, progress),
+        mayRetry: maySendAgain(request, progress),
         otherwise: giveUp(progress, notRun),
       };
     }
     case 'unknown':
       progress.lastCause = outcome.cause;
-      return unanswered(request, progress);
+      return withoutAnswer(request, progress);
     case 'broken':
       progress.lastCause = outcome.cause;
-      noteEvents(progress, outcome.lastEventId);
-      return unanswered(request, progress);
+      recordEvents(progress, outcome.lastEventId);
+      return withoutAnswer(request, progress);
     case 'silent':
-      if (outcome.streamBegun) noteEvents(progress, outcome.lastEventId);
-      return unanswered(request, progress);
+      if (outcome.streamBegun) recordEvents(progress, outcome.lastEventId);
+      return withoutAnswer(request, progress);
     case 'goesOn':
-      return {...unanswered(request, progress), mayRepeat: false};
+      return {...withoutAnswer(request, progress), mayRetry: false};
     case 'handedOn':
-      progress.repeatTaken = true;
-      noteEvents(progress, outcome.lastEventId);
-      return unanswered(request, progress);
+      progress.retryTaken = true;
+      recordEvents(progress, outcome.lastEventId);
+      return withoutAnswer(request, progress);
     default:
       return unreachable(outcome);
   }
@@ -248,27 +249,27 @@
   // A stream that has begun keeps its headers: another status cannot follow.
   if (progress.streamBegun) {
     progress.lastCause = 'malformedAnswer';
-    return {...unanswered(request, progress), mayRepeat: false};
+    return {...withoutAnswer(request, progress), mayRetry: false};
   }
-  progress.answerAtHand = true;
+  progress.hasAnswer = true;
   if (success) return {kind: 'end', result: {kind: 'passOn'}};
-  return unanswered(request, progress);
+  return withoutAnswer(request, progress);
 }
 
 /** What follows if a send that may have run has nothing for the caller. */
-function unanswered<Target>(
+function withoutAnswer<Target>(
   request: ForwardedRequest,
   progress: Progress<Target>,
 ): Extract<Consequence, {kind: 'open'}> {
   return {
     kind: 'open',
-    mayRepeat: mayRunAgain(request, progress),
+    mayRetry: mayRunAgain(request, progress),
     otherwise: giveUp(progress, {kind: 'unknown', cause: progress.lastCause}),
   };
 }
 
 /** Notes that events have reached the caller. */
-function noteEvents<Target>(
+function recordEvents<Target>(
   progress: Progress<Target>,
   lastEventId: string | undefined,
 ): void {
@@ -281,7 +282,7 @@
   request: ForwardedRequest,
   progress: Progress<Target>,
 ): boolean {
-  if (progress.tries >= request.attempts + EXTRA_SENDS) return false;
+  if (progress.reached >= request.attempts + EXTRA_ATTEMPTS) return false;
   return !progress.streamBegun || progress.lastEventId !== undefined;
 }
 
@@ -290,7 +291,7 @@
   request: ForwardedRequest,
   progress: Progress<Target>,
 ): boolean {
-  if (progress.runs >= request.attempts) return false;
+  if (progress.possibleRuns >= request.attempts) return false;
   if (!maySendAgain(request, progress)) return false;
   switch (request.kind) {
     case 'safe':
@@ -304,23 +305,26 @@
   }
 }
 
-function withoutPlace<Target>(
+function withoutSlot<Target>(
   progress: Progress<Target>,
-  place: Exclude<PlaceReply<Target>, {kind: 'place'}>,
+  slot: Exclude<SlotReply<Target>, {kind: 'place'}>,
 ): Step {
-  switch (place.kind) {
+  switch (slot.kind) {
     case 'callerGone':
       return {kind: 'end', result: {kind: 'callerGone'}};
     case 'timedOut':
-      return {kind: 'end', result: atDeadline(progress, progress.runs > 0)};
+      return {
+        kind: 'end',
+        result: atDeadline(progress, progress.possibleRuns > 0),
+      };
     case 'noPlace': {
-      if (progress.underWay > 0) return {kind: 'wait'};
-      const {reason, retryAfter} = place;
+      if (progress.attemptsInFlight > 0) return {kind: 'wait'};
+      const {reason, retryAfter} = slot;
       const notRun = {kind: 'notRun', reason, retryAfter} as const;
       return {kind: 'end', result: giveUp(progress, notRun)};
     }
     default:
-      return unreachable(place);
+      return unreachable(slot);
   }
 }
 
@@ -329,7 +333,7 @@
   mayHaveRun: boolean,
 ): ForwardResult {
   if (progress.streamBegun) return {kind: 'cut', cause: 'timedOut'};
-  if (progress.answerAtHand) return {kind: 'passOn'};
+  if (progress.hasAnswer) return {kind: 'passOn'};
   return {kind: 'timedOut', mayHaveRun};
 }
 
@@ -340,19 +344,19 @@
 ): ForwardResult {
   const {lastCause: cause} = progress;
   if (progress.streamBegun) return {kind: 'cut', cause};
-  if (progress.answerAtHand) return {kind: 'passOn'};
-  if (progress.runs > 0 && ifNothingRan.kind === 'notRun') {
+  if (progress.hasAnswer) return {kind: 'passOn'};
+  if (progress.possibleRuns > 0 && ifNothingRan.kind === 'notRun') {
     return {kind: 'unknown', cause};
   }
   return ifNothingRan;
 }
 
-function placeOf<Target>(reply: ForwardReply<Target>): PlaceReply<Target> {
+function slotOf<Target>(reply: ForwardReply<Target>): SlotReply<Target> {
   if (reply.kind !== 'placed') throw new Error('expected a choice of place');
   return reply.place;
 }
 
-function reportOf<Target>(reply: ForwardReply<Target>): SendReport {
+function reportOf<Target>(reply: ForwardReply<Target>): AttemptReport {
   if (reply.kind !== 'sent') throw new Error('expected the report of a send');
   return reply;
 }
--- a/packages/core/src/forwarding/index.ts
+++ b/packages/core/src/forwarding/index.ts
@@ -6,9 +6,9 @@
   ForwardedRequest,
   ForwardReply,
   ForwardResult,
-  NoPlaceReason,
+  NoSlotReason,
   NotRunCause,
-  PlaceReply,
-  SendReport,
+  SlotReply,
+  AttemptReport,
   UnknownCause,
 } from './types';
--- a/packages/core/src/forwarding/types.ts
+++ b/packages/core/src/forwarding/types.ts
@@ -64,11 +64,11 @@
   | {readonly kind: 'handedOn'; readonly lastEventId: string};
 
 /** What choosing a target came to. */
-export type PlaceReply<Target> =
+export type SlotReply<Target> =
   | {readonly kind: 'place'; readonly target: Target}
   | {
       readonly kind: 'noPlace';
-      readonly reason: NoPlaceReason;
+      readonly reason: NoSlotReason;
       /** When a caller should come back. */
       readonly retryAfter: Milliseconds;
     }
@@ -76,7 +76,7 @@
   | {readonly kind: 'callerGone'};
 
 /** Why no target takes a request. */
-export type NoPlaceReason =
+export type NoSlotReason =
   | 'noTarget'
   | 'allFull'
   /** All targets of the service leave. */
@@ -110,17 +110,17 @@
   | {
       readonly kind: 'wait';
       /** Whether a repeat that was denied is wanted as soon as it is allowed. */
-      readonly wantsRepeat: boolean;
+      readonly wantsRetry: boolean;
     }
   /** Asks whether the site's budget allows one more send. */
   | {readonly kind: 'takeRepeat'};
 
 /** A report of one of the request's sends. */
-export interface SendReport {
+export interface AttemptReport {
   readonly kind: 'sent';
   readonly outcome: AttemptOutcome;
   /** Sends of the request that are still under way. */
-  readonly underWay: number;
+  readonly attemptsInFlight: number;
   /** How many of these are silent. */
   readonly silent: number;
 }
@@ -130,8 +130,8 @@
  * wait for a place is then withdrawn. A repeat answers `wait` if it is wanted.
  */
 export type ForwardReply<Target> =
-  | {readonly kind: 'placed'; readonly place: PlaceReply<Target>}
-  | SendReport
+  | {readonly kind: 'placed'; readonly place: SlotReply<Target>}
+  | AttemptReport
   | {readonly kind: 'repeat'; readonly allowed: boolean};
 
 /** The final answer of a request. */
@@ -141,7 +141,7 @@
   | {readonly kind: 'streamed'}
   | {
       readonly kind: 'notRun';
-      readonly reason: NoPlaceReason | NotRunCause;
+      readonly reason: NoSlotReason | NotRunCause;
       readonly retryAfter: Milliseconds | undefined;
     }
   | {readonly kind: 'unknown'; readonly cause: UnknownCause}
--- a/packages/core/src/freshness/confirmation.ts
+++ b/packages/core/src/freshness/confirmation.ts
@@ -8,7 +8,7 @@
 /** An answer that another process has got and passed on. */
 export interface RelayedReply {
   /** When it came here. */
-  readonly heardAt: MonotonicInstant;
+  readonly receivedAt: MonotonicInstant;
   /** The store's own steady clock when it answered. */
   readonly storeTime: Milliseconds;
 }
@@ -31,22 +31,26 @@
 ): Confirmation {
   let confirmedAt: MonotonicInstant | undefined;
 
-  const raise = (at: MonotonicInstant): void => {
+  const advanceTo = (at: MonotonicInstant): void => {
     confirmedAt = Math.max(confirmedAt ?? at, at);
   };
 
-  function raiseTo(storeTime: Milliseconds, heardAt: MonotonicInstant): void {
-    const lookedAt = storeClock.notAfter(storeTime);
-    if (lookedAt !== undefined) raise(Math.min(heardAt, lookedAt));
+  function advanceToStoreTime(
+    storeTime: Milliseconds,
+    receivedAt: MonotonicInstant,
+  ): void {
+    const validAt = storeClock.localTimeLowerBound(storeTime);
+    if (validAt !== undefined) advanceTo(Math.min(receivedAt, validAt));
   }
 
   return {
     record: exchange => {
       storeClock.record(exchange);
-      raiseTo(exchange.storeTime, exchange.answeredAt);
+      advanceToStoreTime(exchange.storeTime, exchange.answeredAt);
     },
-    recordRelayed: ({heardAt, storeTime}) => raiseTo(storeTime, heardAt),
-    recordAt: raise,
+    recordRelayed: ({receivedAt, storeTime}) =>
+      advanceToStoreTime(storeTime, receivedAt),
+    recordAt: advanceTo,
     confirmedAt: () => confirmedAt,
     isFresh: (now, bound) =>
       confirmedAt !== undefined && now - confirmedAt < bound,
--- a/packages/core/src/freshness/reading_use.ts
+++ b/packages/core/src/freshness/reading_use.ts
@@ -15,11 +15,11 @@
   readonly age: Milliseconds;
   /** Time after which a change must be in force. */
   readonly bound: Milliseconds;
-  readonly isStoreAway: boolean;
+  readonly isStoreUnavailable: boolean;
 }
 
 /** Judges a reading; what has passed its bound may be used in an outage only. */
-export function judgeReading(reading: AgedReading): ReadingUse {
+export function evaluateReading(reading: AgedReading): ReadingUse {
   if (reading.age < reading.bound) return 'current';
-  return reading.isStoreAway ? 'lastKnown' : 'outdated';
+  return reading.isStoreUnavailable ? 'lastKnown' : 'outdated';
 }
--- a/packages/core/src/freshness/store_contact.ts
+++ b/packages/core/src/freshness/store_availability.ts
@@ -1,7 +1,7 @@
 import type {MonotonicInstant} from '../types';
 
 /** How a question to the store ended. */
-export type StoreSign =
+export type StoreCallOutcome =
   | 'answered'
   /** It says that it does nothing, or ends the connection. */
   | 'turnedAway'
@@ -13,30 +13,33 @@
   | 'notReached';
 
 /** Knows whether the store itself has stopped to serve this process. */
-export interface StoreContact {
+export interface StoreAvailability {
   /** Notes how a question ended that left at `askedAt`. */
-  readonly note: (askedAt: MonotonicInstant, sign: StoreSign) => void;
+  readonly record: (
+    requestedAt: MonotonicInstant,
+    outcome: StoreCallOutcome,
+  ) => void;
   /**
    * Whether the newest question, asked after `readAt`, showed that the store does
    * not serve. A late answer or a full link doesn't show that.
    */
-  readonly isAwaySince: (readAt: MonotonicInstant) => boolean;
+  readonly isUnavailableSince: (readAt: MonotonicInstant) => boolean;
 }
 
 /** Creates the memory of the newest question; `onAnswer` is told of each answer. */
-export function createStoreContact(
+export function createStoreAvailability(
   onAnswer: () => void = () => undefined,
-): StoreContact {
+): StoreAvailability {
   let newest: MonotonicInstant = -Infinity;
-  let isAway = false;
+  let isUnavailable = false;
 
   return {
-    note: (askedAt, sign) => {
-      if (sign === 'answered') onAnswer();
-      if (askedAt < newest) return;
-      newest = askedAt;
-      isAway = sign === 'turnedAway' || sign === 'silent';
+    record: (requestedAt, outcome) => {
+      if (outcome === 'answered') onAnswer();
+      if (requestedAt < newest) return;
+      newest = requestedAt;
+      isUnavailable = outcome === 'turnedAway' || outcome === 'silent';
     },
-    isAwaySince: readAt => isAway && newest >= readAt,
+    isUnavailableSince: readAt => isUnavailable && newest >= readAt,
   };
 }
--- a/packages/core/src/freshness/store_clock.ts
+++ b/packages/core/src/freshness/store_clock.ts
@@ -17,7 +17,9 @@
    * The latest moment here that was surely not after the store's clock showed
    * `storeTime`; undefined before anything was recorded.
    */
-  readonly notAfter: (storeTime: Milliseconds) => MonotonicInstant | undefined;
+  readonly localTimeLowerBound: (
+    storeTime: Milliseconds,
+  ) => MonotonicInstant | undefined;
   /** The store time of which `notAfter` gives `at`. */
   readonly storeTimeAt: (at: MonotonicInstant) => Milliseconds | undefined;
 }
@@ -32,7 +34,7 @@
  * before `a`. So what the store answered at `t` was so at `a + (t - s)` or later.
  */
 export function createStoreClock(): StoreClock {
-  let zero: MonotonicInstant | undefined;
+  let clockOffset: MonotonicInstant | undefined;
   let newest: StoreExchange | undefined;
 
   /**
@@ -49,15 +51,17 @@
     record: exchange => {
       const {askedAt, storeTime} = exchange;
       if (hasRestarted(exchange)) {
-        zero = undefined;
+        clockOffset = undefined;
         newest = undefined;
       }
       if (newest === undefined || storeTime >= newest.storeTime) {
         newest = exchange;
       }
-      zero = Math.max(zero ?? -Infinity, askedAt - storeTime);
+      clockOffset = Math.max(clockOffset ?? -Infinity, askedAt - storeTime);
     },
-    notAfter: storeTime => (zero === undefined ? undefined : zero + storeTime),
-    storeTimeAt: at => (zero === undefined ? undefined : at - zero),
+    localTimeLowerBound: storeTime =>
+      clockOffset === undefined ? undefined : clockOffset + storeTime,
+    storeTimeAt: at =>
+      clockOffset === undefined ? undefined : at - clockOffset,
   };
 }
--- a/packages/core/src/lease/commands/acquire.ts
+++ b/packages/core/src/lease/commands/acquire.ts
@@ -1,48 +1,48 @@
 import {Err, type Result} from 'ts-results';
 import type {Milliseconds} from '../../types';
 import {
-  noteHeld,
-  noteLost,
-  waitForRow,
-  type LeaseMemory,
-} from '../lease_memory';
+  recordHeld,
+  recordLost,
+  takeoverDelay,
+  type LeaseState,
+} from '../lease_state';
 import type {LeaseRow} from '../lease_row';
 import {readClock} from '../read_clock';
 import type {HeldLease, LeaseError, LeaseFlow, LeaseSettings} from '../types';
 import {readLeaseRow, writeRow} from '../write_row';
 
 /** Tries before giving way to others that write the same row. */
-const MAXIMUM_TRIES = 4;
+const MAX_ATTEMPTS = 4;
 
 /** Takes the lease under a number higher than any before. */
 export function* acquireLease(
   settings: LeaseSettings,
-  memory: LeaseMemory,
+  leaseState: LeaseState,
 ): LeaseFlow<HeldLease> {
-  const flow = (memory.lastFlow += 1);
-  noteLost(memory);
+  const flow = (leaseState.lastFlow += 1);
+  recordLost(leaseState);
   const read = yield* readLeaseRow(settings);
   if (read.err) return read;
   let row = read.val;
-  for (let tries = 0; tries < MAXIMUM_TRIES; tries += 1) {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
     const now = yield* readClock();
     const retryAfter =
-      row === undefined ? 0 : waitForRow(memory, settings, row, now);
+      row === undefined ? 0 : takeoverDelay(leaseState, settings, row, now);
     if (row !== undefined && retryAfter > 0) {
       return heldByOther(row, retryAfter);
     }
     const fencing = (row?.value.fencing ?? 0) + 1;
-    const outcome = yield* writeRow(settings, memory, row?.version, {
+    const outcome = yield* writeRow(settings, leaseState, row?.version, {
       fencing,
       state: 'held',
     });
-    if (memory.lastFlow !== flow) return Err({kind: 'superseded'});
+    if (leaseState.lastFlow !== flow) return Err({kind: 'superseded'});
     if (outcome.err) return outcome;
     switch (outcome.val.kind) {
       case 'written': {
         const version = row === undefined ? undefined : row.version + 1;
         const {write} = outcome.val;
-        return noteHeld(memory, settings, write, fencing, version);
+        return recordHeld(leaseState, settings, write, fencing, version);
       }
       case 'replaced':
         return Err({kind: 'replaced'});
--- a/packages/core/src/lease/commands/raise_incarnation.ts
+++ b/packages/core/src/lease/commands/raise_incarnation.ts
@@ -13,12 +13,12 @@
   TableKey,
   TableRow,
 } from '../../types';
-import {conditionOf} from '../lease_row';
+import {unchangedCondition} from '../lease_row';
 import {commit, describePlatformError, readRow} from '../table_calls';
 import type {LeaseError} from '../types';
 
 /** Tries before giving way to others that start in the same slot. */
-const MAXIMUM_TRIES = 8;
+const MAX_ATTEMPTS = 8;
 
 const incarnationRowSchema = z.object({
   incarnation: z.number().int().positive(),
@@ -61,7 +61,7 @@
   description: JsonValue = null,
 ): IncarnationFlow {
   let committed = false;
-  for (let tries = 0; tries < MAXIMUM_TRIES; tries += 1) {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
     const read = yield* readRow(key);
     if (read.err) return unavailable(describePlatformError(read.val));
     const current = parseIncarnationRow(read.val);
@@ -71,13 +71,16 @@
     // start that fences off itself: the token says which write is ours.
     if (row !== undefined && current.val?.token === token) {
       const {incarnation} = current.val;
-      return Ok({incarnation, stillCurrent: conditionOf(key, row.version)});
+      return Ok({
+        incarnation,
+        stillCurrent: unchangedCondition(key, row.version),
+      });
     }
     if (committed) return Err({kind: 'replaced'});
     const incarnation = (current.val?.incarnation ?? 0) + 1;
     const value = {incarnation, token, description};
     const result = yield* commit({
-      conditions: [conditionOf(key, row?.version)],
+      conditions: [unchangedCondition(key, row?.version)],
       writes: [{kind: 'put', key, value}],
     });
     if (result.err && result.val.kind !== 'replyLost') {
--- a/packages/core/src/lease/commands/release.ts
+++ b/packages/core/src/lease/commands/release.ts
@@ -1,24 +1,24 @@
 import {Err, Ok} from 'ts-results';
-import {noteLost, type LeaseMemory} from '../lease_memory';
+import {recordLost, type LeaseState} from '../lease_state';
 import type {LeaseFlow, LeaseSettings} from '../types';
 import {readLeaseRow, writeRow} from '../write_row';
 
 /** Gives the lease back; the row stays, so that its number never falls. */
 export function* releaseLease(
   settings: LeaseSettings,
-  memory: LeaseMemory,
+  leaseState: LeaseState,
 ): LeaseFlow<void> {
-  const flow = (memory.lastFlow += 1);
+  const flow = (leaseState.lastFlow += 1);
   // Guards against acting after others were let in: the holder stops before
   // the request to release is sent, not when its reply comes.
-  noteLost(memory);
+  recordLost(leaseState);
   const row = yield* readLeaseRow(settings);
   if (row.err) return row;
-  if (memory.lastFlow !== flow) return Err({kind: 'superseded'});
+  if (leaseState.lastFlow !== flow) return Err({kind: 'superseded'});
   if (row.val === undefined) return Ok(undefined);
   const {token, fencing, state} = row.val.value;
   if (token !== settings.token || state === 'released') return Ok(undefined);
-  const outcome = yield* writeRow(settings, memory, row.val.version, {
+  const outcome = yield* writeRow(settings, leaseState, row.val.version, {
     fencing,
     state: 'released',
   });
--- a/packages/core/src/lease/commands/renew.ts
+++ b/packages/core/src/lease/commands/renew.ts
@@ -1,6 +1,6 @@
 import {Err, Ok, type Result} from 'ts-results';
 import type {Flow} from '../../kernel/flow';
-import {noteHeld, noteLost, type LeaseMemory} from '../lease_memory';
+import {recordHeld, recordLost, type LeaseState} from '../lease_state';
 import type {LeaseRow} from '../lease_row';
 import type {
   HeldLease,
@@ -13,38 +13,44 @@
 import {readLeaseRow, writeRow} from '../write_row';
 
 /** Tries while earlier writes of our own still arrive at the table. */
-const MAXIMUM_TRIES = 4;
+const MAX_ATTEMPTS = 4;
 
 /** Prolongs a lease that the table still says is ours. */
 export function* renewLease(
   settings: LeaseSettings,
-  memory: LeaseMemory,
+  leaseState: LeaseState,
 ): LeaseFlow<HeldLease> {
-  const flow = (memory.lastFlow += 1);
-  const held = memory.held;
+  const flow = (leaseState.lastFlow += 1);
+  const held = leaseState.held;
   if (held === undefined) return Err({kind: 'lost'});
-  const known = yield* knownVersion(settings, memory, held);
-  if (memory.lastFlow !== flow) return Err({kind: 'superseded'});
+  const known = yield* knownVersion(settings, leaseState, held);
+  if (leaseState.lastFlow !== flow) return Err({kind: 'superseded'});
   if (known.err) return known;
   let version = known.val;
-  for (let tries = 0; tries < MAXIMUM_TRIES; tries += 1) {
-    const outcome = yield* writeRow(settings, memory, version, {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
+    const outcome = yield* writeRow(settings, leaseState, version, {
       fencing: held.fencing,
       state: 'held',
     });
-    if (memory.lastFlow !== flow) return Err({kind: 'superseded'});
+    if (leaseState.lastFlow !== flow) return Err({kind: 'superseded'});
     if (outcome.err) return outcome;
     switch (outcome.val.kind) {
       case 'written': {
         const {write} = outcome.val;
-        return noteHeld(memory, settings, write, held.fencing, version + 1);
+        return recordHeld(
+          leaseState,
+          settings,
+          write,
+          held.fencing,
+          version + 1,
+        );
       }
       case 'replaced':
-        noteLost(memory);
+        recordLost(leaseState);
         return Err({kind: 'replaced'});
       case 'changed': {
         const row = outcome.val.row;
-        if (!isOurs(settings, held, row)) return lost(memory);
+        if (!isOwnRow(settings, held, row)) return lost(leaseState);
         version = row.version;
       }
     }
@@ -54,17 +60,17 @@
 
 function* knownVersion(
   settings: LeaseSettings,
-  memory: LeaseMemory,
+  leaseState: LeaseState,
   held: HeldLease,
 ): Flow<LeaseEffect, LeaseReply, Result<number, LeaseError>> {
-  if (memory.rowVersion !== undefined) return Ok(memory.rowVersion);
+  if (leaseState.rowVersion !== undefined) return Ok(leaseState.rowVersion);
   const row = yield* readLeaseRow(settings);
   if (row.err) return row;
-  if (!isOurs(settings, held, row.val)) return lost(memory);
+  if (!isOwnRow(settings, held, row.val)) return lost(leaseState);
   return Ok(row.val.version);
 }
 
-function isOurs(
+function isOwnRow(
   settings: LeaseSettings,
   held: HeldLease,
   row: LeaseRow | undefined,
@@ -74,7 +80,7 @@
   return token === settings.token && fencing === held.fencing;
 }
 
-function lost(memory: LeaseMemory): Err<LeaseError> {
-  noteLost(memory);
+function lost(leaseState: LeaseState): Err<LeaseError> {
+  recordLost(leaseState);
   return Err({kind: 'lost'});
 }
--- a/packages/core/src/lease/create_lease.ts
+++ b/packages/core/src/lease/create_lease.ts
@@ -1,17 +1,17 @@
 import {acquireLease} from './commands/acquire';
 import {releaseLease} from './commands/release';
 import {renewLease} from './commands/renew';
-import {createLeaseMemory} from './lease_memory';
+import {createLeaseState} from './lease_state';
 import {checkLease} from './queries/check_lease';
 import type {Lease, LeaseSettings} from './types';
 
 /** One holder's side of the lease on one row. */
 export function createLease(settings: LeaseSettings): Lease {
-  const memory = createLeaseMemory();
+  const leaseState = createLeaseState();
   return {
-    acquire: () => acquireLease(settings, memory),
-    renew: () => renewLease(settings, memory),
-    release: () => releaseLease(settings, memory),
-    mayAct: now => checkLease(memory.held, now),
+    acquire: () => acquireLease(settings, leaseState),
+    renew: () => renewLease(settings, leaseState),
+    release: () => releaseLease(settings, leaseState),
+    mayAct: now => checkLease(leaseState.held, now),
   };
 }
--- a/packages/core/src/lease/lease_row.ts
+++ b/packages/core/src/lease/lease_row.ts
@@ -33,7 +33,7 @@
 }
 
 /** The condition that a row stands as it was read. */
-export function conditionOf(
+export function unchangedCondition(
   key: TableKey,
   version: number | undefined,
 ): TableCondition {
--- a/packages/core/src/lease/lease_memory.ts
+++ b/packages/core/src/lease/lease_state.ts
@@ -4,10 +4,10 @@
 import type {HeldLease, LeaseError, LeaseSettings} from './types';
 
 /** Most writes of which the instant of sending is remembered. */
-const REMEMBERED_WRITES = 16;
+const MAX_TRACKED_WRITES = 16;
 
 /** What one holder remembers of its lease between flows. */
-export interface LeaseMemory {
+export interface LeaseState {
   held: HeldLease | undefined;
   /** The row's version after our last write, where known. */
   rowVersion: number | undefined;
@@ -22,7 +22,7 @@
 }
 
 /** Memory of a lease that was never held. */
-export function createLeaseMemory(): LeaseMemory {
+export function createLeaseState(): LeaseState {
   return {
     held: undefined,
     rowVersion: undefined,
@@ -34,56 +34,59 @@
 }
 
 /** Notes a new write with the instant before it is sent. */
-export function noteWrite(memory: LeaseMemory, now: MonotonicInstant): number {
-  memory.lastWrite += 1;
-  memory.sentAt.set(memory.lastWrite, now);
-  memory.sentAt.delete(memory.lastWrite - REMEMBERED_WRITES);
-  return memory.lastWrite;
+export function recordWrite(
+  leaseState: LeaseState,
+  now: MonotonicInstant,
+): number {
+  leaseState.lastWrite += 1;
+  leaseState.sentAt.set(leaseState.lastWrite, now);
+  leaseState.sentAt.delete(leaseState.lastWrite - MAX_TRACKED_WRITES);
+  return leaseState.lastWrite;
 }
 
 /** Notes that our write number `write` is in the row. */
-export function noteHeld(
-  memory: LeaseMemory,
+export function recordHeld(
+  leaseState: LeaseState,
   settings: LeaseSettings,
   write: number,
   fencing: number,
   rowVersion: number | undefined,
 ): Result<HeldLease, LeaseError> {
-  const sentAt = memory.sentAt.get(write);
+  const sentAt = leaseState.sentAt.get(write);
   if (sentAt === undefined) return Err({kind: 'contended'});
   // Guards against a lease that its holder believes longer than others do:
   // the write took effect after it was sent, so others start counting later
   // than this instant. Counted from the reply, a slow reply would show as two
   // holders at once.
   const until = sentAt + settings.duration - settings.margin;
-  memory.held = {fencing, until};
-  memory.rowVersion = rowVersion;
-  memory.observed = undefined;
-  return Ok(memory.held);
+  leaseState.held = {fencing, until};
+  leaseState.rowVersion = rowVersion;
+  leaseState.observed = undefined;
+  return Ok(leaseState.held);
 }
 
 /** Notes that the lease is not ours. */
-export function noteLost(memory: LeaseMemory): void {
-  memory.held = undefined;
-  memory.rowVersion = undefined;
+export function recordLost(leaseState: LeaseState): void {
+  leaseState.held = undefined;
+  leaseState.rowVersion = undefined;
 }
 
 /**
  * How long to wait until the row may be taken over, counted on our own clock
  * from when we first saw it as it stands.
  */
-export function waitForRow(
-  memory: LeaseMemory,
+export function takeoverDelay(
+  leaseState: LeaseState,
   settings: LeaseSettings,
   row: LeaseRow,
   now: MonotonicInstant,
 ): Milliseconds {
   if (row.value.state === 'released') return 0;
   if (row.value.token === settings.token) return 0;
-  if (memory.observed?.version !== row.version) {
-    memory.observed = {version: row.version, since: now};
+  if (leaseState.observed?.version !== row.version) {
+    leaseState.observed = {version: row.version, since: now};
   }
   // Guards against taking over from a live holder: it would show as two
   // holders. Whoever renews changes the version, which starts the wait anew.
-  return Math.max(0, memory.observed.since + row.value.duration - now);
+  return Math.max(0, leaseState.observed.since + row.value.duration - now);
 }
--- a/packages/core/src/lease/write_row.ts
+++ b/packages/core/src/lease/write_row.ts
@@ -1,9 +1,9 @@
 import {Err, Ok, type Result} from 'ts-results';
 import type {Flow} from '../kernel/flow';
 import type {CommitOutcome} from '../types';
-import {noteWrite, type LeaseMemory} from './lease_memory';
+import {recordWrite, type LeaseState} from './lease_state';
 import {
-  conditionOf,
+  unchangedCondition,
   parseLeaseRow,
   type LeaseRow,
   type LeaseRowValue,
@@ -27,11 +27,11 @@
 /** Writes the row if it stands at `version`; a lost reply is read back. */
 export function* writeRow(
   settings: LeaseSettings,
-  memory: LeaseMemory,
+  leaseState: LeaseState,
   version: number | undefined,
   content: Pick<LeaseRowValue, 'fencing' | 'state'>,
 ): WriteFlow {
-  const write = noteWrite(memory, yield* readClock());
+  const write = recordWrite(leaseState, yield* readClock());
   const value = {
     ...content,
     write,
@@ -41,12 +41,12 @@
   };
   const result = yield* commit({
     conditions: [
-      conditionOf(settings.key, version),
+      unchangedCondition(settings.key, version),
       ...(settings.conditions ?? []),
     ],
     writes: [{kind: 'put', key: settings.key, value}],
   });
-  if (result.ok) return outcomeOf(settings, write, result.val);
+  if (result.ok) return interpretOutcome(settings, write, result.val);
   // Guards against losing a lease that the table says is ours: shows as a
   // needless pause for a full duration after one lost reply.
   if (result.val.kind === 'replyLost') return yield* readBack(settings, write);
@@ -65,11 +65,11 @@
 function* readBack(settings: LeaseSettings, write: number): WriteFlow {
   const row = yield* readLeaseRow(settings);
   if (row.err) return row;
-  if (isWrite(settings, row.val, write)) return Ok({kind: 'written', write});
+  if (isOwnWrite(settings, row.val, write)) return Ok({kind: 'written', write});
   return Ok({kind: 'changed', row: row.val});
 }
 
-function outcomeOf(
+function interpretOutcome(
   settings: LeaseSettings,
   write: number,
   outcome: CommitOutcome,
@@ -82,7 +82,7 @@
   return Ok({kind: 'changed', row: row.val});
 }
 
-function isWrite(
+function isOwnWrite(
   settings: LeaseSettings,
   row: LeaseRow | undefined,
   write: number,
--- a/packages/core/src/membership/bounds.ts
+++ b/packages/core/src/membership/bounds.ts
@@ -23,16 +23,16 @@
  * A gap between two calls of ours that is longer was a pause of our own, as
  * ticks come four times as often.
  */
-export const OWN_PAUSE: Milliseconds = 1_000;
+export const LOCAL_PAUSE_THRESHOLD: Milliseconds = 1_000;
 
 /** How long an instance must be heard without a gap after its first fall. */
-export const FIRST_HOLD: Milliseconds = 2_000;
+export const INITIAL_HOLD_DOWN: Milliseconds = 2_000;
 
 /** The hold doubles with each fall up to this. */
-export const LONGEST_HOLD: Milliseconds = 32_000;
+export const MAX_HOLD_DOWN: Milliseconds = 32_000;
 
 /** Falls are forgotten after so long without one. */
-export const FORGET_FALLS_AFTER: Milliseconds = 120_000;
+export const FORGET_FLAPS_AFTER: Milliseconds = 120_000;
 
 /**
  * How long one that left or died is remembered after the list dropped it; the
@@ -41,7 +41,7 @@
 export const FORGET_GONE_AFTER: Milliseconds = 600_000;
 
 /** Changes kept for neighbours that ask what changed since. */
-export const KEPT_CHANGES = 1_024;
+export const MAX_LOGGED_CHANGES = 1_024;
 
 /** Entries that hold one target: five may fail before it has none. */
 export const HOLDERS_PER_TARGET = 6;
@@ -50,7 +50,7 @@
  * Targets that an entry holds of each model or service at least. With four, ten
  * models at 390 entries and 600 engines would cost 28 KB/s.
  */
-export const FEWEST_HELD_PER_GROUP = 3;
+export const MIN_HELD_PER_GROUP = 3;
 
 /**
  * On a site with at most so many entries and targets of a group, each entry
@@ -70,4 +70,4 @@
 export const ENTRY_HEARTBEAT_SIZE: Bytes = 16;
 
 /** What a node of the site may spend on heartbeats. */
-export const NODE_BUDGET: BytesPerSecond = 26_000;
+export const HEARTBEAT_BUDGET: BytesPerSecond = 26_000;
--- a/packages/core/src/membership/change_log.ts
+++ b/packages/core/src/membership/change_log.ts
@@ -1,4 +1,4 @@
-import {KEPT_CHANGES} from './bounds';
+import {MAX_LOGGED_CHANGES} from './bounds';
 import type {LivenessChange, LivenessDelta} from './types';
 
 /** A bounded log of changes by position. */
@@ -17,7 +17,7 @@
     add: change => {
       latest += 1;
       changes.push(change);
-      if (changes.length > KEPT_CHANGES) changes.shift();
+      if (changes.length > MAX_LOGGED_CHANGES) changes.shift();
     },
     since: position => {
       const missed = latest - position;
--- a/packages/core/src/membership/commands/messages.ts
+++ b/packages/core/src/membership/commands/messages.ts
@@ -1,47 +1,47 @@
 import type {Incarnation, InstanceName, MonotonicInstant} from '../../types';
 import {
-  beginLife,
+  beginIncarnation,
   createRecord,
-  noteHeard,
+  recordContact,
   setLiveness,
   type MemberRecord,
 } from '../member_record';
-import {noteCall, type MembershipMemory} from '../membership_memory';
-import type {MemberHeartbeat, MemberIdentity, MessageVerdict} from '../types';
+import {compensateForPause, type MembershipState} from '../membership_state';
+import type {MemberHeartbeat, MemberIdentity, MessageOutcome} from '../types';
 
 /** Takes a hello: the first message of each session. */
-export function takeHello(
-  memory: MembershipMemory,
+export function handleHello(
+  state: MembershipState,
   identity: MemberIdentity,
   incarnation: Incarnation,
   now: MonotonicInstant,
-): MessageVerdict {
-  noteCall(memory, now);
-  if (identity.instance === memory.self) return 'ignored';
-  const record = recordOf(memory, identity, now);
+): MessageOutcome {
+  compensateForPause(state, now);
+  if (identity.instance === state.self) return 'ignored';
+  const record = recordOf(state, identity, now);
   if (incarnation < record.incarnation) return 'ignored';
   if (incarnation > record.incarnation) {
-    const neverHeard = record.incarnation === 0;
-    const listedLeaving = neverHeard && record.liveness === 'leaving';
+    const isFirstContact = record.incarnation === 0;
+    const listedLeaving = isFirstContact && record.liveness === 'leaving';
     if (listedLeaving) record.incarnation = incarnation;
-    else beginLife(record, incarnation, now, memory.log);
+    else beginIncarnation(record, incarnation, now, state.log);
   }
   // Guards against new work for one that left: a late or repeated hello of the
   // same life does not bring it back.
   if (record.liveness === 'leaving') return 'ignored';
   record.identity = identity;
-  noteHeard(record, now, memory.log);
+  recordContact(record, now, state.log);
   return 'taken';
 }
 
 /** Takes a heartbeat. */
-export function takeHeartbeat(
-  memory: MembershipMemory,
+export function handleHeartbeat(
+  state: MembershipState,
   heartbeat: MemberHeartbeat,
   now: MonotonicInstant,
-): MessageVerdict {
-  noteCall(memory, now);
-  const record = memory.records.get(heartbeat.instance);
+): MessageOutcome {
+  compensateForPause(state, now);
+  const record = state.records.get(heartbeat.instance);
   if (record === undefined) return 'needsHello';
   if (heartbeat.incarnation > record.incarnation) return 'needsHello';
   if (heartbeat.incarnation < record.incarnation) return 'ignored';
@@ -49,14 +49,14 @@
   // instance that stays in routing.
   if (heartbeat.sequence <= record.lastSequence) return 'ignored';
   record.lastSequence = heartbeat.sequence;
-  const takesBack = takesLeavingBack(record, heartbeat);
-  record.saidLeaving = heartbeat.leaving;
+  const isCancelled = isLeavingCancelled(record, heartbeat);
+  record.reportedLeaving = heartbeat.leaving;
   if (record.liveness === 'leaving') {
-    if (!takesBack) return 'ignored';
-    setLiveness(record, 'joining', now, memory.log);
+    if (!isCancelled) return 'ignored';
+    setLiveness(record, 'joining', now, state.log);
   }
-  if (heartbeat.leaving) setLiveness(record, 'leaving', now, memory.log);
-  else noteHeard(record, now, memory.log);
+  if (heartbeat.leaving) setLiveness(record, 'leaving', now, state.log);
+  else recordContact(record, now, state.log);
   return 'taken';
 }
 
@@ -65,54 +65,54 @@
  * operator's second thought. Without this it would get no work until it is
  * restarted. What the list calls leaving, or what said goodbye, stays gone.
  */
-function takesLeavingBack(
+function isLeavingCancelled(
   record: MemberRecord,
   heartbeat: MemberHeartbeat,
 ): boolean {
-  if (!record.saidLeaving || heartbeat.leaving) return false;
-  return record.listed !== 'leaving' && !record.saidGoodbye;
+  if (!record.reportedLeaving || heartbeat.leaving) return false;
+  return record.listed !== 'leaving' && !record.sentGoodbye;
 }
 
 /** Takes a goodbye. */
-export function takeGoodbye(
-  memory: MembershipMemory,
+export function handleGoodbye(
+  state: MembershipState,
   instance: InstanceName,
   incarnation: Incarnation,
   now: MonotonicInstant,
-): MessageVerdict {
-  noteCall(memory, now);
-  const record = memory.records.get(instance);
+): MessageOutcome {
+  compensateForPause(state, now);
+  const record = state.records.get(instance);
   if (record === undefined || incarnation < record.incarnation) {
     return 'ignored';
   }
   record.incarnation = incarnation;
-  record.saidGoodbye = true;
-  setLiveness(record, 'leaving', now, memory.log);
+  record.sentGoodbye = true;
+  setLiveness(record, 'leaving', now, state.log);
   return 'taken';
 }
 
 /** Notes that the session with an instance broke. */
-export function noteSessionLost(
-  memory: MembershipMemory,
+export function handleSessionLost(
+  state: MembershipState,
   instance: InstanceName,
   incarnation: Incarnation,
   now: MonotonicInstant,
 ): void {
-  noteCall(memory, now);
-  const record = memory.records.get(instance);
+  compensateForPause(state, now);
+  const record = state.records.get(instance);
   if (record === undefined || record.incarnation !== incarnation) return;
   if (record.liveness !== 'live') return;
-  setLiveness(record, 'suspect', now, memory.log);
+  setLiveness(record, 'suspect', now, state.log);
 }
 
 function recordOf(
-  memory: MembershipMemory,
+  state: MembershipState,
   identity: MemberIdentity,
   now: MonotonicInstant,
 ): MemberRecord {
-  const known = memory.records.get(identity.instance);
+  const known = state.records.get(identity.instance);
   if (known !== undefined) return known;
   const record = createRecord(identity, now);
-  memory.records.set(identity.instance, record);
+  state.records.set(identity.instance, record);
   return record;
 }
--- a/packages/core/src/membership/commands/tick.ts
+++ b/packages/core/src/membership/commands/tick.ts
@@ -2,39 +2,39 @@
 import type {MonotonicInstant} from '../../types';
 import {DEAD_AFTER, FORGET_GONE_AFTER, SUSPECT_AFTER} from '../bounds';
 import {setLiveness, type MemberRecord} from '../member_record';
-import {noteCall, type MembershipMemory} from '../membership_memory';
+import {compensateForPause, type MembershipState} from '../membership_state';
 
 /** Moves silent instances on and forgets those long gone. */
 export function tickMembers(
-  memory: MembershipMemory,
+  state: MembershipState,
   now: MonotonicInstant,
 ): void {
-  noteCall(memory, now);
-  for (const [instance, record] of memory.records) {
-    tickRecord(memory, record, now);
+  compensateForPause(state, now);
+  for (const [instance, record] of state.records) {
+    tickRecord(state, record, now);
     if (!isForgettable(record, now)) continue;
-    memory.records.delete(instance);
-    memory.hearsay.forget(instance);
+    state.records.delete(instance);
+    state.secondhandReports.forget(instance);
   }
 }
 
 function tickRecord(
-  memory: MembershipMemory,
+  state: MembershipState,
   record: MemberRecord,
   now: MonotonicInstant,
 ): void {
-  const silence = now - (record.lastHeard ?? record.since);
+  const silence = now - (record.lastReceivedAt ?? record.since);
   switch (record.liveness) {
     case 'live':
       // Guards against work for a dead instance, which shows as requests that
       // wait for their deadline: silence alone takes it out.
       if (silence >= SUSPECT_AFTER) {
-        setLiveness(record, 'suspect', now, memory.log);
+        setLiveness(record, 'suspect', now, state.log);
       }
       return;
     case 'suspect':
     case 'joining':
-      if (silence >= DEAD_AFTER) setLiveness(record, 'dead', now, memory.log);
+      if (silence >= DEAD_AFTER) setLiveness(record, 'dead', now, state.log);
       return;
     case 'dead':
     case 'leaving':
--- a/packages/core/src/membership/create_membership.ts
+++ b/packages/core/src/membership/create_membership.ts
@@ -1,32 +1,32 @@
 import type {InstanceName} from '../types';
-import {takeList} from './commands/list';
+import {applyList} from './commands/list';
 import {
-  noteSessionLost,
-  takeGoodbye,
-  takeHeartbeat,
-  takeHello,
+  handleSessionLost,
+  handleGoodbye,
+  handleHeartbeat,
+  handleHello,
 } from './commands/messages';
 import {tickMembers} from './commands/tick';
-import {createMembershipMemory} from './membership_memory';
+import {createMembershipState} from './membership_state';
 import {changesSince, listMembers, livenessOf} from './queries/liveness';
 import type {Membership} from './types';
 
 /** What the instance `self` knows of the others. */
 export function createMembership(self: InstanceName): Membership {
-  const memory = createMembershipMemory(self);
+  const state = createMembershipState(self);
   return {
     hello: (identity, incarnation, now) =>
-      takeHello(memory, identity, incarnation, now),
-    heartbeat: (heartbeat, now) => takeHeartbeat(memory, heartbeat, now),
+      handleHello(state, identity, incarnation, now),
+    heartbeat: (heartbeat, now) => handleHeartbeat(state, heartbeat, now),
     goodbye: (instance, incarnation, now) =>
-      takeGoodbye(memory, instance, incarnation, now),
+      handleGoodbye(state, instance, incarnation, now),
     sessionLost: (instance, incarnation, now) =>
-      noteSessionLost(memory, instance, incarnation, now),
-    list: (lines, now) => takeList(memory, lines, now),
-    tick: now => tickMembers(memory, now),
-    takeDelta: (teller, delta) => memory.hearsay.take(teller, delta),
-    members: () => listMembers(memory),
-    livenessOf: instance => livenessOf(memory, instance),
-    changesSince: position => changesSince(memory, position),
+      handleSessionLost(state, instance, incarnation, now),
+    list: (lines, now) => applyList(state, lines, now),
+    tick: now => tickMembers(state, now),
+    applyDelta: (teller, delta) => state.secondhandReports.add(teller, delta),
+    members: () => listMembers(state),
+    livenessOf: instance => livenessOf(state, instance),
+    changesSince: position => changesSince(state, position),
   };
 }
--- a/packages/core/src/membership/member_record.ts
+++ b/packages/core/src/membership/member_record.ts
@@ -1,9 +1,9 @@
 import type {Incarnation, MonotonicInstant} from '../types';
 import type {ChangeLog} from './change_log';
 import {
-  FIRST_HOLD,
-  FORGET_FALLS_AFTER,
-  LONGEST_HOLD,
+  INITIAL_HOLD_DOWN,
+  FORGET_FLAPS_AFTER,
+  MAX_HOLD_DOWN,
   SUSPECT_AFTER,
 } from './bounds';
 import type {Liveness, Member, MemberIdentity} from './types';
@@ -15,19 +15,19 @@
   liveness: Liveness;
   since: MonotonicInstant;
   /** Undefined until heard in this life. */
-  lastHeard: MonotonicInstant | undefined;
+  lastReceivedAt: MonotonicInstant | undefined;
   /** Since when it is heard without a gap; undefined after a fall. */
-  heardSince: MonotonicInstant | undefined;
+  continuousSince: MonotonicInstant | undefined;
   lastSequence: number;
   /** Falls from live that are not forgotten. */
-  falls: number;
-  lastFall: MonotonicInstant;
+  flaps: number;
+  lastFlapAt: MonotonicInstant;
   /** What the platform's list last said of it. */
   listed: 'live' | 'leaving' | undefined;
   /** Said goodbye itself, in this life. */
-  saidGoodbye: boolean;
+  sentGoodbye: boolean;
   /** Its last heartbeat in this life said that it is leaving. */
-  saidLeaving: boolean;
+  reportedLeaving: boolean;
 }
 
 /** A record of an instance that was not heard yet. */
@@ -40,14 +40,14 @@
     incarnation: 0,
     liveness: 'joining',
     since: now,
-    lastHeard: undefined,
-    heardSince: undefined,
+    lastReceivedAt: undefined,
+    continuousSince: undefined,
     lastSequence: -1,
-    falls: 0,
-    lastFall: now,
+    flaps: 0,
+    lastFlapAt: now,
     listed: undefined,
-    saidGoodbye: false,
-    saidLeaving: false,
+    sentGoodbye: false,
+    reportedLeaving: false,
   };
 }
 
@@ -60,7 +60,7 @@
 ): void {
   if (record.liveness === liveness) return;
   const falls = record.liveness === 'live' && liveness !== 'leaving';
-  if (falls) noteFall(record, now);
+  if (falls) recordFlap(record, now);
   record.liveness = liveness;
   record.since = now;
   const {instance} = record.identity;
@@ -68,35 +68,37 @@
 }
 
 /** Notes that an instance was heard; it is live once heard for long enough. */
-export function noteHeard(
+export function recordContact(
   record: MemberRecord,
   now: MonotonicInstant,
   log: ChangeLog,
 ): void {
   const silence =
-    record.lastHeard === undefined ? Infinity : now - record.lastHeard;
-  const gap = silence >= SUSPECT_AFTER || record.heardSince === undefined;
-  if (gap) record.heardSince = now;
-  record.lastHeard = now;
+    record.lastReceivedAt === undefined
+      ? Infinity
+      : now - record.lastReceivedAt;
+  const gap = silence >= SUSPECT_AFTER || record.continuousSince === undefined;
+  if (gap) record.continuousSince = now;
+  record.lastReceivedAt = now;
   // Guards against an instance that comes and goes: it would show as work that
   // is sent there and fails each time. After each fall it must be heard longer.
-  const heardFor = now - (record.heardSince ?? now);
-  if (heardFor < holdOf(record, now)) return;
+  const contactTime = now - (record.continuousSince ?? now);
+  if (contactTime < holdDownTime(record, now)) return;
   setLiveness(record, 'live', now, log);
 }
 
 /** Makes a record that of a later life of the same instance. */
-export function beginLife(
+export function beginIncarnation(
   record: MemberRecord,
   incarnation: Incarnation,
   now: MonotonicInstant,
   log: ChangeLog,
 ): void {
   record.incarnation = incarnation;
-  record.lastHeard = undefined;
+  record.lastReceivedAt = undefined;
   record.lastSequence = -1;
-  record.saidGoodbye = false;
-  record.saidLeaving = false;
+  record.sentGoodbye = false;
+  record.reportedLeaving = false;
   setLiveness(record, 'joining', now, log);
 }
 
@@ -106,18 +108,18 @@
   return {...identity, incarnation, liveness, since};
 }
 
-function noteFall(record: MemberRecord, now: MonotonicInstant): void {
-  record.falls = fallsAt(record, now) + 1;
-  record.lastFall = now;
-  record.heardSince = undefined;
+function recordFlap(record: MemberRecord, now: MonotonicInstant): void {
+  record.flaps = recentFlaps(record, now) + 1;
+  record.lastFlapAt = now;
+  record.continuousSince = undefined;
 }
 
-function holdOf(record: MemberRecord, now: MonotonicInstant): number {
-  const falls = fallsAt(record, now);
+function holdDownTime(record: MemberRecord, now: MonotonicInstant): number {
+  const falls = recentFlaps(record, now);
   if (falls === 0) return 0;
-  return Math.min(LONGEST_HOLD, FIRST_HOLD * 2 ** (falls - 1));
+  return Math.min(MAX_HOLD_DOWN, INITIAL_HOLD_DOWN * 2 ** (falls - 1));
 }
 
-function fallsAt(record: MemberRecord, now: MonotonicInstant): number {
-  return now - record.lastFall >= FORGET_FALLS_AFTER ? 0 : record.falls;
+function recentFlaps(record: MemberRecord, now: MonotonicInstant): number {
+  return now - record.lastFlapAt >= FORGET_FLAPS_AFTER ? 0 : record.flaps;
 }
--- a/packages/core/src/membership/queries/held_targets.ts
+++ b/packages/core/src/membership/queries/held_targets.ts
@@ -1,7 +1,7 @@
 import type {InstanceName, TargetName} from '../../types';
 import {hash32} from '../../utils/hash';
 import {
-  FEWEST_HELD_PER_GROUP,
+  MIN_HELD_PER_GROUP,
   HOLDERS_PER_TARGET,
   SMALL_SITE_ENTRIES,
   SMALL_SITE_TARGETS,
@@ -19,21 +19,21 @@
   readonly targets: readonly TargetName[];
 }
 
-interface Hashed {
+interface HashedName {
   readonly name: string;
   readonly hash: number;
 }
 
 /** Most targets of a group that one entry holds. */
-export function heldBound(entries: number, targets: number): number {
+export function maxHeldTargets(entries: number, targets: number): number {
   if (isSmall(entries, targets)) return targets;
   const holders = Math.min(HOLDERS_PER_TARGET, entries);
   const pairs = targets * holders;
   const fair = Math.ceil((LOAD_FACTOR * pairs) / Math.max(1, entries)) + 1;
   // With so much room each, a target always finds enough entries not full.
-  const enough = Math.ceil(pairs / Math.max(1, entries - holders));
-  const fewest = Math.min(targets, FEWEST_HELD_PER_GROUP);
-  return Math.min(targets, Math.max(fair, enough, fewest));
+  const minRoom = Math.ceil(pairs / Math.max(1, entries - holders));
+  const minHeld = Math.min(targets, MIN_HELD_PER_GROUP);
+  return Math.min(targets, Math.max(fair, minRoom, minHeld));
 }
 
 /**
@@ -50,7 +50,7 @@
   if (self < 0) return [];
   if (isSmall(entries.length, input.targets.length)) return input.targets;
   const targets = sortedByHash(input.targets);
-  const bound = heldBound(entries.length, targets.length);
+  const bound = maxHeldTargets(entries.length, targets.length);
   const held = new Set<TargetName>();
   const load = new Array<number>(entries.length).fill(0);
   for (const target of targets) {
@@ -59,7 +59,7 @@
       if (holder === self) held.add(target.name);
     }
   }
-  addNearest(entries[self] as Hashed, targets, held);
+  fillToMinimum(entries[self] as HashedName, targets, held);
   return [...held];
 }
 
@@ -69,15 +69,18 @@
 
 /** Positions of the best-ranked entries for a target that are not full. */
 function holdersOf(
-  target: Hashed,
-  entries: readonly Hashed[],
+  target: HashedName,
+  entries: readonly HashedName[],
   load: readonly number[],
   bound: number,
 ): readonly number[] {
   const best: {position: number; score: number}[] = [];
   for (let position = 0; position < entries.length; position += 1) {
     if ((load[position] ?? 0) >= bound) continue;
-    const score = pairScore((entries[position] as Hashed).hash, target.hash);
+    const score = pairScore(
+      (entries[position] as HashedName).hash,
+      target.hash,
+    );
     if (best.length === HOLDERS_PER_TARGET) {
       if (score <= (best.at(-1)?.score ?? 0)) continue;
       best.pop();
@@ -88,22 +91,22 @@
   return best.map(candidate => candidate.position);
 }
 
-function addNearest(
-  entry: Hashed,
-  targets: readonly Hashed[],
+function fillToMinimum(
+  entry: HashedName,
+  targets: readonly HashedName[],
   held: Set<TargetName>,
 ): void {
-  if (held.size >= FEWEST_HELD_PER_GROUP) return;
+  if (held.size >= MIN_HELD_PER_GROUP) return;
   const ranked = targets
     .map(({name, hash}) => ({name, score: pairScore(entry.hash, hash)}))
     .sort((left, right) => right.score - left.score);
   for (const {name} of ranked) {
-    if (held.size >= FEWEST_HELD_PER_GROUP) return;
+    if (held.size >= MIN_HELD_PER_GROUP) return;
     held.add(name);
   }
 }
 
-function sortedByHash(names: readonly string[]): readonly Hashed[] {
+function sortedByHash(names: readonly string[]): readonly HashedName[] {
   return names
     .map(name => ({name, hash: hash32(name)}))
     .sort(
