--- a/packages/core/src/membership/queries/traffic.ts
+++ b/packages/core/src/membership/queries/traffic.ts
@@ -2,12 +2,12 @@
 import {
   AGENT_HEARTBEAT_SIZE,
   ENTRY_HEARTBEAT_SIZE,
-  FEWEST_HELD_PER_GROUP,
+  MIN_HELD_PER_GROUP,
   HEARTBEAT_PERIOD,
   HOLDERS_PER_TARGET,
   MESSAGE_OVERHEAD,
 } from '../bounds';
-import {heldBound} from './held_targets';
+import {maxHeldTargets} from './held_targets';
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
@@ -34,8 +34,8 @@
   let held = 0;
   let targets = 0;
   for (const count of site.targetsPerGroup) {
-    entrySessions += heldBound(site.entries, count);
-    held += site.entries * Math.min(count, FEWEST_HELD_PER_GROUP);
+    entrySessions += maxHeldTargets(site.entries, count);
+    held += site.entries * Math.min(count, MIN_HELD_PER_GROUP);
     held += count * Math.min(site.entries, HOLDERS_PER_TARGET);
     targets += count;
   }
--- a/packages/core/src/membership/types.ts
+++ b/packages/core/src/membership/types.ts
@@ -44,7 +44,7 @@
 }
 
 /** What became of a message. */
-export type MessageVerdict =
+export type MessageOutcome =
   | 'taken'
   /** Old, doubled, or from one that already left. */
   | 'ignored'
@@ -74,16 +74,16 @@
     identity: MemberIdentity,
     incarnation: Incarnation,
     now: MonotonicInstant,
-  ) => MessageVerdict;
+  ) => MessageOutcome;
   readonly heartbeat: (
     heartbeat: MemberHeartbeat,
     now: MonotonicInstant,
-  ) => MessageVerdict;
+  ) => MessageOutcome;
   readonly goodbye: (
     instance: InstanceName,
     incarnation: Incarnation,
     now: MonotonicInstant,
-  ) => MessageVerdict;
+  ) => MessageOutcome;
   /** The session broke: no new work until the instance is heard again. */
   readonly sessionLost: (
     instance: InstanceName,
@@ -98,7 +98,7 @@
   /** To be called every TICK_PERIOD. */
   readonly tick: (now: MonotonicInstant) => void;
   /** What another process says of instances that we do not hear ourselves. */
-  readonly takeDelta: (teller: InstanceName, delta: LivenessDelta) => void;
+  readonly applyDelta: (reporter: InstanceName, delta: LivenessDelta) => void;
   readonly members: () => readonly Member[];
   /** Liveness from our own ear or, where we have none, from live tellers. */
   readonly livenessOf: (instance: InstanceName) => Liveness | undefined;
--- a/packages/core/src/memory/engine_memory.ts
+++ b/packages/core/src/memory/engine_memory.ts
@@ -1,8 +1,8 @@
 import {hash32} from '../utils/hash';
-import type {SeenSize} from './request_sizes';
+import type {SizeStatistics} from './request_sizes';
 
 /** Share of an engine's memory for requests that is given out. */
-const USED_SHARE = 0.9;
+const MAX_USED_SHARE = 0.9;
 
 /** Deviations of a sum that are reserved beside its mean. */
 const DEVIATIONS = 2;
@@ -43,14 +43,14 @@
   /** Whether the report is fresh. */
   readonly isReported: boolean;
   /** Tokens of own sends that the report may not show. */
-  readonly ownUnseen: number;
+  readonly ownUnreported: number;
   /** Own sends since the report. */
   readonly ownStarts: number;
   /** Tokens of all own requests in hand. */
   readonly ownTokens: number;
   /** Requests of the service, as this entry has sent them. */
-  readonly sizes: SeenSize;
-  readonly outputs: SeenSize;
+  readonly sizes: SizeStatistics;
+  readonly outputs: SizeStatistics;
 }
 
 /** This entry's place among those that send to the engine. */
@@ -79,8 +79,8 @@
   turn: MemoryTurn,
 ): boolean {
   const {sizes, slots, report} = engine;
-  const most = need.engineTokens * USED_SHARE;
-  const held = heldTokens(engine, need) + engine.ownUnseen;
+  const most = need.engineTokens * MAX_USED_SHARE;
+  const held = heldTokens(engine, need) + engine.ownUnreported;
   const left = most - Math.max(held, engine.ownTokens);
   if (need.tokens > left) return false;
   if (turn.senders <= 1) return true;
@@ -115,6 +115,6 @@
 }
 
 /** Most that so many requests hold together, but for rare cases. */
-function sumOf(count: number, {mean, deviation}: SeenSize): number {
+function sumOf(count: number, {mean, deviation}: SizeStatistics): number {
   return count * mean + DEVIATIONS * Math.sqrt(count) * deviation;
 }
--- a/packages/core/src/memory/expected_output.ts
+++ b/packages/core/src/memory/expected_output.ts
@@ -1,12 +1,12 @@
-import type {SeenSize} from './request_sizes';
+import type {SizeStatistics} from './request_sizes';
 
 /** What is said of a request's output, and what was seen of its route. */
-export interface OutputClaims {
+export interface OutputEstimates {
   /** The caller's hint; undefined if there is none. */
   readonly hint: number | undefined;
   /** Most tokens that the engine writes; undefined if the request names none. */
   readonly most: number | undefined;
-  readonly seen: SeenSize | undefined;
+  readonly seen: SizeStatistics | undefined;
 }
 
 /** Deviations above the route's mean up to which a hint is believed. */
@@ -22,10 +22,10 @@
  * seen yet, the maximum counts, up to `mostUnseen`.
  */
 export function outputToReserve(
-  {hint, most, seen}: OutputClaims,
-  mostUnseen: number,
+  {hint, most, seen}: OutputEstimates,
+  maxUnseen: number,
 ): number {
-  if (seen === undefined) return Math.min(most ?? hint ?? 0, mostUnseen);
+  if (seen === undefined) return Math.min(most ?? hint ?? 0, maxUnseen);
   const {mean, deviation} = seen;
   const longest = mean + BELIEVED_DEVIATIONS * deviation;
   const believed = Math.max(mean, Math.min(hint ?? mean, longest));
@@ -33,7 +33,7 @@
 }
 
 /** Tokens that a request will probably write. */
-export function outputToExpect({hint, most, seen}: OutputClaims): number {
+export function outputToExpect({hint, most, seen}: OutputEstimates): number {
   const expected = hint ?? seen?.mean ?? most ?? 0;
   return Math.min(expected, most ?? Infinity);
 }
--- a/packages/core/src/memory/request_sizes.ts
+++ b/packages/core/src/memory/request_sizes.ts
@@ -1,5 +1,5 @@
 /** Mean and standard deviation of what was seen. */
-export interface SeenSize {
+export interface SizeStatistics {
   readonly mean: number;
   readonly deviation: number;
 }
@@ -8,7 +8,7 @@
 export interface RequestSizes {
   readonly record: (name: string, size: number) => void;
   /** Undefined before anything was seen. */
-  readonly seen: (name: string) => SeenSize | undefined;
+  readonly seen: (name: string) => SizeStatistics | undefined;
 }
 
 /**
--- a/packages/core/src/memory/slow_readers.ts
+++ b/packages/core/src/memory/slow_readers.ts
@@ -9,7 +9,7 @@
 }
 
 /** Part of the mean of what readers hold from which one is worth its loss. */
-const WORTH_DROPPING = 0.5;
+const MIN_DROP_SHARE = 0.5;
 
 /**
  * The readers to drop so that the others hold `bound` bytes at most, in order:
@@ -19,7 +19,7 @@
  * many that hold a few hundred bytes, and have waited a little longer, are dropped
  * for it. Guard: only readers that hold half of the mean at least are dropped.
  */
-export function chooseDropped<Reader extends BufferedReader>(
+export function selectReadersToDrop<Reader extends BufferedReader>(
   readers: readonly Reader[],
   bound: Bytes,
 ): readonly Reader[] {
@@ -27,7 +27,7 @@
   let total = holding.reduce((sum, {held}) => sum + held, 0);
   const dropped: Reader[] = [];
   while (total > bound) {
-    const least = (total / holding.length) * WORTH_DROPPING;
+    const least = (total / holding.length) * MIN_DROP_SHARE;
     const slowest = holding
       .filter(({held}) => held >= least)
       .reduce((one, other) => (isSlower(other, one) ? other : one));
--- a/packages/core/src/orders/commands/give_orders.ts
+++ b/packages/core/src/orders/commands/give_orders.ts
@@ -2,8 +2,8 @@
 import {readClock} from '../../lease/read_clock';
 import type {Digest, MonotonicInstant, VersionDigest} from '../../types';
 import {
-  noteAnswered,
-  noteSent,
+  recordAnswered,
+  recordSent,
   type ReconcilerMemory,
 } from '../reconciler_memory';
 import type {
@@ -36,7 +36,7 @@
     const outcome = yield* sendOrder(settings, memory, order);
     switch (outcome.kind) {
       case 'accepted':
-        memory.fencedLife = life;
+        memory.fencedEngineIncarnation = life;
         break;
       case 'staleFencing':
         memory.replaced = true;
@@ -77,10 +77,10 @@
   memory: ReconcilerMemory,
   order: EngineOrder,
 ): Flow<OrderEffect, OrderEffectReply, OrderOutcome> {
-  noteSent(memory, order);
+  recordSent(memory, order);
   const reply = yield {kind: 'sendOrder', order, fencing: settings.fencing};
   if (reply.kind !== 'order') throw new Error('driver sent no order reply');
-  noteAnswered(memory, order, yield* readClock());
+  recordAnswered(memory, order, yield* readClock());
   return reply.outcome;
 }
 
--- a/packages/core/src/orders/commands/plan_loads.ts
+++ b/packages/core/src/orders/commands/plan_loads.ts
@@ -1,7 +1,7 @@
 import type {Manifest, VersionDigest} from '../../types';
 import type {Pass} from '../pass';
-import {fitsBeside} from '../queries/room';
-import {awaitsEffect} from '../reconciler_memory';
+import {fitsAlongside} from '../queries/engine_memory';
+import {isEffectPending} from '../reconciler_memory';
 
 /** Adds the loads that the engine has room for. */
 export function planLoads(pass: Pass): void {
@@ -10,33 +10,33 @@
     // every chunk is verified on the engine. The engine checks again.
     const manifest = pass.input.verified.get(versionDigest);
     if (manifest === undefined) continue;
-    if (isThereOrComing(pass, versionDigest)) continue;
-    if (!fitsBeside(pass, versionDigest, manifest)) {
+    if (isLoadedOrLoading(pass, versionDigest)) continue;
+    if (!fitsAlongside(pass, versionDigest, manifest)) {
       pass.withoutRoom.push(versionDigest);
       continue;
     }
     pass.orders.push({kind: 'load', versionDigest, manifest});
   }
-  restateLoaded(pass);
+  announceFencing(pass);
 }
 
-function isThereOrComing(pass: Pass, versionDigest: VersionDigest): boolean {
+function isLoadedOrLoading(pass: Pass, versionDigest: VersionDigest): boolean {
   const {report, takenAt} = pass.observed;
   if (report.loading.includes(versionDigest)) return true;
   if (pass.loaded.some(version => version.versionDigest === versionDigest)) {
     return true;
   }
-  return awaitsEffect(pass.memory, 'load', versionDigest, takenAt);
+  return isEffectPending(pass.memory, 'load', versionDigest, takenAt);
 }
 
 /**
  * Tells a target that checks fencing our number by an order that changes
  * nothing, once in each life of the engine.
  */
-function restateLoaded(pass: Pass): void {
+function announceFencing(pass: Pass): void {
   const {memory, observed, wanted, input} = pass;
   if (wanted.fencing !== 'checked') return;
-  if (memory.fencedLife === observed.report.life) return;
+  if (memory.fencedEngineIncarnation === observed.report.life) return;
   if (pass.orders.length > 0) return;
   const loaded = pass.loaded.find(
     version =>
@@ -46,7 +46,7 @@
   if (loaded === undefined) return;
   const {versionDigest} = loaded;
   const {takenAt} = observed;
-  if (awaitsEffect(memory, 'load', versionDigest, takenAt)) return;
+  if (isEffectPending(memory, 'load', versionDigest, takenAt)) return;
   const manifest = input.verified.get(versionDigest) as Manifest;
   pass.orders.push({kind: 'load', versionDigest, manifest});
 }
--- a/packages/core/src/orders/commands/plan_pass.ts
+++ b/packages/core/src/orders/commands/plan_pass.ts
@@ -1,7 +1,7 @@
 import {unreachable} from '../../kernel/flow';
 import type {ModelName} from '../../types';
 import {
-  forgetGoneVersions,
+  forgetUnloadedVersions,
   loadedVersions,
   type ReconcilerMemory,
 } from '../reconciler_memory';
@@ -13,7 +13,7 @@
   ReconcilerSettings,
   ReportedVersion,
 } from '../types';
-import {fitsBeside} from '../queries/room';
+import {fitsAlongside} from '../queries/engine_memory';
 import {planLoads} from './plan_loads';
 
 const EMPTY_PLAN: ReconcilePlan = {
@@ -67,10 +67,10 @@
     draining: [],
     withoutRoom: [],
   };
-  forgetGoneVersions(memory, observed.report);
+  forgetUnloadedVersions(memory, observed.report);
   for (const version of pass.loaded) {
     if (isWanted(pass, version)) memory.closed.delete(version.versionDigest);
-    else planLeaving(pass, version);
+    else planUnload(pass, version);
   }
   planLoads(pass);
   memory.routable = routableVersions(pass);
@@ -78,14 +78,14 @@
     orders: pass.orders,
     routable: memory.routable,
     needsPermit: [...pass.needsPermit],
-    permitDone: [...input.permits].filter(model => isDone(pass, model)),
+    permitDone: [...input.permits].filter(model => isPermitDone(pass, model)),
     draining: pass.draining,
     withoutRoom: pass.withoutRoom,
   };
 }
 
-function planLeaving(pass: Pass, version: ReportedVersion): void {
-  if (!mayLeave(pass, version)) {
+function planUnload(pass: Pass, version: ReportedVersion): void {
+  if (!mayUnload(pass, version)) {
     pass.memory.closed.delete(version.versionDigest);
     return;
   }
@@ -101,7 +101,7 @@
   pass.orders.push({kind: 'unload', versionDigest: version.versionDigest});
 }
 
-function mayLeave(pass: Pass, version: ReportedVersion): boolean {
+function mayUnload(pass: Pass, version: ReportedVersion): boolean {
   const {model} = version;
   if (servesWanted(pass, model)) return true;
   const wanted = pass.wanted.versions.get(model);
@@ -111,7 +111,7 @@
     // Until the new version is whole here, the old one serves on.
     const manifest = pass.input.verified.get(wanted);
     if (manifest === undefined) return false;
-    if (fitsBeside(pass, wanted, manifest)) return false;
+    if (fitsAlongside(pass, wanted, manifest)) return false;
   }
   // Guards against too many targets without a version at once, which would
   // show as capacity under the floor.
@@ -120,7 +120,7 @@
   return false;
 }
 
-function isDone(pass: Pass, model: ModelName): boolean {
+function isPermitDone(pass: Pass, model: ModelName): boolean {
   if (pass.wanted.versions.has(model)) return servesWanted(pass, model);
   // Guards against a permit returned while the unload is still under way: the
   // target would count as serving and then go. Only the report itself says
--- a/packages/core/src/orders/create_target_reconciler.ts
+++ b/packages/core/src/orders/create_target_reconciler.ts
@@ -22,7 +22,10 @@
       if (memory.fencingSupport === 'ignored') {
         return mayOrder(settings, memory, now);
       }
-      return memory.life !== undefined && memory.fencedLife === memory.life;
+      return (
+        memory.life !== undefined &&
+        memory.fencedEngineIncarnation === memory.life
+      );
     },
     isReplaced: () => memory.replaced,
   };
--- a/packages/core/src/orders/queries/room.ts
+++ b/packages/core/src/orders/queries/engine_memory.ts
@@ -1,6 +1,6 @@
 import type {Bytes, Manifest, VersionDigest} from '../../types';
 import type {Pass} from '../pass';
-import {awaitsEffect} from '../reconciler_memory';
+import {isEffectPending} from '../reconciler_memory';
 
 /** Size of a version's weights. */
 export function sizeOf(manifest: Manifest): Bytes {
@@ -11,7 +11,7 @@
  * Whether a version fits beside all that the engine has or is given.
  * A version that is not known here counts as filling the engine's memory.
  */
-export function fitsBeside(
+export function fitsAlongside(
   pass: Pass,
   wanted: VersionDigest,
   manifest: Manifest,
@@ -20,7 +20,7 @@
   const present = presentVersions(pass).filter(digest => digest !== wanted);
   const {engineMemory} = pass.settings;
   if (engineMemory === undefined) {
-    return !present.some(digest => mayBeOf(pass, digest, manifest.model));
+    return !present.some(digest => mayBelongTo(pass, digest, manifest.model));
   }
   let used = sizeOf(manifest);
   for (const versionDigest of present) {
@@ -34,7 +34,7 @@
 function presentVersions(pass: Pass): readonly VersionDigest[] {
   const {report, takenAt} = pass.observed;
   const ordered = [...pass.input.verified.keys()].filter(digest =>
-    awaitsEffect(pass.memory, 'load', digest, takenAt),
+    isEffectPending(pass.memory, 'load', digest, takenAt),
   );
   const planned = pass.orders
     .filter(order => order.kind === 'load')
@@ -43,7 +43,11 @@
   return [...new Set([...loaded, ...report.loading, ...ordered, ...planned])];
 }
 
-function mayBeOf(pass: Pass, digest: VersionDigest, model: string): boolean {
+function mayBelongTo(
+  pass: Pass,
+  digest: VersionDigest,
+  model: string,
+): boolean {
   const known =
     pass.input.verified.get(digest)?.model ??
     pass.observed.report.loaded.find(
--- a/packages/core/src/orders/reconciler_memory.ts
+++ b/packages/core/src/orders/reconciler_memory.ts
@@ -16,7 +16,7 @@
   readonly closed: Set<VersionDigest>;
   routable: readonly ReportedVersion[];
   /** The engine's life in which it accepted our fencing number. */
-  fencedLife: string | undefined;
+  fencedEngineIncarnation: string | undefined;
   fencingSupport: FencingSupport | undefined;
   replaced: boolean;
 }
@@ -28,14 +28,14 @@
     answeredAt: new Map(),
     closed: new Set(),
     routable: [],
-    fencedLife: undefined,
+    fencedEngineIncarnation: undefined,
     fencingSupport: undefined,
     replaced: false,
   };
 }
 
 /** Forgets closed versions that the engine no longer has. */
-export function forgetGoneVersions(
+export function forgetUnloadedVersions(
   memory: ReconcilerMemory,
   report: EngineReport,
 ): void {
@@ -46,28 +46,28 @@
 }
 
 /** Notes an order as under way: no report shows its effect for certain. */
-export function noteSent(memory: ReconcilerMemory, order: EngineOrder): void {
-  const name = orderName(order.kind, order.versionDigest);
+export function recordSent(memory: ReconcilerMemory, order: EngineOrder): void {
+  const name = orderKey(order.kind, order.versionDigest);
   memory.answeredAt.set(name, Number.POSITIVE_INFINITY);
 }
 
 /** Notes when an order was answered. */
-export function noteAnswered(
+export function recordAnswered(
   memory: ReconcilerMemory,
   order: EngineOrder,
   now: MonotonicInstant,
 ): void {
-  memory.answeredAt.set(orderName(order.kind, order.versionDigest), now);
+  memory.answeredAt.set(orderKey(order.kind, order.versionDigest), now);
 }
 
 /** Whether a report is too old to show what an order came to. */
-export function awaitsEffect(
+export function isEffectPending(
   memory: ReconcilerMemory,
   kind: EngineOrder['kind'],
   versionDigest: VersionDigest,
   takenAt: MonotonicInstant,
 ): boolean {
-  const answeredAt = memory.answeredAt.get(orderName(kind, versionDigest));
+  const answeredAt = memory.answeredAt.get(orderKey(kind, versionDigest));
   return answeredAt !== undefined && takenAt <= answeredAt;
 }
 
@@ -81,11 +81,11 @@
   // be unloaded too, or requests would go to a version that is gone.
   return observed.report.loaded.filter(
     ({versionDigest}) =>
-      !awaitsEffect(memory, 'unload', versionDigest, observed.takenAt),
+      !isEffectPending(memory, 'unload', versionDigest, observed.takenAt),
   );
 }
 
-function orderName(
+function orderKey(
   kind: EngineOrder['kind'],
   versionDigest: VersionDigest,
 ): string {
--- a/packages/core/src/ownership/commands/finish_move.ts
+++ b/packages/core/src/ownership/commands/finish_move.ts
@@ -22,7 +22,7 @@
   TableRow,
   TableTransaction,
 } from '../../types';
-import {findAwaited} from '../queries/find_awaited';
+import {findAwaitedProcesses} from '../queries/find_awaited';
 import {openItems, type MoveDirection} from '../queries/open_items';
 import type {
   MoveEffect,
@@ -33,7 +33,7 @@
 } from '../types';
 
 /** Pause before the processes or the platform are asked again. */
-const ASK_AGAIN: Milliseconds = 500;
+const RETRY_INTERVAL: Milliseconds = 500;
 
 /** A move to be carried to its end. */
 export interface FinishMoveOptions extends CommitOptions {
@@ -66,12 +66,12 @@
   for (;;) {
     const move = yield* readMove(options);
     if (move.kind === 'settled') return move.result;
-    if (move.kind === 'known') yield* step(options, move);
-    else yield* waitFor(ASK_AGAIN);
+    if (move.kind === 'known') yield* advanceMove(options, move);
+    else yield* waitFor(RETRY_INTERVAL);
   }
 }
 
-type KnownMove =
+type MoveLookup =
   | {
       readonly kind: 'settled';
       readonly result: Result<MoveOutcome, MoveFault>;
@@ -83,7 +83,7 @@
     }
   | {readonly kind: 'unreadable'};
 
-function* readMove(options: FinishMoveOptions): MoveFlow<KnownMove> {
+function* readMove(options: FinishMoveOptions): MoveFlow<MoveLookup> {
   const {moveId} = options;
   const key = moveKey(moveId);
   const row = yield* readRow(key);
@@ -98,13 +98,13 @@
   return {kind: 'settled', result: new Ok({kind, generation})};
 }
 
-function failed(fault: MoveFault): KnownMove {
+function failed(fault: MoveFault): MoveLookup {
   return {kind: 'settled', result: new Err(fault)};
 }
 
-function* step(
+function* advanceMove(
   options: FinishMoveOptions,
-  known: Extract<KnownMove, {kind: 'known'}>,
+  known: Extract<MoveLookup, {kind: 'known'}>,
 ): MoveFlow<void> {
   const {move} = known;
   // Failure: the new side opens while a process still acts for the old one.
@@ -112,7 +112,7 @@
   if (options.direction === 'forward' && !(yield* isClosed(move))) return;
   const rows = yield* readConfiguration(options, move, known.version);
   if (rows === undefined) {
-    yield* waitFor(ASK_AGAIN);
+    yield* waitFor(RETRY_INTERVAL);
     return;
   }
   const reply = yield {
@@ -121,7 +121,7 @@
   };
   if (reply.kind !== 'commit') throw new Error('driver: expected a commit');
   // Whatever the outcome, the move's row says what happened: it is read next.
-  if (!reply.result.ok) yield* waitFor(ASK_AGAIN);
+  if (!reply.result.ok) yield* waitFor(RETRY_INTERVAL);
 }
 
 /** Whether both sides are closed; tells whom it waits for and pauses if not. */
@@ -129,9 +129,13 @@
   const reply = yield {kind: 'readProcesses'};
   if (reply.kind !== 'processes') throw new Error('driver: expected processes');
   const {items} = move.move;
-  const processes = findAwaited(move.closedAt, items, reply.reports);
+  const processes = findAwaitedProcesses(move.closedAt, items, reply.reports);
   if (processes.length === 0) return true;
-  const waited = yield {kind: 'awaitProcesses', processes, duration: ASK_AGAIN};
+  const waited = yield {
+    kind: 'awaitProcesses',
+    processes,
+    duration: RETRY_INTERVAL,
+  };
   if (waited.kind !== 'waited') throw new Error('driver: expected a pause');
   return false;
 }
--- a/packages/core/src/ownership/queries/find_awaited.ts
+++ b/packages/core/src/ownership/queries/find_awaited.ts
@@ -1,38 +1,38 @@
 import {unreachable} from '../../kernel/flow';
 import type {Generation, Milliseconds} from '../../types';
 import type {MoveItem} from '../../configuration';
-import type {AwaitedProcess, OutEvidence, ProcessReport} from '../types';
+import type {AwaitedProcess, StopEvidence, ProcessReport} from '../types';
 
 /** A list that lags by seconds must have said "gone" for so long. */
-const DELISTED_LONG_ENOUGH: Milliseconds = 30_000;
+const MIN_DELISTED_TIME: Milliseconds = 30_000;
 
 /** Allowance for clocks that run at slightly different rates. */
 const LEASE_MARGIN: Milliseconds = 2_000;
 
 /** Processes that may still act on a configuration before `generation`. */
-export function findAwaited(
+export function findAwaitedProcesses(
   generation: Generation,
   items: readonly MoveItem[],
   reports: readonly ProcessReport[],
 ): readonly AwaitedProcess[] {
   const awaited = reports
-    .map(report => whyAwaited(report, generation, items))
+    .map(report => checkReport(report, generation, items))
     .filter(process => process !== undefined);
   const olderSystem = reports.filter(report => report.side === 'older-system');
-  const isUnheard = olderSystem.length === 0;
+  const isOlderSystemMissing = olderSystem.length === 0;
   return [
     ...awaited,
-    ...findNotAsked(reports),
-    ...(isUnheard ? [OLDER_SYSTEM_UNHEARD] : []),
+    ...findNotQueried(reports),
+    ...(isOlderSystemMissing ? [OLDER_SYSTEM_NOT_REPORTED] : []),
   ];
 }
 
-const OLDER_SYSTEM_UNHEARD: AwaitedProcess = {
+const OLDER_SYSTEM_NOT_REPORTED: AwaitedProcess = {
   process: 'older-system',
   reason: 'noWordFromOlderSystem',
 };
 
-function whyAwaited(
+function checkReport(
   report: ProcessReport,
   generation: Generation,
   items: readonly MoveItem[],
@@ -49,7 +49,7 @@
       // Failure: a frozen or cut off process goes on serving when it wakes.
       return {process, reason: 'silent'};
     case 'out':
-      if (isSurelyOut(report.evidence)) return undefined;
+      if (isProvenStopped(report.evidence)) return undefined;
       return {process, reason: 'notSurelyOut'};
     default:
       return unreachable(report);
@@ -72,7 +72,7 @@
  * peer, and is on no list when the move asks. That peer has heard its hello
  * before, so it names it here, or it had the new generation to tell by then.
  */
-function findNotAsked(
+function findNotQueried(
   reports: readonly ProcessReport[],
 ): readonly AwaitedProcess[] {
   const asked = new Set(reports.map(report => report.process));
@@ -85,7 +85,7 @@
 }
 
 /** Whether the evidence excludes that the process still serves or orders. */
-export function isSurelyOut(evidence: OutEvidence): boolean {
+export function isProvenStopped(evidence: StopEvidence): boolean {
   switch (evidence.kind) {
     case 'goodbye':
     case 'declared':
@@ -93,7 +93,7 @@
     case 'leaseEnded':
       return evidence.since >= LEASE_MARGIN;
     case 'delisted':
-      return evidence.since >= DELISTED_LONG_ENOUGH;
+      return evidence.since >= MIN_DELISTED_TIME;
     default:
       return unreachable(evidence);
   }
--- a/packages/core/src/ownership/types.ts
+++ b/packages/core/src/ownership/types.ts
@@ -11,7 +11,7 @@
 import type {TableFlowEffect, TableFlowReply} from '../configuration';
 
 /** Why a process can't serve or order any more. */
-export type OutEvidence =
+export type StopEvidence =
   /** It said goodbye, after it had finished what was in progress. */
   | {readonly kind: 'goodbye'}
   /** Its lease ended so long ago; it stops itself before the lease ends. */
@@ -43,7 +43,7 @@
       readonly kind: 'out';
       readonly process: InstanceName;
       readonly side: Owner;
-      readonly evidence: OutEvidence;
+      readonly evidence: StopEvidence;
     };
 
 /** A process that a move waits for, and why. */
--- a/packages/core/src/placement/allowance.ts
+++ b/packages/core/src/placement/allowance.ts
@@ -3,7 +3,7 @@
 import type {EngineLoad, SendingEntry} from './types';
 
 /** An entry's place among those that share the free slots of a zone's engines. */
-export interface SharePlace {
+export interface SlotShare {
   readonly isNear: boolean;
   /** Entries that share, and this one's number among them. */
   readonly count: number;
@@ -11,13 +11,13 @@
 }
 
 /** Names a report alike at all entries that get it. */
-export type ReportName = Pick<EngineLoad, 'address' | 'sequence'>;
+export type ReportKey = Pick<EngineLoad, 'address' | 'sequence'>;
 
 /**
  * Free slots that are left to entries of the engine's own zone. Bytes between
  * zones cost, and near entries know an engine's load sooner.
  */
-const KEPT_FOR_NEAR = 3;
+const RESERVED_NEAR_SLOTS = 3;
 
 /**
  * Requests that an engine is given within one report by near entries. Prompts
@@ -25,17 +25,17 @@
  * that comes back empty would be given 16 at once: medians of 525 ms to the
  * first event in the seconds after a load, 408 ms with five, 205 with three.
  */
-const MOST_NEAR_STARTS = 3;
+const MAX_NEAR_STARTS = 3;
 
 /** The same for entries of other zones, whose reports come a third as often. */
-const MOST_FAR_STARTS = 2;
+const MAX_FAR_STARTS = 2;
 
 /** The place of `self` among the entries that share an engine of `zone`. */
-export function sharePlace(
+export function slotShareOf(
   self: SendingEntry,
   entries: readonly SendingEntry[],
   zone: ZoneName,
-): SharePlace {
+): SlotShare {
   const near = entries.filter(entry => entry.zone === zone);
   const isNear = self.zone === zone || near.length === 0;
   const group = isNear && near.length > 0 ? near : entries;
@@ -56,18 +56,18 @@
  * slots are dealt out by number, and whose turn it is moves on with each
  * report, so that together the entries fill each slot once.
  */
-export function allowance(
+export function slotAllowance(
   free: number,
-  place: SharePlace,
-  report: ReportName,
+  place: SlotShare,
+  report: ReportKey,
 ): number {
   const shared = place.isNear
-    ? Math.min(free, MOST_NEAR_STARTS)
-    : Math.min(free - KEPT_FOR_NEAR, MOST_FAR_STARTS);
+    ? Math.min(free, MAX_NEAR_STARTS)
+    : Math.min(free - RESERVED_NEAR_SLOTS, MAX_FAR_STARTS);
   if (shared <= 0) return 0;
   const each = Math.floor(shared / place.count);
   const rest = shared % place.count;
-  return each + (turnOf(place, report) < rest ? 1 : 0);
+  return each + (turnPosition(place, report) < rest ? 1 : 0);
 }
 
 /**
@@ -79,9 +79,9 @@
  * ms for a place and is refused, while six in ten are free. Guard: turns differ
  * by engine.
  */
-export function turnOf(
-  place: SharePlace,
-  {address, sequence}: ReportName,
+export function turnPosition(
+  place: SlotShare,
+  {address, sequence}: ReportKey,
 ): number {
   return (place.index + hash32(`${address} ${sequence}`)) % place.count;
 }
--- a/packages/core/src/placement/cold_targets.ts
+++ b/packages/core/src/placement/cold_targets.ts
@@ -4,14 +4,14 @@
   Milliseconds,
   MonotonicInstant,
   ServiceName,
-  TargetLife,
+  TargetIncarnation,
 } from '../types';
 import {
-  isFormerLife,
-  nameOfLife,
-  type LivingTarget,
-  type OfLife,
-} from './target_life';
+  isEarlierIncarnation,
+  targetIncarnationKey,
+  type TargetIdentity,
+  type IncarnationStamp,
+} from './target_incarnation';
 import type {ListedTarget} from './types';
 
 /**
@@ -39,20 +39,20 @@
   ) => void;
   /** Takes a report, which may show a life that the list doesn't have yet. */
   readonly report: (
-    load: OfLife & {readonly address: string},
+    load: IncarnationStamp & {readonly address: string},
     now: MonotonicInstant,
   ) => void;
-  readonly isCold: (target: LivingTarget, now: MonotonicInstant) => boolean;
+  readonly isCold: (target: TargetIdentity, now: MonotonicInstant) => boolean;
   /** Requests a second from all entries together; undefined for no limit. */
   readonly rateOf: (
-    life: TargetLife,
+    life: TargetIncarnation,
     now: MonotonicInstant,
   ) => number | undefined;
   /** All targets that are cold. */
   readonly all: (now: MonotonicInstant) => readonly ColdTarget[];
 }
 
-interface NotedLife extends ColdTarget {
+interface ColdIncarnation extends ColdTarget {
   /** What the target said last; undefined if only a report shows this life. */
   readonly said: Milliseconds | undefined;
 }
@@ -67,18 +67,18 @@
 export function createColdTargets(
   coldStartOf: (service: ServiceName) => ColdStart | undefined,
 ): ColdTargets {
-  let noted = new Map<TargetLife, NotedLife>();
+  let noted = new Map<TargetIncarnation, ColdIncarnation>();
   let listed = new Map<string, ListedTarget>();
 
   function list(targets: readonly ListedTarget[], now: MonotonicInstant): void {
     const instances = new Set(targets.map(({instance}) => instance));
-    const isKept = ([, life]: [TargetLife, NotedLife]): boolean =>
+    const isKept = ([, life]: [TargetIncarnation, ColdIncarnation]): boolean =>
       life.said === undefined &&
       instances.has(life.instance) &&
       now < life.until + RAMP_TIME;
     const next = new Map([...noted].filter(isKept));
     for (const target of targets) {
-      const life = nameOfLife(target);
+      const life = targetIncarnationKey(target);
       const {instance, service, coldFor: said} = target;
       const known = noted.get(life);
       if (known?.said === said) next.set(life, known);
@@ -92,27 +92,30 @@
   }
 
   function report(
-    load: OfLife & {readonly address: string},
+    load: IncarnationStamp & {readonly address: string},
     now: MonotonicInstant,
   ): void {
     const target = listed.get(load.address);
-    if (target === undefined || !isFormerLife(target, load)) return;
+    if (target === undefined || !isEarlierIncarnation(target, load)) return;
     const {instance, service} = target;
-    const life = nameOfLife({instance, born: load.born});
+    const life = targetIncarnationKey({instance, born: load.born});
     const duration = coldStartOf(service)?.duration;
     if (duration === undefined || noted.has(life)) return;
     const until = now + duration;
     noted.set(life, {instance, service, said: undefined, until});
   }
 
-  function isColdLife(
-    {service, until}: NotedLife,
+  function isColdIncarnation(
+    {service, until}: ColdIncarnation,
     now: MonotonicInstant,
   ): boolean {
     return now < until && coldStartOf(service) !== undefined;
   }
 
-  function rateOf(life: TargetLife, now: MonotonicInstant): number | undefined {
+  function rateOf(
+    life: TargetIncarnation,
+    now: MonotonicInstant,
+  ): number | undefined {
     const known = noted.get(life);
     if (known === undefined) return undefined;
     const warmFor = Math.max(0, now - known.until);
@@ -125,17 +128,18 @@
     list,
     report,
     isCold: (target, now) => {
-      const known = noted.get(nameOfLife(target));
-      return known !== undefined && isColdLife(known, now);
+      const known = noted.get(targetIncarnationKey(target));
+      return known !== undefined && isColdIncarnation(known, now);
     },
     rateOf,
-    all: now => [...noted.values()].filter(life => isColdLife(life, now)),
+    all: now =>
+      [...noted.values()].filter(life => isColdIncarnation(life, now)),
   };
 }
 
 /** When a target that says it is warm has become so; the past if it never was cold. */
 function endOf(
-  known: NotedLife | undefined,
+  known: ColdIncarnation | undefined,
   now: MonotonicInstant,
 ): MonotonicInstant {
   return Math.min(known?.until ?? -Infinity, now);
--- a/packages/core/src/placement/directory_choice.ts
+++ b/packages/core/src/placement/directory_choice.ts
@@ -9,7 +9,7 @@
 }
 
 /** Who asks for entries, and for what. */
-export interface EntryQuestion {
+export interface EntryQuery {
   readonly zone: ZoneName | undefined;
   readonly region: RegionName | undefined;
   /** Regions that all routes of the host with residency allow, if any has. */
@@ -17,10 +17,10 @@
 }
 
 /** Entries named at least, so that a caller has another when one fails. */
-const LEAST_ENTRIES = 2;
+const MIN_ENTRIES = 2;
 
 /** Most addresses in one answer. */
-const MOST_ENTRIES = 64;
+const MAX_ENTRIES = 64;
 
 /**
  * The addresses for a caller: the entries of its own zone, else of its own
@@ -29,7 +29,7 @@
  */
 export function chooseEntries(
   entries: readonly UsableEntry[],
-  {zone, region, allowedRegions}: EntryQuestion,
+  {zone, region, allowedRegions}: EntryQuery,
 ): readonly string[] {
   const circles = [
     entries.filter(entry => entry.zone === zone),
@@ -40,8 +40,8 @@
         allowedRegions?.has(entry.region) === true,
     ),
   ];
-  const near = circles.find(circle => circle.length >= LEAST_ENTRIES);
+  const near = circles.find(circle => circle.length >= MIN_ENTRIES);
   return (near ?? entries)
-    .slice(0, MOST_ENTRIES)
+    .slice(0, MAX_ENTRIES)
     .map(entry => entry.callerAddress);
 }
--- a/packages/core/src/placement/engine_times.ts
+++ b/packages/core/src/placement/engine_times.ts
@@ -5,7 +5,7 @@
 const MILLION = 1_000_000;
 
 /** Times that steps take longer beside the prompts of others; 60 ms for 42. */
-const PROMPTS_SLOW_STEPS = 1.4;
+const PREFILL_SLOWDOWN = 1.4;
 
 /** Time in which an engine reads a prompt, with nothing before it. */
 export function promptTime(
@@ -21,10 +21,10 @@
 }
 
 /** Time in which a busy engine writes an answer. */
-export function writingTime(
+export function generationTime(
   profile: EngineProfile,
   tokens: number,
 ): Milliseconds {
   const step = profile.stepTime + profile.slots * profile.stepTimePerRequest;
-  return tokens * step * PROMPTS_SLOW_STEPS;
+  return tokens * step * PREFILL_SLOWDOWN;
 }
--- a/packages/core/src/placement/engine_turns.ts
+++ b/packages/core/src/placement/engine_turns.ts
@@ -1,13 +1,13 @@
 import type {Milliseconds, MonotonicInstant} from '../types';
-import {allowance, turnOf, type SharePlace} from './allowance';
-import {isReported, type TargetEntry} from './target_entry';
+import {slotAllowance, turnPosition, type SlotShare} from './allowance';
+import {isReported, type TargetRecord} from './target_record';
 import type {EngineLoad, ListedTarget} from './types';
 
 /** Time after which turns at an engine of the own zone move on without a report. */
-const NEAR_TURN: Milliseconds = 100;
+const NEAR_TURN_PERIOD: Milliseconds = 100;
 
 /** The same at engines of other zones, whose reports come a third as often. */
-const FAR_TURN: Milliseconds = 300;
+const FAR_TURN_PERIOD: Milliseconds = 300;
 
 /** What an entry may fill of an engine's free slots. */
 export interface EngineTurn {
@@ -16,17 +16,17 @@
   /** Share of the entries whose turn at this engine is before this one's. */
   readonly before: number;
   /** How often turns have moved on since the last report. */
-  readonly moved: number;
+  readonly advances: number;
 }
 
 /** Of an engine that nothing is known of. */
-export const NO_TURN: EngineTurn = {allowed: 0, before: 0, moved: 0};
+export const NO_TURN: EngineTurn = {allowed: 0, before: 0, advances: 0};
 
 /** An entry's turn at a report, or after turns have moved on since. */
 export function turnAt(
   target: ListedTarget,
   load: EngineLoad,
-  place: SharePlace,
+  place: SlotShare,
   moved = 0,
 ): EngineTurn {
   const report = {
@@ -35,9 +35,9 @@
   };
   const used = load.running + load.waiting;
   return {
-    allowed: allowance(target.slots - used, place, report),
-    before: turnOf(place, report) / place.count,
-    moved,
+    allowed: slotAllowance(target.slots - used, place, report),
+    before: turnPosition(place, report) / place.count,
+    advances: moved,
   };
 }
 
@@ -48,14 +48,16 @@
  * turn it is not waits for that long. Guard: turns move on between reports, as the
  * sequence of reports does, so that all entries agree on them.
  */
-export function moveTurn(
-  entry: TargetEntry,
-  place: SharePlace,
+export function advanceTurn(
+  entry: TargetRecord,
+  place: SlotShare,
   now: MonotonicInstant,
 ): void {
   const {report, target, share} = entry;
   if (report === undefined || !isReported(entry, now)) return;
-  const period = place.isNear ? NEAR_TURN : FAR_TURN;
+  const period = place.isNear ? NEAR_TURN_PERIOD : FAR_TURN_PERIOD;
   const moved = Math.floor((now - entry.reportedAt) / period);
-  if (moved !== share.moved) entry.share = turnAt(target, report, place, moved);
+  if (moved !== share.advances) {
+    entry.share = turnAt(target, report, place, moved);
+  }
 }
--- a/packages/core/src/placement/evacuations.ts
+++ b/packages/core/src/placement/evacuations.ts
@@ -34,11 +34,11 @@
  */
 export function createEvacuations(): Evacuations {
   let evacuated: ReadonlyMap<ZoneName, EvacuatedZone> = new Map();
-  let knownUntil = -Infinity;
+  let latestRevision = -Infinity;
 
   function replace(zones: readonly EvacuatedZone[], revision: number): void {
-    if (revision < knownUntil) return;
-    knownUntil = revision;
+    if (revision < latestRevision) return;
+    latestRevision = revision;
     evacuated = new Map(zones.map(zone => [zone.zone, zone]));
   }
 
@@ -48,12 +48,12 @@
   ): void {
     const next = new Map(evacuated);
     for (const {zone, revision: writtenAt, isEvacuated} of changes) {
-      if (writtenAt <= knownUntil) continue;
+      if (writtenAt <= latestRevision) continue;
       if (isEvacuated) next.set(zone, {zone, revision: writtenAt});
       else next.delete(zone);
     }
     evacuated = next;
-    knownUntil = Math.max(knownUntil, revision);
+    latestRevision = Math.max(latestRevision, revision);
   }
 
   return {
--- a/packages/core/src/placement/answer_times.ts
+++ b/packages/core/src/placement/first_event_times.ts
@@ -1,7 +1,7 @@
 import type {Milliseconds, ServiceName} from '../types';
 
 /** Time from a place at a target to the first part of its answer. */
-export interface AnswerTimes {
+export interface FirstEventTimes {
   /** `own` is the part of the time that the request's own prompt took. */
   readonly record: (
     service: ServiceName,
@@ -41,7 +41,7 @@
  * wait for a place as if they took no longer: they are late while others are
  * early. Guard: only what a request waits beside its own prompt is learned.
  */
-export function createAnswerTimes(): AnswerTimes {
+export function createFirstEventTimes(): FirstEventTimes {
   const services = new Map<ServiceName, Seen>();
 
   function record(
--- a/packages/core/src/placement/handover.ts
+++ b/packages/core/src/placement/handover.ts
@@ -5,7 +5,7 @@
  * elsewhere, some 50 ms of an engine, and its caller sees a pause of 150 to
  * 250 ms; one that ends sooner keeps its engine from loading for no longer.
  */
-const LEAST_REMAINING: Milliseconds = 300;
+const MIN_REMAINING_TIME: Milliseconds = 300;
 
 /**
  * Whether a stream at an engine that is to load weights goes on elsewhere.
@@ -14,5 +14,5 @@
  * of the others stand idle and requests are refused for want of places.
  */
 export function isWorthMoving(remaining: Milliseconds): boolean {
-  return remaining >= LEAST_REMAINING;
+  return remaining >= MIN_REMAINING_TIME;
 }
--- a/packages/core/src/placement/target_memory.ts
+++ b/packages/core/src/placement/memory_tracker.ts
@@ -2,20 +2,20 @@
   createRequestSizes,
   hasMemory,
   type MemoryNeed,
-  type SeenSize,
+  type SizeStatistics,
 } from '../memory';
 import type {Milliseconds, MonotonicInstant, ServiceName} from '../types';
-import {turnOf, type SharePlace} from './allowance';
-import type {EngineLoad, ListedTarget, PlaceNeed} from './types';
+import {turnPosition, type SlotShare} from './allowance';
+import type {EngineLoad, ListedTarget, PlacementRequest} from './types';
 
 /** Age of a report where it is used, within which sends may not show in it. */
-const REPORT_DELAY: Milliseconds = 300;
+const MAX_REPORT_DELAY: Milliseconds = 300;
 
 /** How long requests run at most that an old report shows. */
-const REPORTED_RUN: Milliseconds = 10_000;
+const MAX_REPORTED_RUN: Milliseconds = 10_000;
 
 /** Own requests at an engine, for its memory. */
-export interface OwnMemory {
+export interface OwnMemoryUse {
   readonly sends: Set<OwnSend>;
 }
 
@@ -25,42 +25,45 @@
 }
 
 /** What is needed of a target to judge its memory. */
-export interface RememberedTarget {
+export interface MemoryTarget {
   readonly target: ListedTarget;
   readonly report: EngineLoad | undefined;
   readonly reportedAt: MonotonicInstant;
-  readonly memory: OwnMemory;
+  readonly memory: OwnMemoryUse;
 }
 
 /** Judges the memory of engines, by own sends and by reports. */
-export interface TargetMemory {
+export interface MemoryTracker {
   /** Notes a send at a target; the returned function notes its end. */
   readonly begin: (
-    entry: RememberedTarget,
+    entry: MemoryTarget,
     need: MemoryNeed | undefined,
     now: MonotonicInstant,
   ) => () => void;
   /** Whether a target has memory for a request; true if its profile names none. */
   readonly hasRoom: (
-    entry: RememberedTarget,
-    need: PlaceNeed,
-    place: SharePlace,
+    entry: MemoryTarget,
+    need: PlacementRequest,
+    place: SlotShare,
     senders: number,
     isReported: boolean,
   ) => boolean;
 }
 
 /** Creates the own sends of a life of a target. */
-export function createOwnMemory(): OwnMemory {
+export function createOwnMemoryUse(): OwnMemoryUse {
   return {sends: new Set()};
 }
 
 /** Creates the judge; it learns how large the requests of each service are. */
-export function createTargetMemory(): TargetMemory {
+export function createMemoryTracker(): MemoryTracker {
   const sizes = createRequestSizes();
   const outputs = createRequestSizes();
 
-  function seenOr(seen: SeenSize | undefined, size: number): SeenSize {
+  function seenOr(
+    seen: SizeStatistics | undefined,
+    size: number,
+  ): SizeStatistics {
     return seen ?? {mean: size, deviation: size / 2};
   }
 
@@ -83,15 +86,15 @@
     hasRoom: (entry, need, place, senders, isReported) => {
       if (need.memory === undefined) return true;
       const {target, report, reportedAt, memory} = entry;
-      const saysStill = need.now - reportedAt < REPORTED_RUN;
+      const saysStill = need.now - reportedAt < MAX_REPORTED_RUN;
       const all = [...memory.sends];
       const started = all.filter(({at}) => at >= reportedAt);
-      const unseen = all.filter(({at}) => at > reportedAt - REPORT_DELAY);
+      const unseen = all.filter(({at}) => at > reportedAt - MAX_REPORT_DELAY);
       const engine = {
         slots: target.slots,
         report: report && saysStill ? reportedMemory(report) : undefined,
         isReported,
-        ownUnseen: report && saysStill ? tokensOf(unseen) : 0,
+        ownUnreported: report && saysStill ? tokensOf(unseen) : 0,
         ownStarts: started.length,
         ownTokens: tokensOf(all),
         ...sizesOf(need.service, need.memory),
@@ -99,7 +102,7 @@
       return hasMemory(engine, need.memory, {
         senders,
         isNear: place.isNear,
-        before: report === undefined ? 0 : turnOf(place, report),
+        before: report === undefined ? 0 : turnPosition(place, report),
       });
     },
   };
--- a/packages/core/src/placement/version_rule.ts
+++ b/packages/core/src/placement/named_versions.ts
@@ -7,7 +7,7 @@
  * bound. Waits of 1.22 and 1.65 s were seen while few engines served, of requests
  * that were sent 1.04 and 1.39 s before it.
  */
-export const VERSION_MARGIN = 1_500;
+export const VERSION_BOUND_MARGIN = 1_500;
 
 /**
  * Longest time that a request needs to a target in another zone, in
@@ -16,7 +16,7 @@
  * were sent in time begin on an older version 1.2 s after its bound; 2 s were
  * seen between the send and the target.
  */
-export const FAR_DELAY = 2_500;
+export const MAX_FAR_DELAY = 2_500;
 
 /** That a version was named, and since when that is known somewhere. */
 export interface VersionNaming {
@@ -42,7 +42,7 @@
    * The oldest version that may start a request which takes `delay` to reach its
    * target; undefined if any may.
    */
-  readonly least: (
+  readonly oldestAllowed: (
     model: ModelName,
     now: MonotonicInstant,
     delay: Milliseconds,
@@ -53,7 +53,7 @@
 }
 
 /** Names told to others; two follow one another within a bound at most. */
-const RECENT = 3;
+const RECENT_NAMINGS = 3;
 
 /**
  * Creates the memory of named versions.
@@ -80,7 +80,7 @@
       return isNew;
     },
     newest,
-    least: (model, now, delay) =>
+    oldestAllowed: (model, now, delay) =>
       namings
         .get(model)
         ?.findLast(({knownSince}) => now + delay - knownSince >= bound)
@@ -92,6 +92,7 @@
       }
       return versions;
     },
-    recent: () => [...namings.values()].flatMap(known => known.slice(-RECENT)),
+    recent: () =>
+      [...namings.values()].flatMap(known => known.slice(-RECENT_NAMINGS)),
   };
 }
--- a/packages/core/src/placement/rate_limits.ts
+++ b/packages/core/src/placement/rate_limits.ts
@@ -1,12 +1,12 @@
-import type {MonotonicInstant, TargetLife} from '../types';
-import {createChangingRows, type ChangedRows} from '../utils/changing_rows';
+import type {MonotonicInstant, TargetIncarnation} from '../types';
+import {createRevisionedRows, type ChangedRows} from '../utils/revisioned_rows';
 
 /** Targets whose limits are remembered. */
-const MOST_TARGETS = 1_000;
+const MAX_TARGETS = 1_000;
 
 /** The limit that one life of a target has named, or that it names none. */
 export interface RateLimitRecord {
-  readonly life: TargetLife;
+  readonly life: TargetIncarnation;
   /** Requests a second from all entries together; undefined for no limit. */
   readonly rate: number | undefined;
   /** Grows with each change that any entry has seen. */
@@ -15,7 +15,7 @@
 
 /** An answer of a target, as far as its limit is concerned. */
 export interface LimitedAnswer {
-  readonly life: TargetLife;
+  readonly life: TargetIncarnation;
   readonly rate: number | undefined;
   /** When the request was sent. */
   readonly sentAt: MonotonicInstant;
@@ -24,7 +24,7 @@
 /** The limits that targets have named. */
 export interface RateLimits {
   /** Takes an answer seen here; returns whether it changes the limit. */
-  readonly noteAnswer: (answer: LimitedAnswer) => boolean;
+  readonly recordAnswer: (answer: LimitedAnswer) => boolean;
   /** Takes what another entry knows; returns whether it is newer. */
   readonly merge: (record: RateLimitRecord) => boolean;
   /** Records that changed after `revision`, no more than `most`. */
@@ -33,12 +33,12 @@
     most: number,
   ) => ChangedRows<RateLimitRecord>;
   /** The limit in force; undefined if there is none. */
-  readonly rateOf: (life: TargetLife) => number | undefined;
+  readonly rateOf: (life: TargetIncarnation) => number | undefined;
 }
 
 interface HeldLimit extends RateLimitRecord {
   /** When the target was last known here to say so. */
-  notedAt: MonotonicInstant;
+  confirmedAt: MonotonicInstant;
 }
 
 /**
@@ -46,16 +46,20 @@
  * edition counts, and of one edition the stricter, so that all come to the same.
  */
 export function createRateLimits(clock: () => MonotonicInstant): RateLimits {
-  const limits = createChangingRows<HeldLimit>(MOST_TARGETS);
+  const limits = createRevisionedRows<HeldLimit>(MAX_TARGETS);
 
-  function noteAnswer({life, rate, sentAt}: LimitedAnswer): boolean {
+  function recordAnswer({life, rate, sentAt}: LimitedAnswer): boolean {
     const held = limits.get(life);
     if (held?.rate === rate) {
-      if (held !== undefined) held.notedAt = clock();
+      if (held !== undefined) held.confirmedAt = clock();
       return false;
     }
     // An answer to an earlier request may have overtaken the one with the limit.
-    if (rate === undefined && held !== undefined && sentAt <= held.notedAt) {
+    if (
+      rate === undefined &&
+      held !== undefined &&
+      sentAt <= held.confirmedAt
+    ) {
       return false;
     }
     set({life, rate, edition: (held?.edition ?? 0) + 1});
@@ -70,11 +74,11 @@
   }
 
   function set({life, rate, edition}: RateLimitRecord): void {
-    limits.set(life, {life, rate, edition, notedAt: clock()});
+    limits.set(life, {life, rate, edition, confirmedAt: clock()});
   }
 
   return {
-    noteAnswer,
+    recordAnswer,
     merge,
     changedSince: limits.changedSince,
     rateOf: life => limits.get(life)?.rate,
--- a/packages/core/src/placement/list_memory.ts
+++ b/packages/core/src/placement/retained_target_list.ts
@@ -1,28 +1,28 @@
 import type {InstanceName, Milliseconds, MonotonicInstant} from '../types';
-import {createLifeMemory} from './life_memory';
+import {createIncarnationMap} from './incarnation_map';
 import type {ListedTarget} from './types';
 
 /** Targets of which is remembered that their lines went. */
-const MOST_GONE = 1_000;
+const MAX_REMOVED_TARGETS = 1_000;
 
 /** Heartbeats without which the store removes a target's line. */
-const LAPSED_HEARTBEATS = 3;
+const HEARTBEATS_TO_EXPIRY = 3;
 
 /** How long the list of targets may lag behind a store that was away. */
-export interface ListMemoryOptions {
+export interface RetainedTargetListOptions {
   /** Period in which targets renew their lines. */
   readonly heartbeat: Milliseconds;
   /** How long after the store's return a missing line may still come back. */
-  readonly returnTime: Milliseconds;
+  readonly recoveryTime: Milliseconds;
 }
 
 /** Knows the targets across an absence of the store. */
-export interface ListMemory {
-  readonly noteFailure: (now: MonotonicInstant) => void;
+export interface RetainedTargetList {
+  readonly recordFailure: (now: MonotonicInstant) => void;
   /** Notes that the store came back from a copy, without its last changes. */
-  readonly noteRestore: (now: MonotonicInstant) => void;
+  readonly recordRestore: (now: MonotonicInstant) => void;
   /** Takes a fresh list; returns the targets to go by. */
-  readonly take: (
+  readonly update: (
     listed: readonly ListedTarget[],
     now: MonotonicInstant,
   ) => readonly ListedTarget[];
@@ -38,14 +38,16 @@
  * One that came back and goes again has really gone, and counts no longer:
  * kept, the target would be sent requests seconds after it had left.
  */
-export function createListMemory(options: ListMemoryOptions): ListMemory {
+export function createRetainedTargetList(
+  options: RetainedTargetListOptions,
+): RetainedTargetList {
   let known: readonly ListedTarget[] = [];
   let lostSince: MonotonicInstant | undefined;
   let keepUntil: MonotonicInstant = -Infinity;
   /** Instances whose lines were listed since the store's return. */
   let cameBack = new Set<InstanceName>();
 
-  const gone = createLifeMemory<boolean>(MOST_GONE);
+  const gone = createIncarnationMap<boolean>(MAX_REMOVED_TARGETS);
   /** Until when a line that had gone may be there by an old copy alone. */
   let doubtUntil: MonotonicInstant = -Infinity;
 
@@ -70,19 +72,19 @@
 
   /** Counts missing lines until their targets have had time to write them. */
   function keepMissing(now: MonotonicInstant): void {
-    keepUntil = now + options.returnTime;
+    keepUntil = now + options.recoveryTime;
     cameBack = new Set();
   }
 
   return {
-    noteFailure: now => {
+    recordFailure: now => {
       lostSince ??= now;
     },
-    noteRestore: now => {
+    recordRestore: now => {
       keepMissing(now);
-      doubtUntil = now + LAPSED_HEARTBEATS * options.heartbeat;
+      doubtUntil = now + HEARTBEATS_TO_EXPIRY * options.heartbeat;
     },
-    take: (read, now) => {
+    update: (read, now) => {
       const listed = withoutGone(read, now);
       if (lostSince !== undefined && now - lostSince >= options.heartbeat) {
         keepMissing(now);
--- a/packages/core/src/placement/service_capacity.ts
+++ b/packages/core/src/placement/service_capacity.ts
@@ -1,14 +1,14 @@
 import type {ServiceCapacity} from '../admission/types';
 import type {MonotonicInstant} from '../types';
-import {isReported, type TargetEntry} from './target_entry';
+import {isReported, type TargetRecord} from './target_record';
 
 /** Paces that count; an engine that misreports its pace has some part in any case. */
-const LEAST_PACE = 0.5;
-const MOST_PACE = 10;
+const MIN_PACE = 0.5;
+const MAX_PACE = 10;
 
 /** What those of `entries` can take that are reported and don't load weights. */
 export function capacityOf(
-  entries: readonly TargetEntry[],
+  entries: readonly TargetRecord[],
   now: MonotonicInstant,
 ): ServiceCapacity {
   let places = 0;
@@ -16,13 +16,14 @@
   let loading = 0;
   let free = 0;
   for (const entry of entries) {
-    const {report, target, ownChange} = entry;
+    const {report, target, ownInFlightChange} = entry;
     if (!isReported(entry, now) || report === undefined) continue;
     if (report.ordering) {
       loading += target.slots;
       continue;
     }
-    const used = report.running + report.waiting + Math.max(0, ownChange);
+    const used =
+      report.running + report.waiting + Math.max(0, ownInFlightChange);
     places += target.slots;
     pacedPlaces += target.slots / boundedPace(report.pace);
     free += Math.max(0, target.slots - used);
@@ -32,5 +33,5 @@
 
 function boundedPace(pace: number): number {
   if (!Number.isFinite(pace)) return 1;
-  return Math.min(MOST_PACE, Math.max(LEAST_PACE, pace));
+  return Math.min(MAX_PACE, Math.max(MIN_PACE, pace));
 }
--- a/packages/core/src/placement/target_choice.ts
+++ b/packages/core/src/placement/target_choice.ts
@@ -9,11 +9,11 @@
 import {costOf} from './target_cost';
 import {
   isReported,
-  REPORT_LIFE,
-  type Placement,
-  type TargetEntry,
-} from './target_entry';
-import type {PlaceNeed} from './types';
+  MAX_REPORT_AGE,
+  type PlacementStrategy,
+  type TargetRecord,
+} from './target_record';
+import type {PlacementRequest} from './types';
 
 /** Error of a forecast, in milliseconds, within which a first event may be late. */
 const FORECAST_ERROR: Milliseconds = 60;
@@ -28,7 +28,7 @@
 const DELAY_SHARE = 0.05;
 
 /** Share of a run's time that counts for the place it holds. */
-const HELD_SHARE = 0.05;
+const RUN_TIME_SHARE = 0.05;
 
 /** What an engine with all places in use weighs beside an idle one. */
 const LOAD_COST: Milliseconds = 50;
@@ -49,49 +49,55 @@
  * times the capacity, entries that take the last few collide there: 33.6% are
  * late with 17 entries, 28.7 with this share, 25.1 by turns alone.
  */
-const MOSTLY_OPEN = 0.5;
+const MIN_OPEN_SHARE = 0.5;
 
 /** Whether places are dealt out to this entry or open to all. */
-type PlaceDeal = keyof typeof TURN_PROMPTS;
+type SlotSource = keyof typeof TURN_PROMPTS;
 
 /** Targets that a request may be sent to. */
-export interface PlaceChoices {
+export interface TargetCandidates {
   /** With a place that is dealt out to this entry. */
-  readonly dealt: readonly TargetEntry[];
+  readonly dealt: readonly TargetRecord[];
   /** With a place, dealt out to this entry or not. */
-  readonly open: readonly TargetEntry[];
+  readonly open: readonly TargetRecord[];
   /** All that could serve the request. */
-  readonly peers: readonly TargetEntry[];
+  readonly peers: readonly TargetRecord[];
 }
 
 /** The target with the least cost; undefined if there is none. */
 export function chooseBest(
-  {dealt, open, peers}: PlaceChoices,
-  need: PlaceNeed,
+  {dealt, open, peers}: TargetCandidates,
+  need: PlacementRequest,
   zone: ZoneName,
-  placement: Placement,
-): TargetEntry | undefined {
-  const {profile, now, firstEventBy} = need;
+  placement: PlacementStrategy,
+): TargetRecord | undefined {
+  const {profile, now, firstEventDeadline} = need;
   if (profile === undefined || placement === 'load') {
-    return leastOf(dealt, entry => costOf(entry, need, zone));
+    return cheapestOf(dealt, entry => costOf(entry, need, zone));
   }
   const {paces, isUneven} = pacesOf(peers, now);
   const paceOf = new Map(peers.map((peer, index) => [peer, paces[index]]));
-  const harmAs = (deal: PlaceDeal) => (entry: TargetEntry) =>
-    harmOf(entry, {need, zone, profile, deal, pace: paceOf.get(entry) ?? 1});
+  const harmAs = (deal: SlotSource) => (entry: TargetRecord) =>
+    forecastCost(entry, {
+      need,
+      zone,
+      profile,
+      deal,
+      pace: paceOf.get(entry) ?? 1,
+    });
   const byDeal = isUneven
-    ? leastOf(dealt, harmAs('dealt'))
-    : leastOf(dealt, entry => costOf(entry, need, zone));
-  if (byDeal !== undefined || firstEventBy === undefined) return byDeal;
-  if (open.length < peers.length * MOSTLY_OPEN) return undefined;
-  return leastOf(open, harmAs('open'));
+    ? cheapestOf(dealt, harmAs('dealt'))
+    : cheapestOf(dealt, entry => costOf(entry, need, zone));
+  if (byDeal !== undefined || firstEventDeadline === undefined) return byDeal;
+  if (open.length < peers.length * MIN_OPEN_SHARE) return undefined;
+  return cheapestOf(open, harmAs('open'));
 }
 
-function leastOf(
-  entries: readonly TargetEntry[],
-  costBy: (entry: TargetEntry) => number,
-): TargetEntry | undefined {
-  let best: TargetEntry | undefined;
+function cheapestOf(
+  entries: readonly TargetRecord[],
+  costBy: (entry: TargetRecord) => number,
+): TargetRecord | undefined {
+  let best: TargetRecord | undefined;
   let least = Infinity;
   for (const entry of entries) {
     const cost = costBy(entry);
@@ -104,8 +110,8 @@
 
 /** Time until the first event at a target; undefined for plain targets. */
 export function forecastAt(
-  entry: TargetEntry,
-  need: PlaceNeed,
+  entry: TargetRecord,
+  need: PlacementRequest,
 ): Milliseconds | undefined {
   if (need.profile === undefined) return undefined;
   const work = workAt(entry, need, reportedPace(entry, need.now));
@@ -114,31 +120,31 @@
 
 /** The paces of targets of one service, in their order. */
 export function pacesOf(
-  entries: readonly TargetEntry[],
+  entries: readonly TargetRecord[],
   now: MonotonicInstant,
 ): RelativePaces {
   return relativePaces(
     entries.map(entry => ({
       zone: entry.target.zone,
       reported: reportedPace(entry, now),
-      logSeen: entry.seen.logPace(now),
+      logSeen: entry.observedPace.logPace(now),
     })),
   );
 }
 
 /** What the harm of a place goes by. */
-interface HarmTerms {
-  readonly need: PlaceNeed;
+interface CostTerms {
+  readonly need: PlacementRequest;
   readonly zone: ZoneName;
   readonly profile: EngineProfile;
-  readonly deal: PlaceDeal;
+  readonly deal: SlotSource;
   readonly pace: number;
 }
 
 /** What a place costs the request and others, in milliseconds. */
-function harmOf(
-  entry: TargetEntry,
-  {need, zone, profile, deal, pace}: HarmTerms,
+function forecastCost(
+  entry: TargetRecord,
+  {need, zone, profile, deal, pace}: CostTerms,
 ): Milliseconds {
   const {promptTime, expectedRun} = need;
   const work = workAt(entry, need, pace);
@@ -153,7 +159,7 @@
     first +
     latenessOf(first, need) +
     delay +
-    run * HELD_SHARE +
+    run * RUN_TIME_SHARE +
     load * LOAD_COST +
     far +
     (runsIntoLoad ? RUN_INTO_LOAD_COST : 0)
@@ -162,23 +168,27 @@
 
 function latenessOf(
   first: Milliseconds,
-  {firstEventBy, now}: PlaceNeed,
+  {firstEventDeadline, now}: PlacementRequest,
 ): Milliseconds {
-  if (firstEventBy === undefined) return 0;
-  const left = firstEventBy - now - first;
+  if (firstEventDeadline === undefined) return 0;
+  const left = firstEventDeadline - now - first;
   return LATE_COST / (1 + Math.exp(left / FORECAST_ERROR));
 }
 
 /** Prompts of others are unread at least while their requests wait there. */
-function workAt(entry: TargetEntry, need: PlaceNeed, pace: number): EngineWork {
-  const {report, ownInFlight, ownChange, unreadPrompts} = entry;
+function workAt(
+  entry: TargetRecord,
+  need: PlacementRequest,
+  pace: number,
+): EngineWork {
+  const {report, ownInFlight, ownInFlightChange, unreadPrompts} = entry;
   if (!isReported(entry, need.now) || report === undefined) {
     const running = ownInFlight;
     return {running, waiting: 0, unreadPrompts, loadsIn: undefined, pace};
   }
   const {waiting, loadsIn} = report;
   return {
-    running: Math.max(ownInFlight, report.running + ownChange),
+    running: Math.max(ownInFlight, report.running + ownInFlightChange),
     waiting,
     unreadPrompts: Math.max(unreadPrompts, waiting * need.promptTime),
     loadsIn,
@@ -187,9 +197,9 @@
 }
 
 /** What the agent says, fading to 1 with the report's age. */
-function reportedPace(entry: TargetEntry, now: MonotonicInstant): number {
+function reportedPace(entry: TargetRecord, now: MonotonicInstant): number {
   const {report, reportedAt} = entry;
   if (report === undefined || !isReported(entry, now)) return 1;
-  const fresh = 1 - Math.max(0, now - reportedAt) / REPORT_LIFE;
+  const fresh = 1 - Math.max(0, now - reportedAt) / MAX_REPORT_AGE;
   return 1 + (report.pace - 1) * fresh;
 }
--- a/packages/core/src/placement/target_cost.ts
+++ b/packages/core/src/placement/target_cost.ts
@@ -1,6 +1,6 @@
 import type {MonotonicInstant, ZoneName} from '../types';
-import {isReported, type TargetEntry} from './target_entry';
-import type {PlaceNeed} from './types';
+import {isReported, type TargetRecord} from './target_record';
+import type {PlacementRequest} from './types';
 
 /**
  * Load that a target in another zone must be below a near one, as a share of
@@ -20,7 +20,7 @@
  * in use: an answer's first event waits for all of them, while a slot in use
  * makes steps 0.4% slower.
  */
-const UNREAD_PROMPTS = 400;
+const FULL_LOAD_PROMPT_TIME = 400;
 
 /**
  * Weight of another entry's turn at an engine. Failure: all entries of a zone see
@@ -31,29 +31,35 @@
 const TURN_COST = 0.15;
 
 /** Requests that a target has now, as far as can be told from here. */
-function loadOf(entry: TargetEntry, now: MonotonicInstant): number {
+function loadOf(entry: TargetRecord, now: MonotonicInstant): number {
   if (!isReported(entry, now) || entry.report === undefined) {
     return entry.ownInFlight;
   }
   const {running, waiting} = entry.report;
-  return Math.max(entry.ownInFlight, running + waiting + entry.ownChange);
+  return Math.max(
+    entry.ownInFlight,
+    running + waiting + entry.ownInFlightChange,
+  );
 }
 
 /** What a place costs; the least one is taken. */
 export function costOf(
-  entry: TargetEntry,
-  need: PlaceNeed,
+  entry: TargetRecord,
+  need: PlacementRequest,
   zone: ZoneName,
 ): number {
   const load = loadOf(entry, need.now) / Math.max(1, entry.target.slots);
   const far = entry.target.zone === zone ? 0 : OTHER_ZONE_LOAD;
   const pace = entry.report?.pace ?? 1;
-  const unread = entry.unreadPrompts / UNREAD_PROMPTS;
+  const unread = entry.unreadPrompts / FULL_LOAD_PROMPT_TIME;
   const turn = entry.share.before * TURN_COST;
   return load * pace + unread + far + turn + loadCost(entry, need);
 }
 
-function loadCost({report}: TargetEntry, {expectedRun}: PlaceNeed): number {
+function loadCost(
+  {report}: TargetRecord,
+  {expectedRun}: PlacementRequest,
+): number {
   if (report?.loadsIn === undefined) return 0;
   return expectedRun > report.loadsIn ? RUN_INTO_LOAD_COST : 0;
 }
--- a/packages/core/src/placement/target_life.ts
+++ b/packages/core/src/placement/target_incarnation.ts
@@ -1,7 +1,11 @@
-import type {EpochMilliseconds, InstanceName, TargetLife} from '../types';
+import type {
+  EpochMilliseconds,
+  InstanceName,
+  TargetIncarnation,
+} from '../types';
 
 /** Something that one life of a target says, or that is said of it. */
-export interface OfLife {
+export interface IncarnationStamp {
   /** Start of that life; undefined if the target doesn't say it. */
   readonly born: EpochMilliseconds | undefined;
 }
@@ -14,22 +18,31 @@
  * nothing. Guard: both lives are dated by the same machine, and the earlier one
  * has nothing to say. Lives without a date can't be told apart here.
  */
-export function isFormerLife(one: OfLife, other: OfLife): boolean {
+export function isEarlierIncarnation(
+  one: IncarnationStamp,
+  other: IncarnationStamp,
+): boolean {
   if (one.born === undefined || other.born === undefined) return false;
   return one.born < other.born;
 }
 
 /** Whether both are of one life, as far as can be told. */
-export function isSameLife(one: OfLife, other: OfLife): boolean {
-  return !isFormerLife(one, other) && !isFormerLife(other, one);
+export function isSameIncarnation(
+  one: IncarnationStamp,
+  other: IncarnationStamp,
+): boolean {
+  return !isEarlierIncarnation(one, other) && !isEarlierIncarnation(other, one);
 }
 
 /** A target, as far as its lives are told apart. */
-export interface LivingTarget extends OfLife {
+export interface TargetIdentity extends IncarnationStamp {
   readonly instance: InstanceName;
 }
 
 /** Names a life; lives without a date are named alike under one id. */
-export function nameOfLife({instance, born}: LivingTarget): TargetLife {
+export function targetIncarnationKey({
+  instance,
+  born,
+}: TargetIdentity): TargetIncarnation {
   return born === undefined ? instance : `${instance}/${born}`;
 }
--- a/packages/core/src/placement/target_entry.ts
+++ b/packages/core/src/placement/target_record.ts
@@ -1,5 +1,5 @@
 import {mayBeServedIn} from '../routes';
-import type {SeenPace} from '../forecast';
+import type {ObservedPace} from '../forecast';
 import type {
   Milliseconds,
   ModelName,
@@ -7,31 +7,36 @@
   RegionName,
   ZoneName,
 } from '../types';
-import type {OwnMemory} from './target_memory';
+import type {OwnMemoryUse} from './memory_tracker';
 import type {EngineTurn} from './engine_turns';
-import type {EngineLoad, HeldModel, ListedTarget, PlaceNeed} from './types';
+import type {
+  EngineLoad,
+  HeldModel,
+  ListedTarget,
+  PlacementRequest,
+} from './types';
 
 /** A report older than this says nothing of the load now, in milliseconds. */
-export const REPORT_LIFE = 2_000;
+export const MAX_REPORT_AGE = 2_000;
 
 /** Lines lapse after three heartbeats of 1.2 s without a sign of life. */
-const DENIAL_LIFE = 3_600;
+const MAX_DENIAL_AGE = 3_600;
 
 /** What an entry knows of one life of a target. */
-export interface TargetEntry {
+export interface TargetRecord {
   target: ListedTarget;
   /** Told when this life ends with their request in hand. */
-  readonly inHand: Set<() => void>;
+  readonly endListeners: Set<() => void>;
   /** Own requests, for the engine's memory. */
-  readonly memory: OwnMemory;
+  readonly memory: OwnMemoryUse;
   /** What the list said when the target denied it. */
-  denied: string | undefined;
+  deniedListing: string | undefined;
   deniedAt: MonotonicInstant;
   ownInFlight: number;
   /** Time in which it reads the prompts of own requests without a first event. */
   unreadPrompts: Milliseconds;
   /** Own sends less own ends since the last report. */
-  ownChange: number;
+  ownInFlightChange: number;
   /** What this entry may fill of the free slots. */
   share: EngineTurn;
   report: EngineLoad | undefined;
@@ -39,18 +44,18 @@
   failures: number;
   avoidUntil: MonotonicInstant;
   /** Pace of its first events, beside what is reported. */
-  readonly seen: SeenPace;
+  readonly observedPace: ObservedPace;
 }
 
 /** Whether engines are chosen by their load, or by the forecast first event. */
-export type Placement = 'load' | 'forecast';
+export type PlacementStrategy = 'load' | 'forecast';
 
 /** What the operator says of places. */
-export interface PlaceRules {
+export interface PlacementRules {
   /** Whether the zone's targets are to get nothing. */
   readonly isEvacuated: (zone: ZoneName) => boolean;
   /** What engines are chosen by. */
-  readonly placement: Placement;
+  readonly placement: PlacementStrategy;
   /** Undefined if the zone's region is not known. */
   readonly regionOf: (zone: ZoneName) => RegionName | undefined;
   /** Whether the target bears little right after its start. */
@@ -58,7 +63,7 @@
 }
 
 /** The rules where the operator says nothing. */
-export const NO_PLACE_RULES: PlaceRules = {
+export const DEFAULT_PLACEMENT_RULES: PlacementRules = {
   placement: 'load',
   isEvacuated: () => false,
   regionOf: () => undefined,
@@ -68,19 +73,19 @@
 /** Whether a target is one of those among which a request may be served. */
 export function mayServe(
   {service, zone}: ListedTarget,
-  need: PlaceNeed,
-  rules: PlaceRules,
+  need: PlacementRequest,
+  rules: PlacementRules,
 ): boolean {
   if (service !== need.service) return false;
   return mayBeServedIn(need.destinations, rules.regionOf(zone));
 }
 
 /** Whether a target that stays may start a request at all. */
-export function fits(
-  entry: TargetEntry,
-  need: PlaceNeed,
+export function canStart(
+  entry: TargetRecord,
+  need: PlacementRequest,
   zone: ZoneName,
-  rules: PlaceRules,
+  rules: PlacementRules,
 ): boolean {
   const {target} = entry;
   if (!mayServe(target, need, rules)) return false;
@@ -90,13 +95,13 @@
   if (need.model === undefined) return true;
   const version = versionHeldBy(entry, need.model, need.now);
   const least =
-    entry.target.zone === zone ? need.leastVersion : need.leastFarVersion;
+    entry.target.zone === zone ? need.minVersion : need.minFarVersion;
   return version !== undefined && version >= (least ?? 0);
 }
 
 /** The version of a model that a target holds, as far as is known here. */
 export function versionHeldBy(
-  entry: TargetEntry,
+  entry: TargetRecord,
   model: ModelName,
   now: MonotonicInstant,
 ): number | undefined {
@@ -105,7 +110,7 @@
 
 /** Whether this entry may send one more request to a target. */
 export function hasRoom(
-  entry: TargetEntry,
+  entry: TargetRecord,
   now: MonotonicInstant,
   senders: number,
 ): boolean {
@@ -114,7 +119,7 @@
   }
   // An engine that loads weights refuses everything until it is done.
   if (entry.report.ordering) return false;
-  return entry.ownChange < entry.share.allowed;
+  return entry.ownInFlightChange < entry.share.allowed;
 }
 
 /**
@@ -124,20 +129,20 @@
  * turn is lost. With more entries than engines, requests wait for their entry's
  * turn until they are late while most engines have places.
  */
-export function hasFreePlace(
-  entry: TargetEntry,
+export function hasFreeSlot(
+  entry: TargetRecord,
   now: MonotonicInstant,
 ): boolean {
-  const {report, ownChange, target} = entry;
+  const {report, ownInFlightChange, target} = entry;
   if (report === undefined || !isReported(entry, now)) return false;
   if (report.ordering) return false;
   // One beside those dealt out: prompts of one entry don't wait for one another.
-  if (ownChange > entry.share.allowed) return false;
-  return report.running + report.waiting + ownChange < target.slots;
+  if (ownInFlightChange > entry.share.allowed) return false;
+  return report.running + report.waiting + ownInFlightChange < target.slots;
 }
 
 /** Without reports, each entry keeps to twice its part of the slots. */
-function hasRoomUnreported(entry: TargetEntry, senders: number): boolean {
+function hasRoomUnreported(entry: TargetRecord, senders: number): boolean {
   const {slots, held} = entry.target;
   if (held === undefined) return entry.ownInFlight < slots;
   return entry.ownInFlight < Math.ceil((2 * slots) / Math.max(1, senders));
@@ -149,25 +154,28 @@
  * what a target has denied once is believed no more, until it is reported on,
  * its line changes, or a line that nobody renews would have lapsed.
  */
-function isDenied(entry: TargetEntry, now: MonotonicInstant): boolean {
-  if (entry.denied === undefined || isReported(entry, now)) return false;
-  return now - entry.deniedAt < DENIAL_LIFE;
+function isDenied(entry: TargetRecord, now: MonotonicInstant): boolean {
+  if (entry.deniedListing === undefined || isReported(entry, now)) return false;
+  return now - entry.deniedAt < MAX_DENIAL_AGE;
 }
 
 /** What a line of the list says that a target may deny. */
-export function saidOf({address, born, held}: ListedTarget): string {
+export function listingKey({address, born, held}: ListedTarget): string {
   return JSON.stringify([address, born, held]);
 }
 
 /** The agent's word while it is fresh, the platform's list otherwise. */
 function heldBy(
-  entry: TargetEntry,
+  entry: TargetRecord,
   now: MonotonicInstant,
 ): readonly HeldModel[] | undefined {
   return isReported(entry, now) ? entry.report?.held : entry.target.held;
 }
 
 /** Whether what its agent said of a target still counts. */
-export function isReported(entry: TargetEntry, now: MonotonicInstant): boolean {
-  return entry.report !== undefined && now - entry.reportedAt < REPORT_LIFE;
+export function isReported(
+  entry: TargetRecord,
+  now: MonotonicInstant,
+): boolean {
+  return entry.report !== undefined && now - entry.reportedAt < MAX_REPORT_AGE;
 }
--- a/packages/core/src/placement/target_book.ts
+++ b/packages/core/src/placement/target_registry.ts
@@ -1,37 +1,37 @@
-import {createSeenPace} from '../forecast';
+import {createObservedPace} from '../forecast';
 import type {MonotonicInstant, ZoneName} from '../types';
-import {areNowhere} from '../routes';
-import {sharePlace, type SharePlace} from './allowance';
-import {moveTurn, NO_TURN, turnAt} from './engine_turns';
-import {createLifeMemory} from './life_memory';
-import type {PacedSends} from './paced_sends';
+import {areEmpty} from '../routes';
+import {slotShareOf, type SlotShare} from './allowance';
+import {advanceTurn, NO_TURN, turnAt} from './engine_turns';
+import {createIncarnationMap} from './incarnation_map';
+import type {SendPacer} from './send_pacer';
 import {createPromptTimes} from './prompt_times';
 import {capacityOf} from './service_capacity';
 import {chooseBest, forecastAt} from './target_choice';
 import {
-  fits,
-  hasFreePlace,
+  canStart,
+  hasFreeSlot,
   hasRoom,
   mayServe,
-  NO_PLACE_RULES,
-  REPORT_LIFE,
+  DEFAULT_PLACEMENT_RULES,
+  MAX_REPORT_AGE,
   isReported,
-  saidOf,
+  listingKey,
   versionHeldBy,
-  type PlaceRules,
-  type TargetEntry,
-} from './target_entry';
-import {createOwnMemory, createTargetMemory} from './target_memory';
-import {isFormerLife, isSameLife} from './target_life';
+  type PlacementRules,
+  type TargetRecord,
+} from './target_record';
+import {createOwnMemoryUse, createMemoryTracker} from './memory_tracker';
+import {isEarlierIncarnation, isSameIncarnation} from './target_incarnation';
 import type {
   EngineLoad,
   ListedTarget,
-  TargetPlace,
-  PlaceNeed,
-  RequestInHand,
+  TargetSelection,
+  PlacementRequest,
+  InFlightRequest,
   SendingEntry,
   SentRequest,
-  TargetBook,
+  TargetRegistry,
 } from './types';
 
 /** Failures in a row after which a target is avoided. */
@@ -39,12 +39,12 @@
 
 /** First pause for a target that fails, in milliseconds; doubles each time. */
 const FIRST_PAUSE = 500;
-const LONGEST_PAUSE = 4_000;
+const MAX_PAUSE = 4_000;
 
 /** Targets of which is remembered what they said of themselves. */
-const MOST_STATEMENTS = 1_000;
+const MAX_REMEMBERED_TARGETS = 1_000;
 
-const NOT_IN_HAND: RequestInHand = {
+const UNKNOWN_TARGET_REQUEST: InFlightRequest = {
   begun: () => undefined,
   end: () => undefined,
 };
@@ -53,45 +53,49 @@
  * Creates the book of an entry. Nothing is chosen while `isListUsable` says that
  * what the entry goes by is too old, nor what `maySend` or `placeRules` exclude.
  */
-export function createTargetBook(
+export function createTargetRegistry(
   self: SendingEntry,
   isListUsable: () => boolean = () => true,
-  maySend: PacedSends['maySend'] = () => true,
-  placeRules: Partial<PlaceRules> = {},
-): TargetBook {
+  maySend: SendPacer['maySend'] = () => true,
+  placeRules: Partial<PlacementRules> = {},
+): TargetRegistry {
   const {zone} = self;
-  const rules = {...NO_PLACE_RULES, ...placeRules};
+  const rules = {...DEFAULT_PLACEMENT_RULES, ...placeRules};
   const prompts = createPromptTimes();
   let senders: readonly SendingEntry[] = [self];
-  const places = new Map<ZoneName, SharePlace>();
-  let entries = new Map<string, TargetEntry>();
-  const memory = createTargetMemory();
-  const saidLeaving = createLifeMemory<true>(MOST_STATEMENTS);
-  const backoffEnds = createLifeMemory<MonotonicInstant>(MOST_STATEMENTS);
+  const places = new Map<ZoneName, SlotShare>();
+  let entries = new Map<string, TargetRecord>();
+  const memory = createMemoryTracker();
+  const leavingTargets = createIncarnationMap<true>(MAX_REMEMBERED_TARGETS);
+  const backoffEnds = createIncarnationMap<MonotonicInstant>(
+    MAX_REMEMBERED_TARGETS,
+  );
   const reports = new Map<string, {load: EngineLoad; at: MonotonicInstant}>();
 
   function list(targets: readonly ListedTarget[], now: MonotonicInstant): void {
-    const next = new Map<string, TargetEntry>();
+    const next = new Map<string, TargetRecord>();
     for (const target of targets) {
       // A restored store may call it ready once more, until it says so again.
-      if (target.leaving) noteLeaving(target);
+      if (target.leaving) recordLeaving(target);
       next.set(target.instance, entryOf(target, now));
     }
     entries = next;
   }
 
   /** The entry of the newest life that list and reports know of. */
-  function entryOf(target: ListedTarget, now: MonotonicInstant): TargetEntry {
+  function entryOf(target: ListedTarget, now: MonotonicInstant): TargetRecord {
     const known = entries.get(target.instance);
-    if (known === undefined) return createEntry(newestLife(target));
-    if (isFormerLife(target, known.target) && isReported(known, now)) {
+    if (known === undefined) return createEntry(newestIncarnation(target));
+    if (isEarlierIncarnation(target, known.target) && isReported(known, now)) {
       return known;
     }
-    if (!isSameLife(known.target, target)) {
-      endLife(known);
+    if (!isSameIncarnation(known.target, target)) {
+      endIncarnation(known);
       return createEntry(target);
     }
-    if (known.denied !== saidOf(target)) known.denied = undefined;
+    if (known.deniedListing !== listingKey(target)) {
+      known.deniedListing = undefined;
+    }
     known.target = target;
     return known;
   }
@@ -102,9 +106,9 @@
    * comes. Guard: once its new life is known they are told at once. Targets that
    * hold no weights may have begun a request in their new life already.
    */
-  function endLife({inHand, target}: TargetEntry): void {
+  function endIncarnation({endListeners: inHand, target}: TargetRecord): void {
     if (target.held === undefined) return;
-    for (const onLifeEnded of [...inHand]) onLifeEnded();
+    for (const onIncarnationEnded of [...inHand]) onIncarnationEnded();
   }
 
   function report(load: EngineLoad, now: MonotonicInstant): void {
@@ -112,17 +116,22 @@
     reports.set(load.address, {load, at: now});
     for (const known of [...entries.values()]) {
       const {target} = known;
-      if (target.address !== load.address || isFormerLife(load, target)) {
+      if (
+        target.address !== load.address ||
+        isEarlierIncarnation(load, target)
+      ) {
         continue;
       }
-      const hasRestarted = isFormerLife(target, load);
-      if (hasRestarted) endLife(known);
-      const entry = hasRestarted ? createEntry(newestLife(target)) : known;
+      const hasRestarted = isEarlierIncarnation(target, load);
+      if (hasRestarted) endIncarnation(known);
+      const entry = hasRestarted
+        ? createEntry(newestIncarnation(target))
+        : known;
       entries.set(target.instance, entry);
-      entry.denied = undefined;
+      entry.deniedListing = undefined;
       entry.report = load;
       entry.reportedAt = now;
-      entry.ownChange = 0;
+      entry.ownInFlightChange = 0;
       entry.share = turnAt(entry.target, load, placeAt(entry.target.zone));
     }
   }
@@ -130,23 +139,23 @@
   /** A newer life that has fallen silent has the last word no more. */
   function isLate(load: EngineLoad, now: MonotonicInstant): boolean {
     const before = reports.get(load.address);
-    if (before === undefined || now - before.at >= REPORT_LIFE) return false;
-    return isFormerLife(load, before.load);
+    if (before === undefined || now - before.at >= MAX_REPORT_AGE) return false;
+    return isEarlierIncarnation(load, before.load);
   }
 
   /** What the list says of a former life holds for the new one no more. */
-  function newestLife(target: ListedTarget): ListedTarget {
+  function newestIncarnation(target: ListedTarget): ListedTarget {
     const reported = reports.get(target.address)?.load;
-    if (reported === undefined || !isFormerLife(target, reported)) {
+    if (reported === undefined || !isEarlierIncarnation(target, reported)) {
       return target;
     }
     return {...target, born: reported.born, held: target.held && []};
   }
 
-  function placeAt(targetZone: ZoneName): SharePlace {
+  function placeAt(targetZone: ZoneName): SlotShare {
     const known = places.get(targetZone);
     if (known !== undefined) return known;
-    const place = sharePlace(self, senders, targetZone);
+    const place = slotShareOf(self, senders, targetZone);
     places.set(targetZone, place);
     return place;
   }
@@ -156,41 +165,41 @@
     places.clear();
   }
 
-  function begin(target: ListedTarget, sent: SentRequest): RequestInHand {
+  function begin(target: ListedTarget, sent: SentRequest): InFlightRequest {
     const entry = entries.get(target.instance);
-    if (entry === undefined) return NOT_IN_HAND;
-    const {promptTime, onLifeEnded} = sent;
+    if (entry === undefined) return UNKNOWN_TARGET_REQUEST;
+    const {promptTime, onIncarnationEnded} = sent;
     const freeMemory = memory.begin(entry, sent.memory, sent.at ?? 0);
-    prompts.note(target.service, promptTime);
+    prompts.record(target.service, promptTime);
     let unread = promptTime;
     const begun = (): void => {
       entry.unreadPrompts -= unread;
       unread = 0;
     };
     entry.ownInFlight += 1;
-    entry.ownChange += 1;
+    entry.ownInFlightChange += 1;
     entry.unreadPrompts += unread;
-    entry.inHand.add(onLifeEnded);
+    entry.endListeners.add(onIncarnationEnded);
     return {
       begun,
       end: () => {
         begun();
         freeMemory();
-        entry.inHand.delete(onLifeEnded);
+        entry.endListeners.delete(onIncarnationEnded);
         entry.ownInFlight -= 1;
-        entry.ownChange -= 1;
+        entry.ownInFlightChange -= 1;
       },
     };
   }
 
-  function noteFailure(target: ListedTarget, now: MonotonicInstant): void {
+  function recordFailure(target: ListedTarget, now: MonotonicInstant): void {
     const entry = entries.get(target.instance);
     if (entry === undefined) return;
     entry.failures += 1;
     avoidAfterFailures(entry, now);
   }
 
-  function noteRefusedConnection(
+  function recordRefusedConnection(
     target: ListedTarget,
     now: MonotonicInstant,
   ): void {
@@ -200,16 +209,19 @@
     avoidAfterFailures(entry, now);
   }
 
-  function avoidAfterFailures(entry: TargetEntry, now: MonotonicInstant): void {
+  function avoidAfterFailures(
+    entry: TargetRecord,
+    now: MonotonicInstant,
+  ): void {
     if (entry.failures < FAILURES_TO_AVOID) return;
     const doublings = entry.failures - FAILURES_TO_AVOID;
-    const pause = Math.min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** doublings);
+    const pause = Math.min(MAX_PAUSE, FIRST_PAUSE * 2 ** doublings);
     entry.avoidUntil = now + pause;
   }
 
   /** Whether this life has said that it leaves, in the list or in an answer. */
   function isLeaving(target: ListedTarget): boolean {
-    return saidLeaving.get(target) === true;
+    return leavingTargets.get(target) === true;
   }
 
   function isStaying(target: ListedTarget): boolean {
@@ -217,9 +229,9 @@
     return entry !== undefined && !isLeaving(entry.target);
   }
 
-  function noteLeaving(target: ListedTarget): boolean {
-    if (saidLeaving.get(target) === true) return false;
-    saidLeaving.set(target, true);
+  function recordLeaving(target: ListedTarget): boolean {
+    if (leavingTargets.get(target) === true) return false;
+    leavingTargets.set(target, true);
     return true;
   }
 
@@ -228,25 +240,25 @@
     return backoffEnds.get(target) ?? -Infinity;
   }
 
-  function mayTake(entry: TargetEntry, need: PlaceNeed): boolean {
+  function mayTake(entry: TargetRecord, need: PlacementRequest): boolean {
     if (backoffEnd(entry.target) > need.now) return false;
-    return fits(entry, need, zone, rules);
+    return canStart(entry, need, zone, rules);
   }
 
-  function mayStart(target: ListedTarget, need: PlaceNeed): boolean {
+  function mayStart(target: ListedTarget, need: PlacementRequest): boolean {
     const entry = entries.get(target.instance);
     if (entry === undefined || !isListUsable()) return false;
     return !isLeaving(entry.target) && mayTake(entry, need);
   }
 
-  function hasMemoryFor(entry: TargetEntry, need: PlaceNeed): boolean {
+  function hasMemoryFor(entry: TargetRecord, need: PlacementRequest): boolean {
     const place = placeAt(entry.target.zone);
     const isFresh = isReported(entry, need.now);
     return memory.hasRoom(entry, need, place, senders.length, isFresh);
   }
 
-  function choose(need: PlaceNeed): TargetPlace {
-    if (areNowhere(need.destinations)) return {kind: 'nowhere'};
+  function choose(need: PlacementRequest): TargetSelection {
+    if (areEmpty(need.destinations)) return {kind: 'nowhere'};
     if (!isListUsable()) return {kind: 'outdated'};
     const ofService = [...entries.values()].filter(({target}) =>
       mayServe(target, need, rules),
@@ -265,7 +277,7 @@
     const usable = staying.filter(entry => mayTake(entry, need));
     if (usable.length === 0) return {kind: 'none'};
     for (const entry of usable) {
-      moveTurn(entry, placeAt(entry.target.zone), need.now);
+      advanceTurn(entry, placeAt(entry.target.zone), need.now);
     }
     const calm = usable.filter(entry => entry.avoidUntil <= need.now);
     const withRoom = (calm.length > 0 ? calm : usable).filter(
@@ -274,7 +286,7 @@
     );
     const allowed = withRoom.filter(({target}) => maySend(target, need.now));
     const open = (calm.length > 0 ? calm : usable).filter(
-      entry => hasFreePlace(entry, need.now) && maySend(entry.target, need.now),
+      entry => hasFreeSlot(entry, need.now) && maySend(entry.target, need.now),
     );
     const choices = {
       dealt: forPrompt(allowed, need),
@@ -288,27 +300,28 @@
 
   /** Cold targets bear little, so they are left to requests with short prompts. */
   function forPrompt(
-    allowed: readonly TargetEntry[],
-    {service, promptTime, now}: PlaceNeed,
-  ): readonly TargetEntry[] {
+    allowed: readonly TargetRecord[],
+    {service, promptTime, now}: PlacementRequest,
+  ): readonly TargetRecord[] {
     if (prompts.isShort(service, promptTime)) return allowed;
     const warm = allowed.filter(({target}) => !rules.isCold(target, now));
     return warm.length > 0 ? warm : allowed;
   }
 
-  function createEntry(target: ListedTarget): TargetEntry {
+  function createEntry(target: ListedTarget): TargetRecord {
     const reported = reports.get(target.address);
-    const isOfFormerLife = reported && isFormerLife(reported.load, target);
+    const isOfFormerLife =
+      reported && isEarlierIncarnation(reported.load, target);
     const early = isOfFormerLife === true ? undefined : reported;
     return {
       target,
-      inHand: new Set(),
-      memory: createOwnMemory(),
-      denied: undefined,
+      endListeners: new Set(),
+      memory: createOwnMemoryUse(),
+      deniedListing: undefined,
       deniedAt: -Infinity,
       ownInFlight: 0,
       unreadPrompts: 0,
-      ownChange: 0,
+      ownInFlightChange: 0,
       share:
         early === undefined
           ? NO_TURN
@@ -317,7 +330,7 @@
       reportedAt: early?.at ?? -Infinity,
       failures: 0,
       avoidUntil: -Infinity,
-      seen: createSeenPace(),
+      observedPace: createObservedPace(),
     };
   }
 
@@ -326,28 +339,28 @@
     setEntries,
     report,
     begin,
-    isEmptying: (target, now) => {
+    isDrainingForLoad: (target, now) => {
       const entry = entries.get(target.instance);
       if (entry === undefined || !isReported(entry, now)) return false;
       return entry.report?.ordering === true;
     },
     isStaying,
-    noteFailure,
-    noteRefusedConnection,
-    noteMisdirected(target, now) {
+    recordFailure,
+    recordRefusedConnection,
+    recordMisdirected(target, now) {
       const entry = entries.get(target.instance);
       if (entry === undefined) return;
-      entry.denied = saidOf(entry.target);
+      entry.deniedListing = listingKey(entry.target);
       entry.deniedAt = now;
     },
-    noteSuccess(target) {
+    recordSuccess(target) {
       const entry = entries.get(target.instance);
       if (entry === undefined) return;
       entry.failures = 0;
       entry.avoidUntil = -Infinity;
     },
-    noteLeaving,
-    noteBackoff: (target, until) => {
+    recordLeaving,
+    recordBackoff: (target, until) => {
       backoffEnds.set(target, Math.max(until, backoffEnd(target)));
     },
     mayStart,
@@ -356,8 +369,8 @@
       const entry = entries.get(target.instance);
       return entry && forecastAt(entry, need);
     },
-    noteFirstEvent: (target, ratio, now) =>
-      entries.get(target.instance)?.seen.record(ratio, now),
+    recordFirstEvent: (target, ratio, now) =>
+      entries.get(target.instance)?.observedPace.record(ratio, now),
     capacity: (service, now) =>
       capacityOf(
         [...entries.values()].filter(
--- a/packages/core/src/placement/types.ts
+++ b/packages/core/src/placement/types.ts
@@ -1,7 +1,7 @@
 import type {ServiceCapacity} from '../admission/types';
 import type {MemoryNeed} from '../memory';
 import type {Destinations, EngineProfile} from '../routes';
-import type {OfLife} from './target_life';
+import type {IncarnationStamp} from './target_incarnation';
 import type {
   Milliseconds,
   ModelName,
@@ -17,7 +17,7 @@
 }
 
 /** One life of a target, as the platform lists it. */
-export interface ListedTarget extends OfLife {
+export interface ListedTarget extends IncarnationStamp {
   /** Stays the same if the target starts again under the id it had. */
   readonly instance: string;
   readonly service: ServiceName;
@@ -33,7 +33,7 @@
 }
 
 /** What an engine's own agent says of it. */
-export interface EngineLoad extends OfLife {
+export interface EngineLoad extends IncarnationStamp {
   readonly address: string;
   readonly held: readonly HeldModel[];
   /** Whether it loads weights and starts nothing new. */
@@ -57,13 +57,13 @@
 }
 
 /** What a place must have for a request. */
-export interface PlaceNeed {
+export interface PlacementRequest {
   readonly service: ServiceName;
   readonly model: ModelName | undefined;
   /** Oldest version that may start it; undefined if any may. */
-  readonly leastVersion: number | undefined;
+  readonly minVersion: number | undefined;
   /** The same for targets in other zones, which a request reaches later. */
-  readonly leastFarVersion: number | undefined;
+  readonly minFarVersion: number | undefined;
   /** Where the request may be served. */
   readonly destinations: Destinations;
   /** Time in which an idle target reads the request's prompt. */
@@ -75,7 +75,7 @@
   /** What it asks of an engine's memory; undefined where none is named. */
   readonly memory?: MemoryNeed;
   /** Until then a first event is on time; undefined if nothing says so. */
-  readonly firstEventBy: MonotonicInstant | undefined;
+  readonly firstEventDeadline: MonotonicInstant | undefined;
   /** How fast the service's engines work; undefined for plain targets. */
   readonly profile: EngineProfile | undefined;
   /** Instances that have had the request. */
@@ -91,18 +91,18 @@
   readonly memory?: MemoryNeed;
   readonly at?: MonotonicInstant;
   /** Called if an engine's life ends with the request in hand. */
-  readonly onLifeEnded: () => void;
+  readonly onIncarnationEnded: () => void;
 }
 
 /** A request at a target. */
-export interface RequestInHand {
+export interface InFlightRequest {
   /** Notes its first event: its prompt has been read. */
   readonly begun: () => void;
   readonly end: () => void;
 }
 
 /** What an entry knows of the targets it may send to. */
-export interface TargetBook {
+export interface TargetRegistry {
   /** Replaces the list. */
   readonly list: (
     targets: readonly ListedTarget[],
@@ -112,38 +112,44 @@
   readonly setEntries: (entries: readonly SendingEntry[]) => void;
   readonly report: (load: EngineLoad, now: MonotonicInstant) => void;
   /** Notes a request sent. */
-  readonly begin: (target: ListedTarget, sent: SentRequest) => RequestInHand;
+  readonly begin: (target: ListedTarget, sent: SentRequest) => InFlightRequest;
   /** Whether a target takes nothing new and waits for what runs, to load. */
-  readonly isEmptying: (target: ListedTarget, now: MonotonicInstant) => boolean;
+  readonly isDrainingForLoad: (
+    target: ListedTarget,
+    now: MonotonicInstant,
+  ) => boolean;
   /** Notes that a target denies to be, or to hold, what is believed of it. */
-  readonly noteMisdirected: (
+  readonly recordMisdirected: (
     target: ListedTarget,
     now: MonotonicInstant,
   ) => void;
-  readonly noteFailure: (target: ListedTarget, now: MonotonicInstant) => void;
+  readonly recordFailure: (target: ListedTarget, now: MonotonicInstant) => void;
   /** Whether the target is listed and has not said that it leaves. */
   readonly isStaying: (target: ListedTarget) => boolean;
   /** Notes that nothing listens at a target's address: it is avoided at once. */
-  readonly noteRefusedConnection: (
+  readonly recordRefusedConnection: (
     target: ListedTarget,
     now: MonotonicInstant,
   ) => void;
-  readonly noteSuccess: (target: ListedTarget) => void;
+  readonly recordSuccess: (target: ListedTarget) => void;
   /** Notes that a target says it leaves; returns whether that is new. */
-  readonly noteLeaving: (target: ListedTarget) => boolean;
+  readonly recordLeaving: (target: ListedTarget) => boolean;
   /** Notes that a target wants no request of this entry before `until`. */
-  readonly noteBackoff: (target: ListedTarget, until: MonotonicInstant) => void;
+  readonly recordBackoff: (
+    target: ListedTarget,
+    until: MonotonicInstant,
+  ) => void;
   /** Whether a target, chosen before, may still start such a request. */
-  readonly mayStart: (target: ListedTarget, need: PlaceNeed) => boolean;
+  readonly mayStart: (target: ListedTarget, need: PlacementRequest) => boolean;
   /** The best place with room, or why there is none. */
-  readonly choose: (need: PlaceNeed) => TargetPlace;
+  readonly choose: (need: PlacementRequest) => TargetSelection;
   /** Time until the first event at a target; undefined for plain targets. */
   readonly forecast: (
     target: ListedTarget,
-    need: PlaceNeed,
+    need: PlacementRequest,
   ) => Milliseconds | undefined;
   /** Notes that a first event took so many times its forecast. */
-  readonly noteFirstEvent: (
+  readonly recordFirstEvent: (
     target: ListedTarget,
     ratio: number,
     now: MonotonicInstant,
@@ -162,7 +168,7 @@
 }
 
 /** The best place for a request. */
-export type TargetPlace =
+export type TargetSelection =
   | {readonly kind: 'chosen'; readonly target: ListedTarget}
   /** Targets are there, all of them full. */
   | {readonly kind: 'full'}
--- a/packages/core/src/quarantine/quarantine.ts
+++ b/packages/core/src/quarantine/quarantine.ts
@@ -1,19 +1,23 @@
-import type {MonotonicInstant, RequestFingerprint, TargetLife} from '../types';
-import {createChangingRows, type ChangedRows} from '../utils/changing_rows';
+import type {
+  MonotonicInstant,
+  RequestFingerprint,
+  TargetIncarnation,
+} from '../types';
+import {createRevisionedRows, type ChangedRows} from '../utils/revisioned_rows';
 import type {CrashRecord, EndedLife, Quarantine} from './types';
 
 /** Targets that end under a request before it is sent to no other one. */
 export const ENDINGS_TO_QUARANTINE = 3;
 
 /** Endings that are kept of one request. */
-const MOST_ENDINGS = 16;
+const MAX_ENDINGS = 16;
 
 /** Requests that are remembered. */
-const MOST_RECORDS = 2_000;
+const MAX_RECORDS = 2_000;
 
 interface HeldRecord {
   readonly fingerprint: RequestFingerprint;
-  readonly endings: Map<TargetLife, MonotonicInstant>;
+  readonly endings: Map<TargetIncarnation, MonotonicInstant>;
   completedAt: MonotonicInstant | undefined;
 }
 
@@ -21,24 +25,24 @@
  * Creates the memory of one entry. Records only grow until a whole answer resets
  * them, so entries may pass them on in any order and more than once.
  */
-export function createQuarantine(mostRecords = MOST_RECORDS): Quarantine {
-  const records = createChangingRows(mostRecords, leastTelling);
+export function createQuarantine(maxRecords = MAX_RECORDS): Quarantine {
+  const records = createRevisionedRows(maxRecords, leastSignificant);
   const stored = new Set<RequestFingerprint>();
 
-  function noteEnding(
+  function recordEnding(
     fingerprint: RequestFingerprint,
     {life, endedAt}: EndedLife,
   ): boolean {
     const record = records.get(fingerprint) ?? createRecord(fingerprint);
     if (record.endings.has(life)) return false;
     if (endedAt <= (record.completedAt ?? -Infinity)) return false;
-    if (record.endings.size >= MOST_ENDINGS) return false;
+    if (record.endings.size >= MAX_ENDINGS) return false;
     record.endings.set(life, endedAt);
     records.set(fingerprint, record);
     return true;
   }
 
-  function noteCompletion(
+  function recordCompletion(
     fingerprint: RequestFingerprint,
     completedAt: MonotonicInstant,
   ): boolean {
@@ -65,10 +69,10 @@
   function merge({fingerprint, endings, completedAt}: CrashRecord): boolean {
     let isNew = false;
     if (completedAt !== undefined && isSuspected(fingerprint)) {
-      isNew = noteCompletion(fingerprint, completedAt);
+      isNew = recordCompletion(fingerprint, completedAt);
     }
     for (const ending of endings) {
-      if (noteEnding(fingerprint, ending)) isNew = true;
+      if (recordEnding(fingerprint, ending)) isNew = true;
     }
     return isNew;
   }
@@ -108,7 +112,7 @@
     );
   }
 
-  function noteStored(
+  function recordStored(
     fingerprint: RequestFingerprint,
     isStored: boolean,
   ): void {
@@ -121,12 +125,12 @@
   }
 
   return {
-    noteEnding,
-    noteCompletion,
+    recordEnding,
+    recordCompletion,
     merge,
     changedSince,
     isQuarantined,
-    noteStored,
+    recordStored,
     forgetStored: () => stored.clear(),
   };
 }
@@ -136,7 +140,7 @@
 }
 
 /** The oldest record with the fewest endings. */
-function leastTelling(
+function leastSignificant(
   records: ReadonlyMap<RequestFingerprint, HeldRecord>,
 ): RequestFingerprint {
   let least = '';
--- a/packages/core/src/quarantine/types.ts
+++ b/packages/core/src/quarantine/types.ts
@@ -1,9 +1,13 @@
-import type {MonotonicInstant, RequestFingerprint, TargetLife} from '../types';
-import type {ChangedRows} from '../utils/changing_rows';
+import type {
+  MonotonicInstant,
+  RequestFingerprint,
+  TargetIncarnation,
+} from '../types';
+import type {ChangedRows} from '../utils/revisioned_rows';
 
 /** The end of a target's life while it ran a request. */
 export interface EndedLife {
-  readonly life: TargetLife;
+  readonly life: TargetIncarnation;
   readonly endedAt: MonotonicInstant;
 }
 
@@ -18,12 +22,12 @@
 /** Requests under which targets have ended, and those that are quarantined. */
 export interface Quarantine {
   /** Takes an ending seen here; returns whether it was not known. */
-  readonly noteEnding: (
+  readonly recordEnding: (
     fingerprint: RequestFingerprint,
     ending: EndedLife,
   ) => boolean;
   /** Takes a whole answer seen here; returns whether it releases a suspicion. */
-  readonly noteCompletion: (
+  readonly recordCompletion: (
     fingerprint: RequestFingerprint,
     completedAt: MonotonicInstant,
   ) => boolean;
@@ -37,7 +41,7 @@
   /** Whether so many targets have ended under it that it is sent to no other. */
   readonly isQuarantined: (fingerprint: RequestFingerprint) => boolean;
   /** Takes what the site has stored; all of it, or what has changed. */
-  readonly noteStored: (
+  readonly recordStored: (
     fingerprint: RequestFingerprint,
     isStored: boolean,
   ) => void;
--- a/packages/core/src/relays/entry_states.ts
+++ b/packages/core/src/relays/entry_states.ts
@@ -5,13 +5,13 @@
  * to a second each from it to its relay, to the own relay, and on; changes are
  * passed on at once, so this is for those that nobody hears of any more.
  */
-const STATE_LIFE: Milliseconds = 5_000;
+const STATE_TTL: Milliseconds = 5_000;
 
 /**
  * How long a new member counts as ready before anything was heard of it: longer
  * than its first words take through two relays.
  */
-const TRUSTED_UNHEARD: Milliseconds = 2_500;
+const NEW_MEMBER_GRACE: Milliseconds = 2_500;
 
 /** An entry as it was known to be. */
 export interface KnownState {
@@ -19,11 +19,11 @@
   /** Whether callers may be sent there. */
   readonly ready: boolean;
   /** When it was surely so. */
-  readonly heardAt: MonotonicInstant;
+  readonly observedAt: MonotonicInstant;
 }
 
 /** A member of the site, in one of its lives. */
-export interface EntryLife {
+export interface EntryIncarnation {
   readonly instance: InstanceName;
   readonly life: string;
 }
@@ -32,20 +32,20 @@
 export interface EntryStates {
   /** Replaces the members; a new life has not been heard of. */
   readonly setMembers: (
-    members: readonly EntryLife[],
+    members: readonly EntryIncarnation[],
     now: MonotonicInstant,
   ) => void;
   /** Takes a word that is newer than what is known; returns whether it changes. */
-  readonly note: (state: KnownState) => boolean;
+  readonly record: (state: KnownState) => boolean;
   /** Whether callers may be sent to a member. */
   readonly isUsable: (instance: InstanceName, now: MonotonicInstant) => boolean;
   /** What was heard and is not too old, to be passed on. */
-  readonly heard: (now: MonotonicInstant) => readonly KnownState[];
+  readonly recentStates: (now: MonotonicInstant) => readonly KnownState[];
 }
 
 interface Member {
   readonly life: string;
-  readonly metAt: MonotonicInstant;
+  readonly addedAt: MonotonicInstant;
   state: KnownState | undefined;
 }
 
@@ -53,22 +53,27 @@
 export function createEntryStates(): EntryStates {
   let members = new Map<InstanceName, Member>();
 
-  function setMembers(next: readonly EntryLife[], now: MonotonicInstant): void {
+  function setMembers(
+    next: readonly EntryIncarnation[],
+    now: MonotonicInstant,
+  ): void {
     members = new Map(
       next.map(({instance, life}) => {
         const known = members.get(instance);
         const isSame = known?.life === life;
-        const met = {life, metAt: now, state: undefined};
-        return [instance, isSame ? known : met] as const;
+        const newMember = {life, addedAt: now, state: undefined};
+        return [instance, isSame ? known : newMember] as const;
       }),
     );
   }
 
-  function note(state: KnownState): boolean {
+  function record(state: KnownState): boolean {
     const member = members.get(state.instance);
     if (member === undefined) return false;
     const before = member.state;
-    if (before !== undefined && before.heardAt >= state.heardAt) return false;
+    if (before !== undefined && before.observedAt >= state.observedAt) {
+      return false;
+    }
     member.state = state;
     return before === undefined || before.ready !== state.ready;
   }
@@ -76,18 +81,18 @@
   function isUsable(instance: InstanceName, now: MonotonicInstant): boolean {
     const member = members.get(instance);
     if (member === undefined) return false;
-    const {state, metAt} = member;
-    if (state === undefined) return now - metAt < TRUSTED_UNHEARD;
-    return state.ready && now - state.heardAt < STATE_LIFE;
+    const {state, addedAt} = member;
+    if (state === undefined) return now - addedAt < NEW_MEMBER_GRACE;
+    return state.ready && now - state.observedAt < STATE_TTL;
   }
 
   return {
     setMembers,
-    note,
+    record,
     isUsable,
-    heard: now =>
+    recentStates: now =>
       [...members.values()]
         .flatMap(({state}) => (state === undefined ? [] : [state]))
-        .filter(({heardAt}) => now - heardAt < STATE_LIFE),
+        .filter(({observedAt}) => now - observedAt < STATE_TTL),
   };
 }
--- a/packages/core/src/relays/relay_choice.ts
+++ b/packages/core/src/relays/relay_choice.ts
@@ -11,13 +11,13 @@
  * Entries of its zone that an agent reports to. With one, a relay's loss would
  * leave the zone without reports until the agents have noticed.
  */
-const REPORTED_TO = 2;
+const RECEIVERS_PER_ZONE = 2;
 
 /**
  * Most entries of a zone that its agents report to all of. A report that comes
  * straight is 50 ms younger in the mean than one that is passed on.
  */
-const REPORTED_TO_ALL = 3;
+const SMALL_ZONE_MAX_ENTRIES = 3;
 
 /**
  * A zone's entries in the order in which they serve as its relay: the first one
@@ -70,10 +70,10 @@
   zone: ZoneName,
   isSilent: (entry: Candidate) => boolean,
 ): readonly ReportReceiver<Candidate>[] {
-  const isAnswered = entries.some(
+  const isAnyResponsive = entries.some(
     entry => entry.zone === zone && !isSilent(entry),
   );
-  if (isAnswered) return receiversIn(entries, zone, isSilent);
+  if (isAnyResponsive) return receiversIn(entries, zone, isSilent);
   const zones = new Set(entries.map(entry => entry.zone));
   return [...zones].flatMap(each => receiversIn(entries, each, isSilent));
 }
@@ -87,13 +87,13 @@
   if (isSmallZone(order.length)) {
     return order.map(entry => ({entry, getsAll: true}));
   }
-  const answering = order.filter(entry => !isSilent(entry));
-  return (answering.length > 0 ? answering : order)
-    .slice(0, REPORTED_TO)
+  const responsive = order.filter(entry => !isSilent(entry));
+  return (responsive.length > 0 ? responsive : order)
+    .slice(0, RECEIVERS_PER_ZONE)
     .map((entry, index) => ({entry, getsAll: index === 0}));
 }
 
 /** Whether agents report to all entries of a zone with so many of them. */
 export function isSmallZone(entries: number): boolean {
-  return entries <= REPORTED_TO_ALL;
+  return entries <= SMALL_ZONE_MAX_ENTRIES;
 }
--- a/packages/core/src/relays/report_need.ts
+++ b/packages/core/src/relays/report_due.ts
@@ -1,30 +1,30 @@
-import type {HeldModel, OfLife} from '../placement';
+import type {HeldModel, IncarnationStamp} from '../placement';
 import type {Milliseconds, MonotonicInstant} from '../types';
 
 /** Period of signs of life while a report says nothing new. */
-const SIGN_PERIOD: Milliseconds = 500;
+const HEARTBEAT_PERIOD: Milliseconds = 500;
 
 /**
  * The same while an engine runs requests. As many may run as before because one
  * ended and one began: an entry that has used its part of the free slots waits for
  * the next report.
  */
-const RUNNING_SIGN_PERIOD: Milliseconds = 200;
+const RUNNING_HEARTBEAT_PERIOD: Milliseconds = 200;
 
 /** How much earlier a sign of life may go, for looks that come early. */
-const EARLY: Milliseconds = 5;
+const PERIOD_TOLERANCE: Milliseconds = 5;
 
 /** Changes of pace up to this are no news; placing goes by tenths of it. */
-const PACE_STEP = 0.05;
+const PACE_TOLERANCE = 0.05;
 
 /** The same for the share of memory in use. */
-const MEMORY_STEP = 0.05;
+const MEMORY_TOLERANCE = 0.05;
 
 /** How far the moment of a load may move before it is news. */
-const LOAD_STEP: Milliseconds = 60;
+const LOAD_TIME_TOLERANCE: Milliseconds = 60;
 
 /** What entries decide by of a report. */
-export interface ReportedState extends OfLife {
+export interface ReportedState extends IncarnationStamp {
   readonly held: readonly HeldModel[];
   readonly ordering: boolean;
   readonly running: number;
@@ -52,9 +52,9 @@
   const isSameLoad =
     before.running === next.running &&
     before.waiting === next.waiting &&
-    isNear(before.pace, next.pace, PACE_STEP) &&
-    isNear(before.memoryShare, next.memoryShare, MEMORY_STEP) &&
-    isNear(before.loadsAt, next.loadsAt, LOAD_STEP);
+    isNear(before.pace, next.pace, PACE_TOLERANCE) &&
+    isNear(before.memoryShare, next.memoryShare, MEMORY_TOLERANCE) &&
+    isNear(before.loadsAt, next.loadsAt, LOAD_TIME_TOLERANCE);
   return isSameLoad ? 'none' : 'load';
 }
 
@@ -77,14 +77,14 @@
 function isNear(
   one: number | undefined,
   other: number | undefined,
-  step: number,
+  tolerance: number,
 ): boolean {
   if (one === undefined || other === undefined) return one === other;
-  return Math.abs(one - other) <= step;
+  return Math.abs(one - other) <= tolerance;
 }
 
 /** What a receiver was told, and what it could be told now. */
-export interface ReportNeed {
+export interface ReportCandidate {
   /** Whether the receiver gets each report that is news. */
   readonly getsAll: boolean;
   readonly before: ReportedState | undefined;
@@ -100,11 +100,14 @@
  * its place with nothing to tell. Guard: the second one gets what an engine serves
  * at once, and a whole report with each sign of life.
  */
-export function isReportDue(need: ReportNeed): boolean {
-  const change = reportChange(need.before, need.next);
+export function isReportDue(candidate: ReportCandidate): boolean {
+  const change = reportChange(candidate.before, candidate.next);
   if (change === 'state') return true;
-  if (need.getsAll && change === 'load') return true;
-  const isRunning = need.next.running > 0 || need.next.waiting > 0;
-  const period = need.getsAll && isRunning ? RUNNING_SIGN_PERIOD : SIGN_PERIOD;
-  return need.since >= period - EARLY;
+  if (candidate.getsAll && change === 'load') return true;
+  const isRunning = candidate.next.running > 0 || candidate.next.waiting > 0;
+  const period =
+    candidate.getsAll && isRunning
+      ? RUNNING_HEARTBEAT_PERIOD
+      : HEARTBEAT_PERIOD;
+  return candidate.since >= period - PERIOD_TOLERANCE;
 }
--- a/packages/core/src/relays/report_order.ts
+++ b/packages/core/src/relays/stale_report_filter.ts
@@ -1,12 +1,12 @@
 import type {Milliseconds, MonotonicInstant} from '../types';
 
 /** Age of the newest report after which an older sequence counts again. */
-const ORDER_LIFE: Milliseconds = 2_000;
+const SEQUENCE_TTL: Milliseconds = 2_000;
 
 /** Tells reports that are news from those that came another way before. */
-export interface ReportOrder {
+export interface StaleReportFilter {
   /** Whether a report is newer than all before of its engine; notes it if so. */
-  readonly takes: (
+  readonly accepts: (
     engineAddress: string,
     sequence: number,
     now: MonotonicInstant,
@@ -21,18 +21,18 @@
  * only a report with a higher sequence counts. An agent that starts anew with a
  * clock set back is heard again after 2 s.
  */
-export function createReportOrder(): ReportOrder {
+export function createStaleReportFilter(): StaleReportFilter {
   const newest = new Map<string, {sequence: number; at: MonotonicInstant}>();
 
   return {
-    takes: (engineAddress, sequence, now) => {
+    accepts: (engineAddress, sequence, now) => {
       const before = newest.get(engineAddress);
-      const isOld =
+      const isStale =
         before !== undefined &&
         sequence <= before.sequence &&
-        now - before.at < ORDER_LIFE;
-      if (!isOld) newest.set(engineAddress, {sequence, at: now});
-      return !isOld;
+        now - before.at < SEQUENCE_TTL;
+      if (!isStale) newest.set(engineAddress, {sequence, at: now});
+      return !isStale;
     },
   };
 }
--- a/packages/core/src/relays/table_reader.ts
+++ b/packages/core/src/relays/table_reader.ts
@@ -12,7 +12,7 @@
  * nearer. A call in the store's zone takes 4.3 ms, one from another region 6 ms
  * and more; what two calls of the same way differ by is less than a fifth.
  */
-const CLEARLY_NEARER = 0.8;
+const NEARER_RATIO = 0.8;
 
 /**
  * Whether `own` leaves the reading of a table to `other`, which reads it.
@@ -22,8 +22,8 @@
  * nearest to the store reads for all, and of those that are equally near the
  * first by name. No two relays leave it to each other.
  */
-export function leavesReadingTo(own: TableReader, other: TableReader): boolean {
-  if (other.storeDistance < own.storeDistance * CLEARLY_NEARER) return true;
-  const isFarther = own.storeDistance < other.storeDistance * CLEARLY_NEARER;
+export function defersReadingTo(own: TableReader, other: TableReader): boolean {
+  if (other.storeDistance < own.storeDistance * NEARER_RATIO) return true;
+  const isFarther = own.storeDistance < other.storeDistance * NEARER_RATIO;
   return !isFarther && other.instance < own.instance;
 }
--- a/packages/core/src/requests/commands/answer_assembler.ts
+++ b/packages/core/src/requests/commands/answer_assembler.ts
@@ -35,7 +35,7 @@
 
 // Empty frames without end would fill the memory too. At 65,536 tokens, the
 // longest answer, this comes to 1 MB.
-const FRAME_OVERHEAD = 16;
+const FRAME_OVERHEAD_BYTES = 16;
 
 const DROPPED: FrameResult = {kind: 'dropped'};
 
@@ -80,7 +80,7 @@
     if (frame.sequence < frames.length) return DROPPED;
     // A lost frame would leave a hole that the caller can't see.
     if (frame.sequence > frames.length) return broken('frame missing');
-    byteCount += frame.content.length + FRAME_OVERHEAD;
+    byteCount += frame.content.length + FRAME_OVERHEAD_BYTES;
     if (byteCount > options.answerBytes) return broken('answer too long');
     frames.push(frame.content);
     digester.update(frame.content);
--- a/packages/core/src/requests/commands/answer_cache.ts
+++ b/packages/core/src/requests/commands/answer_cache.ts
@@ -21,29 +21,29 @@
   readonly bytes: () => Bytes;
 }
 
-interface KeptAnswer {
+interface CachedAnswer {
   readonly answer: WholeAnswer;
   readonly size: Bytes;
   readonly until: MonotonicInstant;
 }
 
 // What one frame and one answer cost besides their content, roughly.
-const FRAME_OVERHEAD: Bytes = 96;
-const ANSWER_OVERHEAD: Bytes = 512;
+const FRAME_OVERHEAD_BYTES: Bytes = 96;
+const ANSWER_OVERHEAD_BYTES: Bytes = 512;
 
 function sizeOf(answer: WholeAnswer): Bytes {
   return answer.frames.reduce(
-    (sum, frame) => sum + frame.length + FRAME_OVERHEAD,
-    ANSWER_OVERHEAD,
+    (sum, frame) => sum + frame.length + FRAME_OVERHEAD_BYTES,
+    ANSWER_OVERHEAD_BYTES,
   );
 }
 
 /** Keeps answers, oldest dropped first. */
 export function createAnswerCache(options: {
   readonly answerBytes: Bytes;
-  readonly answersKeptFor: Milliseconds;
+  readonly answerRetention: Milliseconds;
 }): AnswerCache {
-  const kept = new Map<AttemptId, KeptAnswer>();
+  const kept = new Map<AttemptId, CachedAnswer>();
   let bytes = 0;
 
   function remove(attempt: AttemptId): void {
@@ -53,7 +53,7 @@
     bytes -= found.size;
   }
 
-  function dropOld(now: MonotonicInstant): void {
+  function evictExpired(now: MonotonicInstant): void {
     for (const [attempt, {until}] of kept) {
       if (until > now && bytes <= options.answerBytes) return;
       remove(attempt);
@@ -63,12 +63,12 @@
   return {
     keep(attempt, answer, now) {
       const size = sizeOf(answer);
-      kept.set(attempt, {answer, size, until: now + options.answersKeptFor});
+      kept.set(attempt, {answer, size, until: now + options.answerRetention});
       bytes += size;
-      dropOld(now);
+      evictExpired(now);
     },
     get(attempt, now) {
-      dropOld(now);
+      evictExpired(now);
       return kept.get(attempt)?.answer;
     },
     remove,
--- a/packages/core/src/requests/commands/at_most_once_flow.ts
+++ b/packages/core/src/requests/commands/at_most_once_flow.ts
@@ -11,12 +11,12 @@
 import type {AtMostOnceOptions} from './at_most_once_options';
 import {awaitResolution} from './attempt_resolution';
 import {runToEnd} from './attempt_run';
-import {answered, outcomeUnknown} from './call_ends';
+import {answered, outcomeUnknown} from './call_results';
 import {end, type CallStep} from './call_step';
-import {meetClaim, recordEnd} from './meet_claim';
+import {handleExistingClaim, recordEnd} from './existing_claim';
 import {
   recordAnswer,
-  recordUnknown,
+  recordOutcomeUnknown,
   releaseClaim,
   type FreeClaim,
 } from './claim_records';
@@ -33,7 +33,7 @@
 // Each round either ends the call or answers another entry's write of the
 // same key; so many such writes during one call mean a caller that floods
 // its own key.
-const MAXIMUM_ROUNDS = 16;
+const MAX_ROUNDS = 16;
 
 /**
  * Serves a call that may not be repeated: at most one attempt per key ever
@@ -60,7 +60,7 @@
       versionDigest: undefined,
       until: deadline,
     });
-    if (choice.kind === 'target') return yield* claimFor(base, choice);
+    if (choice.kind === 'target') return yield* claimForTarget(base, choice);
     const {reason, retryAfter} = refused ?? choice;
     if (base !== undefined) return yield* giveUp(base, reason, retryAfter);
     // The key may have been answered already: that needs no target.
@@ -70,7 +70,7 @@
     return {kind: 'meet', row: found.val};
   }
 
-  function* claimFor(
+  function* claimForTarget(
     base: FreeClaim | undefined,
     choice: Extract<TargetChoice, {kind: 'target'}>,
   ): RequestFlow<CallStep> {
@@ -135,18 +135,18 @@
         return end(answered(runEnd.answer));
       case 'refused': {
         const evidence = own.refused(runEnd.event);
-        if (evidence === undefined) return yield* settle(address, version);
+        if (evidence === undefined) return yield* resolveOwn(address, version);
         const base = {version, claimed: attempt};
-        return yield* elsewhere(address, base, evidence, runEnd.event);
+        return yield* tryOtherTarget(address, base, evidence, runEnd.event);
       }
       case 'unclear':
-        return yield* settle(address, version);
+        return yield* resolveOwn(address, version);
       default:
         return unreachable(runEnd);
     }
   }
 
-  function* elsewhere(
+  function* tryOtherTarget(
     address: AttemptAddress,
     base: FreeClaim,
     evidence: NotRunEvidence,
@@ -154,16 +154,16 @@
   ): RequestFlow<CallStep> {
     const {reason, retryAfter} = refusal;
     refused = refusal;
-    attempts.proved(evidence);
+    attempts.recordNotRun(evidence);
     excluded.push(address.target);
-    if (excluded.length < limits.targetTries && now() < deadline) {
+    if (excluded.length < limits.maxTargets && now() < deadline) {
       return {kind: 'claim', base};
     }
     return yield* giveUp(base, reason, retryAfter);
   }
 
   /** Finds out about the own attempt after its stream broke off. */
-  function* settle(
+  function* resolveOwn(
     address: AttemptAddress,
     version: number,
   ): RequestFlow<CallStep> {
@@ -175,11 +175,11 @@
           reason: 'queueFull',
           retryAfter: limits.retryAfter,
         } as const;
-        return yield* elsewhere(address, base, found.evidence, refusal);
+        return yield* tryOtherTarget(address, base, found.evidence, refusal);
       }
       case 'answerGone': {
         const detail = 'the call has run; its answer was lost';
-        yield* recordUnknown(options, version, address, detail);
+        yield* recordOutcomeUnknown(options, version, address, detail);
         return end(outcomeUnknown(detail));
       }
       case 'answered':
@@ -193,13 +193,13 @@
   }
 
   let next: CallStep = {kind: 'claim', base: undefined};
-  for (let round = 0; round < MAXIMUM_ROUNDS; round += 1) {
+  for (let round = 0; round < MAX_ROUNDS; round += 1) {
     switch (next.kind) {
       case 'claim':
         next = yield* claim(next.base);
         break;
       case 'meet':
-        next = yield* meetClaim(options, attempts, next.row);
+        next = yield* handleExistingClaim(options, attempts, next.row);
         break;
       case 'run':
         next = yield* run(next.own, next.address, next.version);
--- a/packages/core/src/requests/commands/at_most_once_options.ts
+++ b/packages/core/src/requests/commands/at_most_once_options.ts
@@ -14,9 +14,9 @@
   /** Answers up to this size are kept in the claim row itself. */
   readonly inlineAnswerBytes: Bytes;
   /** Most targets that one call tries, each after proof from the last. */
-  readonly targetTries: number;
+  readonly maxTargets: number;
   /** Most writes of one claim or record, lost replies included. */
-  readonly writeTries: number;
+  readonly maxWriteAttempts: number;
   /** Longest wait for a tombstone's answer. */
   readonly tombstoneTimeout: Milliseconds;
   /** Pause between looks at an attempt whose stream broke off. */
@@ -32,9 +32,9 @@
   inlineAnswerBytes: 4 * 1024,
   // One target and two more after refusals: a third refusal in a row means
   // that the service as a whole is full or leaving.
-  targetTries: 3,
+  maxTargets: 3,
   // With replies lost independently at 10%, three leave one in a thousand.
-  writeTries: 3,
+  maxWriteAttempts: 3,
   tombstoneTimeout: 500,
   pollInterval: 100,
   retryAfter: 1000,
--- a/packages/core/src/requests/commands/attempt_memory.ts
+++ b/packages/core/src/requests/commands/attempt_memory.ts
@@ -2,12 +2,12 @@
 import {parseAttempt, type AttemptParts} from '../queries/attempt_id';
 
 /** `closed`: refused or tombstoned, so never started. */
-export type SettledState = 'closed' | 'finished';
+export type FinalState = 'closed' | 'finished';
 
 /** What an agent knows of one attempt. */
 export type AttemptState =
   | 'running'
-  | SettledState
+  | FinalState
   | 'unseen'
   /** May have run and be forgotten; never starts. */
   | 'forgotten'
@@ -30,7 +30,7 @@
   /** Makes sure that the attempt never starts. */
   readonly close: (attempt: AttemptId, parts: AttemptParts) => void;
   /** Notes how a running attempt ended; `false` if it was not running. */
-  readonly ended: (attempt: AttemptId, as: SettledState) => boolean;
+  readonly ended: (attempt: AttemptId, as: FinalState) => boolean;
   readonly sizes: () => {
     readonly running: number;
     readonly records: number;
@@ -49,63 +49,68 @@
   onForget: (attempt: AttemptId) => void,
 ): AttemptMemory {
   const running = new Set<AttemptId>();
-  const settled = new Map<AttemptId, SettledState>();
+  const finalStates = new Map<AttemptId, FinalState>();
   /** By sender: the highest sequence that may have been forgotten. */
-  const marks = new Map<string, number>();
+  const forgottenSequences = new Map<string, number>();
 
-  function remember({sender}: AttemptParts): void {
-    if (!marks.has(sender)) marks.set(sender, 0);
+  function addSender({sender}: AttemptParts): void {
+    if (!forgottenSequences.has(sender)) forgottenSequences.set(sender, 0);
   }
 
-  function settle(attempt: AttemptId, state: SettledState): void {
-    settled.set(attempt, state);
-    for (const [oldest] of settled) {
-      if (settled.size <= bounds.maximumRecords) return;
+  function recordFinalState(attempt: AttemptId, state: FinalState): void {
+    finalStates.set(attempt, state);
+    for (const [oldest] of finalStates) {
+      if (finalStates.size <= bounds.maximumRecords) return;
       forget(oldest);
     }
   }
 
   function forget(attempt: AttemptId): void {
-    settled.delete(attempt);
+    finalStates.delete(attempt);
     onForget(attempt);
     const parts = parseAttempt(attempt);
     if (parts === undefined) return;
-    const mark = marks.get(parts.sender) ?? 0;
-    marks.set(parts.sender, Math.max(mark, parts.sequence));
+    const forgottenSequence = forgottenSequences.get(parts.sender) ?? 0;
+    forgottenSequences.set(
+      parts.sender,
+      Math.max(forgottenSequence, parts.sequence),
+    );
   }
 
   return {
     stateOf(attempt, parts) {
       if (running.has(attempt)) return 'running';
-      const state = settled.get(attempt);
+      const state = finalStates.get(attempt);
       if (state !== undefined) return state;
-      const mark = marks.get(parts.sender);
-      if (mark === undefined) {
+      const forgottenSequence = forgottenSequences.get(parts.sender);
+      if (forgottenSequence === undefined) {
         // Once full, it stays full: an unknown sender's attempts never start.
-        return marks.size < bounds.maximumSenders ? 'unseen' : 'barred';
+        return forgottenSequences.size < bounds.maximumSenders
+          ? 'unseen'
+          : 'barred';
       }
       // A record that was dropped may have been of a run: started again by a
       // late second copy of its dispatch, the call would run twice.
-      if (parts.sequence <= mark) return 'forgotten';
+      if (parts.sequence <= forgottenSequence) return 'forgotten';
       return 'unseen';
     },
     started(attempt, parts) {
-      remember(parts);
+      addSender(parts);
       running.add(attempt);
     },
     close(attempt, parts) {
-      remember(parts);
-      settle(attempt, 'closed');
+      addSender(parts);
+      recordFinalState(attempt, 'closed');
     },
     ended(attempt, as) {
       if (!running.delete(attempt)) return false;
-      settle(attempt, as);
+      recordFinalState(attempt, as);
       return true;
     },
     sizes: () => ({
       running: running.size,
-      records: settled.size,
-      senders: marks.size,
+      records: finalStates.size,
+      senders: forgottenSequences.size,
     }),
   };
 }
--- a/packages/core/src/requests/commands/attempt_registry.ts
+++ b/packages/core/src/requests/commands/attempt_registry.ts
@@ -36,7 +36,7 @@
   /** Most bytes of finished answers kept. */
   readonly answerBytes: Bytes;
   /** How long a finished answer is kept at most. */
-  readonly answersKeptFor: Milliseconds;
+  readonly answerRetention: Milliseconds;
   /** When refused callers should come back. */
   readonly retryAfter: Milliseconds;
 }
@@ -50,7 +50,7 @@
   // Eight entries replaced every ten minutes for a month come to 35,000.
   maximumSenders: 40_000,
   answerBytes: 8 * 1024 * 1024,
-  answersKeptFor: 10 * 60_000,
+  answerRetention: 10 * 60_000,
   retryAfter: 1000,
 } as const;
 
@@ -72,7 +72,7 @@
    * Notes that the target itself refused a started attempt before any of its
    * work; the attempt is closed. `undefined` if it was not running.
    */
-  readonly turnedAway: (
+  readonly recordTargetRefusal: (
     attempt: AttemptId,
     reason: NotRunReason,
   ) => RefusedEvent | undefined;
@@ -192,7 +192,7 @@
       if (!memory.ended(attempt, 'finished')) return;
       if (answer !== undefined) answers.keep(attempt, answer, now);
     },
-    turnedAway(attempt, reason) {
+    recordTargetRefusal(attempt, reason) {
       // Closed, not forgotten: a second copy of the dispatch must not reach
       // the target when it has room again.
       if (!memory.ended(attempt, 'closed')) return undefined;
--- a/packages/core/src/requests/commands/attempt_resolution.ts
+++ b/packages/core/src/requests/commands/attempt_resolution.ts
@@ -1,6 +1,6 @@
 import {unreachable} from '../../kernel/flow';
 import type {NotRunEvidence} from '../../types';
-import {tombstoned} from '../evidence';
+import {evidenceOfTombstone} from '../evidence';
 import {agentKey, readIncarnation} from '../queries/claim_row';
 import type {
   AttemptAddress,
@@ -10,7 +10,7 @@
 } from '../types';
 import type {AtMostOnceOptions} from './at_most_once_options';
 import {runToEnd} from './attempt_run';
-import {askTombstone, perform, readRow} from './steps';
+import {requestTombstone, perform, readRow} from './steps';
 
 /** What is known of an attempt that may have run. */
 export type Resolution =
@@ -32,12 +32,12 @@
   options: AtMostOnceOptions,
   address: AttemptAddress,
 ): RequestFlow<Resolution> {
-  const until = answerBy(options);
-  const answer = yield* askTombstone({kind: 'tombstone', address, until});
+  const until = replyDeadline(options);
+  const answer = yield* requestTombstone({kind: 'tombstone', address, until});
   if (answer === undefined || answer.attempt !== address.attempt) {
-    return yield* askTable(address);
+    return yield* checkIncarnationRow(address);
   }
-  return yield* judge(options, address, answer);
+  return yield* evaluateTombstone(options, address, answer);
 }
 
 /** A {@link Resolution} that more waiting would not change. */
@@ -61,18 +61,18 @@
   return {kind: 'undecided'};
 }
 
-function answerBy({now, limits, deadline}: AtMostOnceOptions): number {
+function replyDeadline({now, limits, deadline}: AtMostOnceOptions): number {
   return Math.min(now() + limits.tombstoneTimeout, deadline);
 }
 
-function* judge(
+function* evaluateTombstone(
   options: AtMostOnceOptions,
   address: AttemptAddress,
   answer: TombstoneAnswer,
 ): RequestFlow<Resolution> {
   switch (answer.state) {
     case 'tombstoned': {
-      const evidence = tombstoned(address, answer);
+      const evidence = evidenceOfTombstone(address, answer);
       if (evidence === undefined) return {kind: 'unreachable'};
       return {kind: 'neverRan', evidence};
     }
@@ -83,7 +83,7 @@
     case 'forgotten':
       return {kind: 'unknowable', detail: 'the agent has forgotten it'};
     case 'otherIncarnation':
-      return yield* otherLife(address, answer);
+      return yield* resolveOtherIncarnation(address, answer);
     default:
       return unreachable(answer.state);
   }
@@ -93,30 +93,32 @@
   options: AtMostOnceOptions,
   address: AttemptAddress,
 ): RequestFlow<Resolution> {
-  const until = answerBy(options);
+  const until = replyDeadline(options);
   const end = yield* runToEnd({kind: 'collect', address, until}, options);
   if (end.kind !== 'answered') return {kind: 'answerGone'};
   return {kind: 'answered', answer: end.answer};
 }
 
-function* otherLife(
+function* resolveOtherIncarnation(
   address: AttemptAddress,
   answer: TombstoneAnswer,
 ): RequestFlow<Resolution> {
-  if (answer.incarnation > address.incarnation) return lifeOver(address);
-  return yield* askTable(address);
+  if (answer.incarnation > address.incarnation) return agentRestarted(address);
+  return yield* checkIncarnationRow(address);
 }
 
-function* askTable(address: AttemptAddress): RequestFlow<Resolution> {
+function* checkIncarnationRow(
+  address: AttemptAddress,
+): RequestFlow<Resolution> {
   const row = yield* readRow(agentKey(address.instance));
   if (row.err || row.val === undefined) return {kind: 'unreachable'};
   const incarnation = readIncarnation(row.val.value);
   if (incarnation === undefined) return {kind: 'unreachable'};
   if (incarnation <= address.incarnation) return {kind: 'unreachable'};
-  return lifeOver(address);
+  return agentRestarted(address);
 }
 
-function lifeOver(address: AttemptAddress): Resolution {
+function agentRestarted(address: AttemptAddress): Resolution {
   const detail = `${address.instance} was restarted while it held the attempt`;
   return {kind: 'unknowable', detail};
 }
--- a/packages/core/src/requests/commands/attempt_run.ts
+++ b/packages/core/src/requests/commands/attempt_run.ts
@@ -38,7 +38,7 @@
   });
   let event = yield* nextEvent(effect);
   for (;;) {
-    const end = judgeEvent(assembler, address, event);
+    const end = evaluateEvent(assembler, address, event);
     if (end !== undefined) return end;
     // Frames of other attempts without end must not keep the flow for ever.
     if (options.now() >= until) return {kind: 'unclear', detail: 'deadline'};
@@ -46,7 +46,7 @@
   }
 }
 
-function judgeEvent(
+function evaluateEvent(
   assembler: AnswerAssembler,
   address: AttemptAddress,
   event: AttemptEvent,
--- a/packages/core/src/requests/commands/caller_stream.ts
+++ b/packages/core/src/requests/commands/caller_stream.ts
@@ -16,29 +16,29 @@
     frame: Extract<FrameResult, {kind: 'started' | 'data' | 'complete'}>,
   ) => CallerFrames;
   /** The version of the frames that the caller has, if it has any. */
-  readonly begunVersion: () => VersionDigest | undefined;
+  readonly startedVersion: () => VersionDigest | undefined;
 }
 
-const NOTHING: CallerFrames = [];
+const NO_FRAMES: CallerFrames = [];
 
 /** Sends one answer over several tries, each frame once. */
 export function createCallerStream(): CallerStream {
   const sent: Uint8Array[] = [];
   let version: VersionDigest | undefined;
-  let begun = false;
+  let hasStarted = false;
 
   /** The start goes out with the first content: until then, any version. */
   function withStart(frame: CallerFrame): CallerFrames {
-    if (begun) return [frame];
-    begun = true;
+    if (hasStarted) return [frame];
+    hasStarted = true;
     return [{kind: 'started', versionDigest: version}, frame];
   }
 
   function takeStarted(versionDigest: VersionDigest | undefined): CallerFrames {
     // The rest of an answer from another version would mix two versions.
-    if (begun && version !== versionDigest) return 'differs';
+    if (hasStarted && version !== versionDigest) return 'differs';
     version = versionDigest;
-    return NOTHING;
+    return NO_FRAMES;
   }
 
   function takeData(sequence: number, content: Uint8Array): CallerFrames {
@@ -48,11 +48,11 @@
       return withStart({kind: 'data', sequence, content});
     }
     // Two runs may word one answer differently; spliced, neither is whole.
-    return equalBytes(earlier, content) ? NOTHING : 'differs';
+    return equalBytes(earlier, content) ? NO_FRAMES : 'differs';
   }
 
   return {
-    begunVersion: () => (begun ? version : undefined),
+    startedVersion: () => (hasStarted ? version : undefined),
     take(frame) {
       if (frame.kind === 'started') return takeStarted(frame.versionDigest);
       if (frame.kind === 'data') return takeData(frame.sequence, frame.content);
--- a/packages/core/src/requests/commands/claim_records.ts
+++ b/packages/core/src/requests/commands/claim_records.ts
@@ -38,7 +38,7 @@
   if (body === undefined) return;
   const {fingerprint} = options;
   const {attempt, versionDigest, digest} = answer;
-  yield* writeOver(options, version, {
+  yield* overwriteOwnClaim(options, version, {
     kind: 'answered',
     fingerprint,
     attempt,
@@ -49,7 +49,7 @@
 }
 
 /** Records that nobody will ever know whether the attempt ran. */
-export function* recordUnknown(
+export function* recordOutcomeUnknown(
   options: AtMostOnceOptions,
   version: number,
   {attempt}: AttemptAddress,
@@ -57,11 +57,11 @@
 ): RequestFlow<void> {
   const {fingerprint} = options;
   const row: ClaimRow = {kind: 'outcomeUnknown', fingerprint, attempt, detail};
-  yield* writeOver(options, version, row);
+  yield* overwriteOwnClaim(options, version, row);
 }
 
 /** Writes an end over the claim of the same attempt, and over no other. */
-function* writeOver(
+function* overwriteOwnClaim(
   options: AtMostOnceOptions,
   version: number,
   row: ClaimRow,
--- a/packages/core/src/requests/commands/claim_writes.ts
+++ b/packages/core/src/requests/commands/claim_writes.ts
@@ -17,7 +17,7 @@
 // versioned write fails and its reply tells the version.
 const FIRST_VERSION = 1;
 
-function sameState(row: TableRow, claim: ClaimRow): boolean {
+function hasSameState(row: TableRow, claim: ClaimRow): boolean {
   const found = readClaim(row.value);
   if (found.err) return false;
   if (found.val.kind !== claim.kind) return false;
@@ -59,13 +59,17 @@
 ): RequestFlow<ClaimWrite> {
   const transaction = transactionFor(options, base, claim);
   const {limits} = options;
-  for (let attempted = 0; attempted < limits.writeTries; attempted += 1) {
+  for (let attempted = 0; attempted < limits.maxWriteAttempts; attempted += 1) {
     const reply = yield* commit(transaction);
     if (reply.ok) {
       if (reply.val.kind === 'committed') {
         return {kind: 'written', version: (base ?? FIRST_VERSION - 1) + 1};
       }
-      return judge(reply.val.failed[0]?.row, claim, limits.retryAfter);
+      return evaluateExistingRow(
+        reply.val.failed[0]?.row,
+        claim,
+        limits.retryAfter,
+      );
     }
     if (reply.val.kind !== 'replyLost') {
       const retryAfter =
@@ -78,17 +82,17 @@
     if (found.err) return {kind: 'undecided', retryAfter: limits.retryAfter};
     // A row unchanged so far is no proof that the lost write won't land.
     if (found.val?.version === base) continue;
-    return judge(found.val, claim, limits.retryAfter);
+    return evaluateExistingRow(found.val, claim, limits.retryAfter);
   }
   return {kind: 'undecided', retryAfter: limits.retryAfter};
 }
 
-function judge(
+function evaluateExistingRow(
   row: TableRow | undefined,
   claim: ClaimRow,
   retryAfter: number,
 ): ClaimWrite {
   if (row === undefined) return {kind: 'undecided', retryAfter};
-  if (sameState(row, claim)) return {kind: 'written', version: row.version};
+  if (hasSameState(row, claim)) return {kind: 'written', version: row.version};
   return {kind: 'other', row};
 }
--- a/packages/core/src/requests/commands/meet_claim.ts
+++ b/packages/core/src/requests/commands/existing_claim.ts
@@ -5,13 +5,13 @@
 import {loadAnswer} from './answer_storage';
 import type {AtMostOnceOptions} from './at_most_once_options';
 import {resolveAttempt, type Resolution} from './attempt_resolution';
-import {answered, outcomeUnknown} from './call_ends';
+import {answered, outcomeUnknown} from './call_results';
 import {end, type CallStep} from './call_step';
-import {recordAnswer, recordUnknown} from './claim_records';
+import {recordAnswer, recordOutcomeUnknown} from './claim_records';
 import type {OwnAttempts} from './own_attempts';
 
 /** What the row that stands at the key means for a call that meets it. */
-export function* meetClaim(
+export function* handleExistingClaim(
   options: AtMostOnceOptions,
   attempts: OwnAttempts,
   row: TableRow,
@@ -35,13 +35,18 @@
       return end(outcomeUnknown('answered, but not readable at present'));
     }
     case 'claimed':
-      return yield* meetClaimed(options, attempts, version, state.address);
+      return yield* resolveExistingClaim(
+        options,
+        attempts,
+        version,
+        state.address,
+      );
     default:
       return unreachable(state);
   }
 }
 
-function* meetClaimed(
+function* resolveExistingClaim(
   options: AtMostOnceOptions,
   attempts: OwnAttempts,
   version: number,
@@ -77,6 +82,6 @@
     yield* recordAnswer(options, version, resolution.answer);
     return end(answered(resolution.answer));
   }
-  yield* recordUnknown(options, version, address, resolution.detail);
+  yield* recordOutcomeUnknown(options, version, address, resolution.detail);
   return end(outcomeUnknown(resolution.detail));
 }
--- a/packages/core/src/requests/commands/group_commit.ts
+++ b/packages/core/src/requests/commands/group_commit.ts
@@ -80,7 +80,7 @@
   const {maximumRows, window, maximumInFlight} = options;
   let waiting: readonly Member[] = [];
   /** Rests of batches, to go out again by themselves. */
-  const repeats: (readonly Member[])[] = [];
+  const retries: (readonly Member[])[] = [];
   const inFlight = new Map<number, readonly Member[]>();
   let batchCount = 0;
 
@@ -135,7 +135,7 @@
       }));
     }
     const rest = members.filter(member => !atFault.includes(member));
-    if (rest.length > 0) repeats.push(rest);
+    if (rest.length > 0) retries.push(rest);
     return atFault.map(member => ({
       member: member.member,
       result: Ok({
@@ -153,7 +153,7 @@
     takeDue(now) {
       const batches: CommitBatch[] = [];
       while (inFlight.size < maximumInFlight) {
-        const members = repeats.shift() ?? takeWaiting(now);
+        const members = retries.shift() ?? takeWaiting(now);
         if (members === undefined) break;
         batches.push(send(members));
       }
@@ -172,7 +172,7 @@
     },
     nextDue() {
       if (inFlight.size >= maximumInFlight) return undefined;
-      if (repeats.length > 0) return -Infinity;
+      if (retries.length > 0) return -Infinity;
       return waiting[0]?.due;
     },
   };
--- a/packages/core/src/requests/commands/own_attempts.ts
+++ b/packages/core/src/requests/commands/own_attempts.ts
@@ -1,16 +1,16 @@
 import type {AttemptId, NotRunEvidence, NotRunReason} from '../../types';
 import {createOwnAttempt, type OwnAttempt} from '../evidence';
 import type {RequestResult} from '../types';
-import {notRun, outcomeUnknown} from './call_ends';
+import {notRun, outcomeUnknown} from './call_results';
 
 /** The attempts of one call, one after another, and what is proved of them. */
 export interface OwnAttempts {
   /** Closes the latest attempt and mints the next. */
   readonly next: () => OwnAttempt;
   /** Notes proof that the latest attempt never ran. */
-  readonly proved: (evidence: NotRunEvidence) => void;
+  readonly recordNotRun: (evidence: NotRunEvidence) => void;
   /** Notes why the latest attempt may have run. */
-  readonly unclear: (detail: string) => void;
+  readonly recordMayHaveRun: (detail: string) => void;
   /** `notRun` if every attempt is proved not to run, unknown otherwise. */
   readonly endNotRun: (
     reason: NotRunReason,
@@ -37,10 +37,10 @@
       latest = createOwnAttempt(createAttempt());
       return latest;
     },
-    proved(evidence) {
+    recordNotRun(evidence) {
       proof = evidence;
     },
-    unclear(detail) {
+    recordMayHaveRun(detail) {
       mayHaveRun = detail;
     },
     endNotRun(reason, retryAfter) {
--- a/packages/core/src/requests/commands/repeatable_flow.ts
+++ b/packages/core/src/requests/commands/repeatable_flow.ts
@@ -21,7 +21,7 @@
   type AnswerAssembler,
   type FrameResult,
 } from './answer_assembler';
-import {answered, outcomeUnknown} from './call_ends';
+import {answered, outcomeUnknown} from './call_results';
 import {
   createCallerStream,
   type CallerFrame,
@@ -32,7 +32,7 @@
 import {chooseTarget, nextEvent} from './steps';
 
 /** How one try ended. */
-type TryEnd =
+type AttemptEnd =
   | {readonly kind: 'answered'; readonly answer: WholeAnswer}
   | {
       readonly kind: 'refused';
@@ -44,20 +44,20 @@
   | {readonly kind: 'callerGone'};
 
 /** What one event means: frames for the caller, and the try's end. */
-interface Verdict {
+interface EventOutcome {
   readonly frames: readonly CallerFrame[];
-  readonly end: TryEnd | undefined;
+  readonly end: AttemptEnd | undefined;
 }
 
-const GO_ON: Verdict = {frames: [], end: undefined};
+const CONTINUE: EventOutcome = {frames: [], end: undefined};
 
-function over(end: TryEnd): Verdict {
+function endWith(end: AttemptEnd): EventOutcome {
   return {frames: [], end};
 }
 
-type TargetChosen = Extract<TargetChoice, {kind: 'target'}>;
+type ChosenTarget = Extract<TargetChoice, {kind: 'target'}>;
 
-function failed(detail: string): TryEnd {
+function failed(detail: string): AttemptEnd {
   return {kind: 'failed', detail};
 }
 
@@ -76,7 +76,7 @@
   let reason: NotRunReason = 'deadlineTooShort';
   let retryAfter = limits.retryAfter;
 
-  for (let attempted = 0; attempted < limits.tries; attempted += 1) {
+  for (let attempted = 0; attempted < limits.maxAttempts; attempted += 1) {
     if (now() >= deadline) break;
     // Retries of everybody at once would keep a struggling site down.
     if (attempted > 0 && !options.spendRetry()) {
@@ -85,41 +85,46 @@
     const choice = yield* chooseTarget({
       kind: 'chooseTarget',
       exclude: excluded,
-      versionDigest: stream.begunVersion(),
+      versionDigest: stream.startedVersion(),
       until: deadline,
     });
     if (choice.kind === 'none') {
       return attempts.endNotRun(choice.reason, choice.retryAfter);
     }
     excluded.push(choice.target);
-    const tryEnd = yield* tryTarget(options, attempts.next(), choice, stream);
-    switch (tryEnd.kind) {
+    const attemptEnd = yield* runAttempt(
+      options,
+      attempts.next(),
+      choice,
+      stream,
+    );
+    switch (attemptEnd.kind) {
       case 'answered':
-        return {...answered(tryEnd.answer), answer: undefined};
+        return {...answered(attemptEnd.answer), answer: undefined};
       case 'callerGone':
         return outcomeUnknown('the caller has gone');
       case 'refused':
-        attempts.proved(tryEnd.evidence);
-        ({reason, retryAfter} = tryEnd);
+        attempts.recordNotRun(attemptEnd.evidence);
+        ({reason, retryAfter} = attemptEnd);
         break;
       case 'failed':
         // It may have run: without this note a later refusal elsewhere would
         // pass for "not run".
-        attempts.unclear(tryEnd.detail);
+        attempts.recordMayHaveRun(attemptEnd.detail);
         break;
       default:
-        return unreachable(tryEnd);
+        return unreachable(attemptEnd);
     }
   }
   return attempts.endNotRun(reason, retryAfter);
 }
 
-function* tryTarget(
+function* runAttempt(
   options: RepeatableOptions,
   own: OwnAttempt,
-  {target, instance, incarnation}: TargetChosen,
+  {target, instance, incarnation}: ChosenTarget,
   stream: CallerStream,
-): RequestFlow<TryEnd> {
+): RequestFlow<AttemptEnd> {
   const {deadline, createDigester, now} = options;
   const {answerBytes} = options.limits;
   const {attempt} = own;
@@ -129,24 +134,24 @@
     answerBytes,
   });
   const destination = {target, instance, incarnation};
-  const until = silenceEnd(options);
+  const until = silenceDeadline(options);
   const effect = own.dispatch(destination, {
     until,
     deadline,
-    versionDigest: stream.begunVersion(),
+    versionDigest: stream.startedVersion(),
   });
   let event = yield* nextEvent(effect);
   for (;;) {
-    const verdict = judge(own, assembler, stream, event);
-    for (const frame of verdict.frames) {
+    const eventOutcome = evaluateEvent(own, assembler, stream, event);
+    for (const frame of eventOutcome.frames) {
       const reply = yield {kind: 'emit', frame};
       if (reply.kind !== 'callerGone') continue;
       yield {kind: 'cancel', address: effect.address};
       return {kind: 'callerGone'};
     }
-    if (verdict.end !== undefined) {
-      yield* cancelUnlessOver(verdict.end, effect.address);
-      return verdict.end;
+    if (eventOutcome.end !== undefined) {
+      yield* cancelUnlessEnded(eventOutcome.end, effect.address);
+      return eventOutcome.end;
     }
     // Frames of other attempts must not keep the call past its deadline.
     if (now() >= deadline) {
@@ -156,54 +161,54 @@
     const next: AwaitEventEffect = {
       kind: 'awaitEvent',
       attempt,
-      until: silenceEnd(options),
+      until: silenceDeadline(options),
     };
     event = yield* nextEvent(next);
   }
 }
 
 /** Stops the work for an answer that nobody waits for any more. */
-function* cancelUnlessOver(
-  tryEnd: TryEnd,
+function* cancelUnlessEnded(
+  attemptEnd: AttemptEnd,
   address: AttemptAddress,
 ): RequestFlow<void> {
-  if (tryEnd.kind === 'answered' || tryEnd.kind === 'refused') return;
+  if (attemptEnd.kind === 'answered' || attemptEnd.kind === 'refused') return;
   yield {kind: 'cancel', address};
 }
 
-function silenceEnd(options: RepeatableOptions): MonotonicInstant {
+function silenceDeadline(options: RepeatableOptions): MonotonicInstant {
   return Math.min(options.deadline, options.now() + options.limits.silence);
 }
 
-function judge(
+function evaluateEvent(
   own: OwnAttempt,
   assembler: AnswerAssembler,
   stream: CallerStream,
   event: AttemptEvent,
-): Verdict {
+): EventOutcome {
   switch (event.kind) {
     case 'started':
     case 'data':
     case 'end':
-      return pass(stream, assembler.accept(event));
+      return forwardFrame(stream, assembler.accept(event));
     case 'refused':
-      if (event.attempt !== own.attempt) return GO_ON;
-      return over(refusedBy(own, event));
+      if (event.attempt !== own.attempt) return CONTINUE;
+      return endWith(refusedBy(own, event));
     case 'failed':
-      if (event.attempt !== own.attempt) return GO_ON;
-      return over(failed(event.detail));
+      if (event.attempt !== own.attempt) return CONTINUE;
+      return endWith(failed(event.detail));
     case 'cut':
-      return over(failed(event.detail));
+      return endWith(failed(event.detail));
     case 'timedOut':
-      return over(failed('silent for too long'));
+      return endWith(failed('silent for too long'));
     case 'callerGone':
-      return over({kind: 'callerGone'});
+      return endWith({kind: 'callerGone'});
     default:
       return unreachable(event);
   }
 }
 
-function refusedBy(own: OwnAttempt, event: RefusedEvent): TryEnd {
+function refusedBy(own: OwnAttempt, event: RefusedEvent): AttemptEnd {
   const evidence = own.refused(event);
   if (evidence === undefined) return failed('refused by another life');
   const {reason, retryAfter} = event;
@@ -211,11 +216,11 @@
 }
 
 /** Passes what the assembler accepted to the caller. */
-function pass(stream: CallerStream, result: FrameResult): Verdict {
-  if (result.kind === 'dropped') return GO_ON;
-  if (result.kind === 'broken') return over(failed(result.detail));
+function forwardFrame(stream: CallerStream, result: FrameResult): EventOutcome {
+  if (result.kind === 'dropped') return CONTINUE;
+  if (result.kind === 'broken') return endWith(failed(result.detail));
   const frames = stream.take(result);
-  if (frames === 'differs') return over(failed('another answer than begun'));
+  if (frames === 'differs') return endWith(failed('another answer than begun'));
   if (result.kind !== 'complete') return {frames, end: undefined};
   return {frames, end: {kind: 'answered', answer: result.answer}};
 }
--- a/packages/core/src/requests/commands/repeatable_options.ts
+++ b/packages/core/src/requests/commands/repeatable_options.ts
@@ -4,7 +4,7 @@
 /** Bounds of one repeatable request. */
 export interface RepeatableLimits extends AnswerLimits {
   /** Most targets tried, the first included. */
-  readonly tries: number;
+  readonly maxAttempts: number;
   /** Longest silence of a stream before the request goes elsewhere. */
   readonly silence: Milliseconds;
   /** When to come back, where nobody else says so. */
@@ -14,7 +14,7 @@
 /** Limits for a site of today's size. */
 export const DEFAULT_REPEATABLE_LIMITS: RepeatableLimits = {
   answerBytes: 4 * 1024 * 1024,
-  tries: 3,
+  maxAttempts: 3,
   // Longer than any pause of a healthy engine between two tokens.
   silence: 5000,
   retryAfter: 1000,
--- a/packages/core/src/requests/commands/steps.ts
+++ b/packages/core/src/requests/commands/steps.ts
@@ -57,7 +57,7 @@
 }
 
 /** Asks for a tombstone; `undefined` if no answer came. */
-export function* askTombstone(
+export function* requestTombstone(
   effect: TombstoneEffect,
 ): RequestFlow<TombstoneAnswer | undefined> {
   return (yield* perform(effect, 'tombstone')).answer;
--- a/packages/core/src/requests/evidence.ts
+++ b/packages/core/src/requests/evidence.ts
@@ -95,7 +95,7 @@
  * Evidence from an agent's answer to a tombstone; `undefined` unless that
  * same incarnation confirmed it for that same attempt.
  */
-export function tombstoned(
+export function evidenceOfTombstone(
   address: AttemptAddress,
   answer: TombstoneAnswer,
 ): NotRunEvidence | undefined {
--- a/packages/core/src/requests/queries/answer_encoding.ts
+++ b/packages/core/src/requests/queries/answer_encoding.ts
@@ -1,9 +1,9 @@
-const LENGTH_BYTES = 4;
+const LENGTH_PREFIX_BYTES = 4;
 
 /** All frames in one piece: each with its length before it. */
 export function encodeFrames(frames: readonly Uint8Array[]): Uint8Array {
   const size = frames.reduce(
-    (sum, frame) => sum + LENGTH_BYTES + frame.length,
+    (sum, frame) => sum + LENGTH_PREFIX_BYTES + frame.length,
     0,
   );
   const encoded = new Uint8Array(size);
@@ -11,8 +11,8 @@
   let offset = 0;
   for (const frame of frames) {
     view.setUint32(offset, frame.length);
-    encoded.set(frame, offset + LENGTH_BYTES);
-    offset += LENGTH_BYTES + frame.length;
+    encoded.set(frame, offset + LENGTH_PREFIX_BYTES);
+    offset += LENGTH_PREFIX_BYTES + frame.length;
   }
   return encoded;
 }
@@ -29,8 +29,8 @@
   const frames: Uint8Array[] = [];
   let offset = 0;
   while (offset < encoded.length) {
-    if (offset + LENGTH_BYTES > encoded.length) return undefined;
-    const start = offset + LENGTH_BYTES;
+    if (offset + LENGTH_PREFIX_BYTES > encoded.length) return undefined;
+    const start = offset + LENGTH_PREFIX_BYTES;
     const end = start + view.getUint32(offset);
     if (end > encoded.length) return undefined;
     frames.push(encoded.slice(start, end));
--- a/packages/core/src/routes/destinations.ts
+++ b/packages/core/src/routes/destinations.ts
@@ -24,7 +24,7 @@
 }
 
 /** Whether a request may be served nowhere at all. */
-export function areNowhere(destinations: Destinations): boolean {
+export function areEmpty(destinations: Destinations): boolean {
   return destinations.kind === 'regions' && destinations.regions.size === 0;
 }
 
--- a/packages/core/src/routes/residency.ts
+++ b/packages/core/src/routes/residency.ts
@@ -8,7 +8,7 @@
 }
 
 /** Whether a configuration names regions at all. */
-export function bindsRegions({
+export function restrictsRegions({
   routes,
   workspaces = [],
 }: RoutingConfiguration): boolean {
@@ -26,8 +26,8 @@
   routes,
   workspaces = [],
 }: RoutingConfiguration): readonly ResidencyConflict[] {
-  return withDifferentRegions(routes).flatMap(route =>
-    withDifferentRegions(workspaces)
+  return firstOfEachRegionList(routes).flatMap(route =>
+    firstOfEachRegionList(workspaces)
       .filter(workspace => areDisjoint(route, workspace))
       .map(workspace => ({route: route.name, workspace: workspace.name})),
   );
@@ -50,7 +50,7 @@
   return new Set(first.filter(isCommon));
 }
 
-function withDifferentRegions<Bound extends Route | WorkspaceAccess>(
+function firstOfEachRegionList<Bound extends Route | WorkspaceAccess>(
   bound: readonly Bound[],
 ): readonly Bound[] {
   const byList = new Map<string, Bound>();
--- a/packages/core/src/routes/route_table.ts
+++ b/packages/core/src/routes/route_table.ts
@@ -1,6 +1,6 @@
 import type {RegionName, ServiceName} from '../types';
 import {hash32} from '../utils/hash';
-import {bindsRegions, commonRegions} from './residency';
+import {restrictsRegions, commonRegions} from './residency';
 import type {
   Route,
   RoutingConfiguration,
@@ -25,7 +25,7 @@
   readonly access: (route: Route, key: string | undefined) => CallerAccess;
   readonly service: (name: ServiceName) => ServiceDescription | undefined;
   /** Whether the configuration names regions. */
-  readonly bindsRegions: boolean;
+  readonly restrictsRegions: boolean;
   /** Regions that all routes of a host with residency allow, if any has. */
   readonly regionsOf: (host: string) => ReadonlySet<RegionName> | undefined;
 }
@@ -51,7 +51,7 @@
     configuration.services.map(service => [service.name, service] as const),
   );
 
-  const isBound = bindsRegions(configuration);
+  const isRestricted = restrictsRegions(configuration);
 
   function access(route: Route, key: string | undefined): CallerAccess {
     const holder = key === undefined ? undefined : holders.get(key);
@@ -69,9 +69,11 @@
       byHost.get(hostName(host))?.find(route => path.startsWith(route.prefix)),
     access,
     service: name => services.get(name),
-    bindsRegions: isBound,
+    restrictsRegions: isRestricted,
     regionsOf: host =>
-      isBound ? commonRegions(byHost.get(hostName(host)) ?? []) : undefined,
+      isRestricted
+        ? commonRegions(byHost.get(hostName(host)) ?? [])
+        : undefined,
   };
 }
 
--- a/packages/core/src/routing/admission.ts
+++ b/packages/core/src/routing/admission.ts
@@ -2,12 +2,12 @@
 import {
   ADMISSION_MARGIN_STEP,
   ADMISSION_QUANTILE,
-  LARGEST_MARGIN_SHARE,
-  LONGEST_ENTRY_WAIT,
-  LONGEST_RETRY_AFTER,
-  LONGEST_TARGET_WAIT,
+  MAX_MARGIN_SHARE,
+  MAX_ENTRY_WAIT,
+  MAX_RETRY_AFTER,
+  MAX_TARGET_WAIT,
   RESERVED_SLOT_SHARE,
-  SHORTEST_RETRY_AFTER,
+  MIN_RETRY_AFTER,
 } from './constants';
 import type {TargetChoice} from './types';
 
@@ -63,7 +63,7 @@
 
 /** Creates an admission without experience. */
 export function createAdmission(options: AdmissionOptions): Admission {
-  const largestMargin = LARGEST_MARGIN_SHARE * options.firstTokenGoal;
+  const maxMargin = MAX_MARGIN_SHARE * options.firstTokenGoal;
   let margin = 0;
 
   const decide = (request: AdmissionRequest): AdmissionDecision => {
@@ -94,12 +94,12 @@
   const mayDispatch = (choice: TargetChoice, overShare: boolean): boolean =>
     overShare
       ? choice.expectedLoad <= 1 - RESERVED_SLOT_SHARE
-      : choice.expectedWait <= LONGEST_TARGET_WAIT;
+      : choice.expectedWait <= MAX_TARGET_WAIT;
 
   // Guard against a late refusal: a request that was let into the queue has
   // been promised an answer, so it goes out even if the wait proves longer.
   const mayLeaveQueue = (choice: TargetChoice, waited: Milliseconds): boolean =>
-    mayDispatch(choice, false) || waited >= LONGEST_ENTRY_WAIT;
+    mayDispatch(choice, false) || waited >= MAX_ENTRY_WAIT;
 
   const recordFirstToken = (
     expected: Milliseconds,
@@ -108,7 +108,7 @@
     const change =
       actual > expected + margin ? ADMISSION_QUANTILE : ADMISSION_QUANTILE - 1;
     margin += ADMISSION_MARGIN_STEP * change;
-    margin = Math.min(largestMargin, Math.max(0, margin));
+    margin = Math.min(maxMargin, Math.max(0, margin));
   };
 
   return {
@@ -135,7 +135,7 @@
 
 /** A finite time to come back, whatever the estimate. */
 export function boundRetryAfter(time: Milliseconds): Milliseconds {
-  if (!Number.isFinite(time)) return LONGEST_RETRY_AFTER;
-  const bounded = Math.max(SHORTEST_RETRY_AFTER, time);
-  return Math.ceil(Math.min(LONGEST_RETRY_AFTER, bounded));
+  if (!Number.isFinite(time)) return MAX_RETRY_AFTER;
+  const bounded = Math.max(MIN_RETRY_AFTER, time);
+  return Math.ceil(Math.min(MAX_RETRY_AFTER, bounded));
 }
--- a/packages/core/src/routing/commands/judge_targets.ts
+++ b/packages/core/src/routing/commands/evaluate_targets.ts
@@ -3,11 +3,11 @@
   FAILURES_TO_EJECT,
   FIRST_TOKEN_STALL_FACTOR,
   FIRST_TOKEN_STALL_TIME,
-  LARGEST_EJECTED_SHARE,
-  LONGEST_EJECTION,
+  MAX_EJECTED_SHARE,
+  MAX_EJECTION_TIME,
   PROBES_TO_RECOVER,
   SAMPLES_TO_COMPARE,
-  SHORTEST_EJECTION,
+  MIN_EJECTION_TIME,
   SLOW_FACTOR,
   SLOW_MARGIN,
   STALL_TIME,
@@ -17,9 +17,14 @@
 import type {EjectionCause} from '../types';
 
 /** Ejects outliers and lets ejected targets be probed. Call every 100 ms. */
-export function judgeTargets(state: RouterState, now: MonotonicInstant): void {
+export function evaluateTargets(
+  state: RouterState,
+  now: MonotonicInstant,
+): void {
   updateMedians(state);
-  for (const target of state.targets.values()) judge(state, target, now);
+  for (const target of state.targets.values()) {
+    evaluateTarget(state, target, now);
+  }
 }
 
 function updateMedians(state: RouterState): void {
@@ -41,7 +46,7 @@
   return sorted[Math.floor((sorted.length - 1) / 2)] ?? 0;
 }
 
-function judge(
+function evaluateTarget(
   state: RouterState,
   target: TargetState,
   now: MonotonicInstant,
@@ -56,7 +61,7 @@
       if (now >= target.health.until) startProbing(target);
       return;
     case 'probing':
-      judgeProbe(state, target, now);
+      evaluateProbe(state, target, now);
       return;
   }
 }
@@ -87,11 +92,11 @@
     const patience = STALL_TOKEN_TIMES * state.medians.tokenTime;
     return silent > Math.max(STALL_TIME, patience);
   }
-  return silent > firstTokenPatience(state);
+  return silent > firstTokenTimeout(state);
 }
 
 /** How long a first token may take before its target is suspected. */
-function firstTokenPatience(state: RouterState): Milliseconds {
+function firstTokenTimeout(state: RouterState): Milliseconds {
   const relative = FIRST_TOKEN_STALL_FACTOR * state.medians.firstTokenTime;
   return Math.max(FIRST_TOKEN_STALL_TIME, relative);
 }
@@ -116,7 +121,7 @@
   for (const target of state.targets.values()) {
     if (target.health.kind !== 'healthy') ejected += 1;
   }
-  return ejected <= LARGEST_EJECTED_SHARE * state.targets.size;
+  return ejected <= MAX_EJECTED_SHARE * state.targets.size;
 }
 
 function eject(
@@ -124,12 +129,12 @@
   cause: EjectionCause,
   now: MonotonicInstant,
 ): void {
-  const time = SHORTEST_EJECTION * 2 ** Math.min(10, target.ejections);
+  const time = MIN_EJECTION_TIME * 2 ** Math.min(10, target.ejections);
   target.ejections += 1;
   target.health = {
     kind: 'ejected',
     cause,
-    until: now + Math.min(LONGEST_EJECTION, time),
+    until: now + Math.min(MAX_EJECTION_TIME, time),
   };
 }
 
@@ -141,7 +146,7 @@
   target.health = {kind: 'probing', cause: target.health.cause, passed: 0};
 }
 
-function judgeProbe(
+function evaluateProbe(
   state: RouterState,
   target: TargetState,
   now: MonotonicInstant,
--- a/packages/core/src/routing/commands/record_event.ts
+++ b/packages/core/src/routing/commands/record_event.ts
@@ -1,6 +1,6 @@
 import {unreachable} from '../../kernel/flow';
 import type {AttemptId, MonotonicInstant, TargetName} from '../../types';
-import {LEAST_WAIT_SEEN} from '../constants';
+import {MIN_OBSERVED_WAIT} from '../constants';
 import {
   estimateFirstToken,
   estimateLoad,
@@ -71,8 +71,8 @@
   now: MonotonicInstant,
 ): void {
   target.ownInFlight += change;
-  target.ownHistory.note(target.ownInFlight, now);
-  state.history.note(state.attempts.size, now);
+  target.ownHistory.record(target.ownInFlight, now);
+  state.history.record(state.attempts.size, now);
 }
 
 function recordFirstToken(
@@ -91,7 +91,7 @@
   learnFirstToken(state, attempt, now);
   learnLoad(state, attempt, now);
   target.lastFirstTokenAt = now;
-  if (attempt.probe) notePassedProbe(target);
+  if (attempt.probe) recordPassedProbe(target);
 }
 
 function learnFirstToken(
@@ -118,16 +118,16 @@
   const {target, dispatchedAt, loadBefore} = attempt;
   if (dispatchedAt <= target.measuredAt) return;
   const waited = now - dispatchedAt - attempt.expectedPrefill;
-  const queued = waited > LEAST_WAIT_SEEN;
+  const queued = waited > MIN_OBSERVED_WAIT;
   const thoughtFull = loadBefore >= target.slots;
   if (queued === thoughtFull && !queued) return;
   const behind = (waited * target.slots) / state.serviceTime.value();
   const load = queued ? target.slots + behind : target.slots - 1;
-  noteLoad(state, target, load, dispatchedAt);
+  setLoad(state, target, load, dispatchedAt);
 }
 
 /** Takes `load` at `instant` as the target's, own requests included. */
-function noteLoad(
+function setLoad(
   state: RouterState,
   target: TargetState,
   load: number,
@@ -141,7 +141,7 @@
   target.allOwnAtReport = state.history.countAt(instant);
 }
 
-function notePassedProbe(target: TargetState): void {
+function recordPassedProbe(target: TargetState): void {
   const {health} = target;
   if (health.kind !== 'probing') return;
   target.health = {...health, passed: health.passed + 1};
@@ -212,7 +212,7 @@
   target.loaded = report.loaded;
   target.slots = Math.max(1, report.slots);
   target.cachedPrefixes = new Set(report.cachedPrefixes);
-  noteLoad(state, target, report.running + report.queued, now - report.age);
+  setLoad(state, target, report.running + report.queued, now - report.age);
 }
 
 function targetOf(state: RouterState, report: LoadReport): TargetState {
--- a/packages/core/src/routing/constants.ts
+++ b/packages/core/src/routing/constants.ts
@@ -16,10 +16,10 @@
 export const LOAD_BOUND_FLOOR = 0.25;
 
 /** Age at which half of a report's difference from the mean is forgotten. */
-export const REPORT_HALF_AGE: Milliseconds = 4_000;
+export const HALF_TRUST_REPORT_AGE: Milliseconds = 4_000;
 
 /** Growth of others' load is never assumed beyond this, either way. */
-export const LARGEST_GROWTH = 4;
+export const MAX_GROWTH = 4;
 
 /** Added to both sides of a growth ratio, so that small counts say little. */
 export const GROWTH_PRIOR = 4;
@@ -66,17 +66,17 @@
 export const FIRST_TOKEN_STALL_FACTOR = 3;
 
 /** At most this share of the targets is ejected at a time. */
-export const LARGEST_EJECTED_SHARE = 0.5;
+export const MAX_EJECTED_SHARE = 0.5;
 
 /** First ejection; each one that follows without recovery is twice as long. */
-export const SHORTEST_EJECTION: Milliseconds = 5_000;
-export const LONGEST_EJECTION: Milliseconds = 60_000;
+export const MIN_EJECTION_TIME: Milliseconds = 5_000;
+export const MAX_EJECTION_TIME: Milliseconds = 60_000;
 
 /** Good probes in a row that bring a target back. */
 export const PROBES_TO_RECOVER = 2;
 
 /** Targets listed in a dump. */
-export const DUMPED_TARGETS = 100;
+export const MAX_DUMPED_TARGETS = 100;
 
 /** When to ask again if no target serves the work; about one heartbeat. */
 export const NO_TARGET_RETRY_AFTER: Milliseconds = 1_000;
@@ -88,7 +88,7 @@
 export const RETRY_RESERVE = 10;
 
 /** Most requests waiting at an entry, over all workspaces. */
-export const LONGEST_QUEUE = 256;
+export const MAX_QUEUED_REQUESTS = 256;
 
 /** Of so many dispatches one goes to any priority, so that none starves. */
 export const DISPATCHES_PER_ANY_PRIORITY = 10;
@@ -100,11 +100,11 @@
 export const ADMISSION_MARGIN_STEP: Milliseconds = 20;
 
 /** The margin never takes more than this share of the time allowed. */
-export const LARGEST_MARGIN_SHARE = 0.6;
+export const MAX_MARGIN_SHARE = 0.6;
 
 /** Bounds of the time after which a refused caller is asked to come back. */
-export const SHORTEST_RETRY_AFTER: Milliseconds = 250;
-export const LONGEST_RETRY_AFTER: Milliseconds = 30_000;
+export const MIN_RETRY_AFTER: Milliseconds = 250;
+export const MAX_RETRY_AFTER: Milliseconds = 30_000;
 
 /** Targets that an entry holds at 390 entries and 600 engines. */
 export const SUBSET_SIZE = 30;
@@ -113,13 +113,13 @@
 export const SUBSET_SLACK = 1.25;
 
 /** Fewest entries that hold a target, so that losing some strands none. */
-export const LEAST_ENTRIES_PER_TARGET = 4;
+export const MIN_ENTRIES_PER_TARGET = 4;
 
 /** Fewest targets of a model or service that an entry holds, if there are. */
-export const LEAST_TARGETS_PER_SERVICE = 4;
+export const MIN_TARGETS_PER_SERVICE = 4;
 
 /** Share of a target's entries that is picked in its own zone first. */
-export const NEAR_SHARE = 0.6;
+export const SAME_ZONE_SHARE = 0.6;
 
 /** Most that a published use grows or shrinks from one heartbeat to the next. */
 export const USE_CHANGE_PER_HEARTBEAT = 1.15;
@@ -132,7 +132,7 @@
   USE_CHANGE_PER_HEARTBEAT ** (STALE_HEARTBEATS + 1);
 
 /** Least use of an entry, as a share of the limit: small beside 1/390. */
-export const LEAST_USE_SHARE = 0.001;
+export const MIN_USE_SHARE = 0.001;
 
 /** Share of a workspace's limit that is split evenly, whatever the use. */
 export const EVEN_SHARE = 0.1;
@@ -141,7 +141,7 @@
 export const LIMIT_BURST_SECONDS = 1;
 
 /** Requests that an entry may let pass at once, however small its share. */
-export const LEAST_LIMIT_BURST = 4;
+export const MIN_LIMIT_BURST = 4;
 
 /** A workspace sends over its share from this multiple of the others' rate. */
 export const OVER_SHARE_FACTOR = 2.5;
@@ -150,19 +150,19 @@
 export const RESERVED_SLOT_SHARE = 0.15;
 
 /** A first token later than expected by this shows a queue at its target. */
-export const LEAST_WAIT_SEEN: Milliseconds = 150;
+export const MIN_OBSERVED_WAIT: Milliseconds = 150;
 
 /** Load per slot up to which a waiting request is moved to a target. */
 export const IDLE_LOAD = 0.95;
 
 /** Wait for a first token after which a request may be moved. */
-export const MOVE_PATIENCE: Milliseconds = 700;
+export const MOVE_TIMEOUT: Milliseconds = 700;
 
 /** Retries that moves leave in the budget, for targets that fail. */
 export const MOVE_RESERVE = 5;
 
 /** Longest wait for a slot at a target; the rest waits at the entry. */
-export const LONGEST_TARGET_WAIT: Milliseconds = 600;
+export const MAX_TARGET_WAIT: Milliseconds = 600;
 
 /** A request that has waited so long at the entry is sent out anyway. */
-export const LONGEST_ENTRY_WAIT: Milliseconds = 500;
+export const MAX_ENTRY_WAIT: Milliseconds = 500;
--- a/packages/core/src/routing/fair_queue.ts
+++ b/packages/core/src/routing/fair_queue.ts
@@ -1,8 +1,8 @@
 import type {WorkspaceName} from '../types';
-import {DISPATCHES_PER_ANY_PRIORITY, LONGEST_QUEUE} from './constants';
+import {DISPATCHES_PER_ANY_PRIORITY, MAX_QUEUED_REQUESTS} from './constants';
 
 /** Where a request belongs in the queue. */
-export interface QueuePlace {
+export interface QueueClass {
   readonly workspace: WorkspaceName;
   /** Lower numbers go first. */
   readonly priority: number;
@@ -11,7 +11,7 @@
 }
 
 /** What became of a request that was put into the queue. */
-export type Enqueued<Item> =
+export type EnqueueResult<Item> =
   | {readonly kind: 'queued'}
   /** No room; the request itself is refused. */
   | {readonly kind: 'full'}
@@ -20,7 +20,7 @@
 
 /** A bounded queue that shares turns among workspaces by weight. */
 export interface FairQueue<Item> {
-  readonly enqueue: (item: Item, place: QueuePlace) => Enqueued<Item>;
+  readonly enqueue: (item: Item, place: QueueClass) => EnqueueResult<Item>;
   /** The item whose turn it is; it stays in the queue. */
   readonly peek: () => Item | undefined;
   readonly dequeue: () => Item | undefined;
@@ -31,7 +31,7 @@
    * Turns until a new item of `place` would have its own, while all others
    * that wait now keep waiting: its backlog over its share.
    */
-  readonly turnsAhead: (place: QueuePlace) => number;
+  readonly turnsAhead: (place: QueueClass) => number;
   readonly backlogs: () => ReadonlyMap<WorkspaceName, number>;
 }
 
@@ -53,14 +53,14 @@
 export function createFairQueue<Item>(
   options: FairQueueOptions = {},
 ): FairQueue<Item> {
-  const capacity = options.capacity ?? LONGEST_QUEUE;
+  const capacity = options.capacity ?? MAX_QUEUED_REQUESTS;
   const backlogs = new Map<WorkspaceName, Backlog<Item>>();
   const lastFinishTags = new Map<WorkspaceName, number>();
   let size = 0;
   let virtualTime = 0;
   let dispatches = 0;
 
-  const enqueue = (item: Item, place: QueuePlace): Enqueued<Item> => {
+  const enqueue = (item: Item, place: QueueClass): EnqueueResult<Item> => {
     const displaced = size < capacity ? undefined : displaceFor(place);
     if (size >= capacity) return {kind: 'full'};
     append(item, place);
@@ -69,7 +69,7 @@
       : {kind: 'displaced', item: displaced.item};
   };
 
-  const append = (item: Item, place: QueuePlace): void => {
+  const append = (item: Item, place: QueueClass): void => {
     const backlog = backlogs.get(place.workspace) ?? addBacklog(place);
     backlog.priority = place.priority;
     backlog.weight = place.weight;
@@ -77,7 +77,7 @@
     size += 1;
   };
 
-  const addBacklog = (place: QueuePlace): Backlog<Item> => {
+  const addBacklog = (place: QueueClass): Backlog<Item> => {
     const lastTag = lastFinishTags.get(place.workspace) ?? 0;
     const finishTag = Math.max(virtualTime, lastTag) + 1 / place.weight;
     const backlog: Backlog<Item> = {...place, items: [], finishTag};
@@ -107,7 +107,7 @@
    * less than its share takes the place of the newest item of the one that is
    * furthest over its share.
    */
-  const displaceFor = (place: QueuePlace): {item: Item} | undefined => {
+  const displaceFor = (place: QueueClass): {item: Item} | undefined => {
     let longest: Backlog<Item> | undefined;
     for (const backlog of backlogs.values()) {
       if (longest === undefined || excess(backlog) > excess(longest)) {
@@ -166,7 +166,7 @@
     return dropped;
   };
 
-  const turnsAhead = (place: QueuePlace): number => {
+  const turnsAhead = (place: QueueClass): number => {
     const own = backlogs.get(place.workspace)?.items.length ?? 0;
     let turns = own;
     for (const other of backlogs.values()) {
--- a/packages/core/src/routing/in_flight_history.ts
+++ b/packages/core/src/routing/in_flight_history.ts
@@ -8,7 +8,7 @@
 /** Counts of requests in flight over the recent past. */
 export interface InFlightHistory {
   /** Notes that `count` requests are in flight from `now` on. */
-  readonly note: (count: number, now: MonotonicInstant) => void;
+  readonly record: (count: number, now: MonotonicInstant) => void;
   /** The count at `instant`, to 100 ms; the oldest known if before that. */
   readonly countAt: (instant: MonotonicInstant) => number;
 }
@@ -18,7 +18,7 @@
   const counts = new Int32Array(STEP_COUNT);
   let lastStep = -1;
 
-  const note = (count: number, now: MonotonicInstant): void => {
+  const record = (count: number, now: MonotonicInstant): void => {
     const step = Math.floor(now / STEP_MILLISECONDS);
     if (lastStep >= 0 && step > lastStep) fillGap(step);
     lastStep = Math.max(lastStep, step);
@@ -41,5 +41,5 @@
     return counts[known % STEP_COUNT] ?? 0;
   };
 
-  return {note, countAt};
+  return {record, countAt};
 }
--- a/packages/core/src/routing/queries/describe_router.ts
+++ b/packages/core/src/routing/queries/describe_router.ts
@@ -1,5 +1,5 @@
 import type {AttemptId, MonotonicInstant} from '../../types';
-import {DUMPED_TARGETS, MOVE_PATIENCE} from '../constants';
+import {MAX_DUMPED_TARGETS, MOVE_TIMEOUT} from '../constants';
 import type {RouterState, TargetState} from '../state';
 import type {
   EjectionCause,
@@ -15,7 +15,7 @@
   state: RouterState,
   now: MonotonicInstant,
 ): RouterDump {
-  const listed = [...state.targets.values()].slice(0, DUMPED_TARGETS);
+  const listed = [...state.targets.values()].slice(0, MAX_DUMPED_TARGETS);
   return {
     inFlight: state.attempts.size,
     targetCount: state.targets.size,
@@ -69,7 +69,7 @@
   for (const {target, waiting} of state.targets.values()) {
     for (const {attempt, dispatchedAt} of waiting.values()) {
       // Oldest first, so the rest of this target's attempts is younger.
-      if (now - dispatchedAt <= MOVE_PATIENCE) break;
+      if (now - dispatchedAt <= MOVE_TIMEOUT) break;
       overdue.push({attempt, target});
     }
   }
--- a/packages/core/src/routing/queries/estimate_load.ts
+++ b/packages/core/src/routing/queries/estimate_load.ts
@@ -1,5 +1,5 @@
 import type {Milliseconds, MonotonicInstant} from '../../types';
-import {GROWTH_PRIOR, LARGEST_GROWTH, REPORT_HALF_AGE} from '../constants';
+import {GROWTH_PRIOR, MAX_GROWTH, HALF_TRUST_REPORT_AGE} from '../constants';
 import type {RouterState, TargetState} from '../state';
 
 /** Load of the other entries on `target`, from its last report, aged. */
@@ -10,7 +10,7 @@
   now: MonotonicInstant,
 ): number {
   const age = Math.max(0, now - target.measuredAt);
-  const trust = REPORT_HALF_AGE / (REPORT_HALF_AGE + age);
+  const trust = HALF_TRUST_REPORT_AGE / (HALF_TRUST_REPORT_AGE + age);
   const mean = meanOthersPerSlot * target.slots;
   const aged = mean + (target.othersAtReport - mean) * trust;
   return aged * growthSince(state, target);
@@ -23,7 +23,7 @@
 function growthSince(state: RouterState, target: TargetState): number {
   const then = target.allOwnAtReport + GROWTH_PRIOR;
   const growth = (state.attempts.size + GROWTH_PRIOR) / then;
-  return Math.min(LARGEST_GROWTH, Math.max(1 / LARGEST_GROWTH, growth));
+  return Math.min(MAX_GROWTH, Math.max(1 / MAX_GROWTH, growth));
 }
 
 /** Mean load of other entries per slot, over all targets that reported. */
--- a/packages/core/src/routing/router.ts
+++ b/packages/core/src/routing/router.ts
@@ -1,6 +1,6 @@
 import type {Result} from 'ts-results';
 import type {MonotonicInstant} from '../types';
-import {judgeTargets} from './commands/judge_targets';
+import {evaluateTargets} from './commands/evaluate_targets';
 import {recordEvent} from './commands/record_event';
 import {chooseTarget} from './queries/choose_target';
 import {
@@ -24,7 +24,7 @@
   /** Learns from one event of the entry. */
   readonly record: (event: RoutingEvent) => void;
   /** Ejects outliers and lets them be probed; call about every 100 ms. */
-  readonly judge: (now: MonotonicInstant) => void;
+  readonly evaluate: (now: MonotonicInstant) => void;
   /** Changes nothing; say `dispatched` once the request is on its way. */
   readonly chooseTarget: (
     request: TargetRequest,
@@ -43,7 +43,7 @@
   const state = createRouterState();
   return {
     record: event => recordEvent(state, event),
-    judge: now => judgeTargets(state, now),
+    evaluate: now => evaluateTargets(state, now),
     chooseTarget: request => chooseTarget(state, request),
     stalledAttempts: () => findStalledAttempts(state),
     overdueAttempts: now => findOverdueAttempts(state, now),
--- a/packages/core/src/routing/subset.ts
+++ b/packages/core/src/routing/subset.ts
@@ -1,9 +1,9 @@
 import type {InstanceName, ServiceName, TargetName, ZoneName} from '../types';
 import {hash32} from '../utils/hash';
 import {
-  LEAST_ENTRIES_PER_TARGET,
-  LEAST_TARGETS_PER_SERVICE,
-  NEAR_SHARE,
+  MIN_ENTRIES_PER_TARGET,
+  MIN_TARGETS_PER_SERVICE,
+  SAME_ZONE_SHARE,
   SUBSET_SIZE,
   SUBSET_SLACK,
 } from './constants';
@@ -47,11 +47,11 @@
   const {entries, targets, size = SUBSET_SIZE} = request;
   const perTarget = entriesPerTarget(entries.length, targets.length, size);
   const mean = (perTarget * targets.length) / Math.max(1, entries.length);
-  const mostHeld = Math.ceil(mean * SUBSET_SLACK);
+  const maxHeld = Math.ceil(mean * SUBSET_SLACK);
   const holders = createHolders(entries);
   const chosen: TargetName[] = [];
   for (const target of sortedTargets(targets)) {
-    const picked = pickHolders(target, holders, perTarget, mostHeld);
+    const picked = pickHolders(target, holders, perTarget, maxHeld);
     for (const holder of picked) holder.held += 1;
     if (picked.some(holder => holder.instance === request.entry)) {
       chosen.push(target.target);
@@ -67,7 +67,7 @@
   size: number = SUBSET_SIZE,
 ): number {
   const even = Math.ceil((size * entryCount) / Math.max(1, targetCount));
-  return Math.min(entryCount, Math.max(LEAST_ENTRIES_PER_TARGET, even));
+  return Math.min(entryCount, Math.max(MIN_ENTRIES_PER_TARGET, even));
 }
 
 function createHolders(entries: readonly SubsetEntry[]): readonly Holder[] {
@@ -89,7 +89,7 @@
   target: SubsetTarget,
   holders: readonly Holder[],
   count: number,
-  mostHeld: number,
+  maxHeld: number,
 ): readonly Holder[] {
   const hash = hash32(target.target);
   const ranked = holders
@@ -98,10 +98,10 @@
     .map(entry => entry.holder);
   // Entries under the bound come first; a full one is taken only if there are
   // too few others, because no target may stay uncovered.
-  const open = ranked.filter(holder => holder.held < mostHeld);
-  const full = ranked.filter(holder => holder.held >= mostHeld);
+  const open = ranked.filter(holder => holder.held < maxHeld);
+  const full = ranked.filter(holder => holder.held >= maxHeld);
   const near = open.filter(holder => holder.zone === target.zone);
-  const picked = new Set(near.slice(0, Math.ceil(NEAR_SHARE * count)));
+  const picked = new Set(near.slice(0, Math.ceil(SAME_ZONE_SHARE * count)));
   for (const holder of [...open, ...full]) {
     if (picked.size >= count) break;
     picked.add(holder);
@@ -121,7 +121,7 @@
   for (const service of services) {
     const serving = request.targets.filter(t => t.serves.includes(service));
     const known = serving.filter(t => held.has(t.target)).length;
-    const missing = Math.min(LEAST_TARGETS_PER_SERVICE, serving.length) - known;
+    const missing = Math.min(MIN_TARGETS_PER_SERVICE, serving.length) - known;
     if (missing <= 0) continue;
     const best = serving
       .filter(target => !held.has(target.target))
--- a/packages/core/src/routing/workspace_limits.ts
+++ b/packages/core/src/routing/workspace_limits.ts
@@ -6,8 +6,8 @@
 } from '../types';
 import {
   EVEN_SHARE,
-  LEAST_LIMIT_BURST,
-  LEAST_USE_SHARE,
+  MIN_LIMIT_BURST,
+  MIN_USE_SHARE,
   LIMIT_BURST_SECONDS,
   STALE_HEARTBEATS,
   USE_CHANGE_PER_HEARTBEAT,
@@ -55,7 +55,7 @@
 interface OtherEntry {
   /** Absent until the first heartbeat. */
   readonly use: ReadonlyMap<WorkspaceName, number> | undefined;
-  readonly heardAt: MonotonicInstant;
+  readonly receivedAt: MonotonicInstant;
 }
 
 interface LimitState {
@@ -122,14 +122,14 @@
    * entry may use grows with its silence, so this entry's share falls.
    */
   const growthOf = (other: OtherEntry, now: MonotonicInstant): number => {
-    const heartbeats = (now - other.heardAt) / options.heartbeat;
+    const heartbeats = (now - other.receivedAt) / options.heartbeat;
     const missed = Math.max(0, heartbeats - STALE_HEARTBEATS);
     return USE_CHANGE_PER_HEARTBEAT ** missed;
   };
 
   const entryJoined = (entry: InstanceName, now: MonotonicInstant): void => {
     if (entry === options.entry || others.has(entry)) return;
-    others.set(entry, {use: undefined, heardAt: now});
+    others.set(entry, {use: undefined, receivedAt: now});
   };
 
   const siteUse = (workspace: WorkspaceName): number => {
@@ -156,7 +156,7 @@
 
   const receive = (published: PublishedUse, now: MonotonicInstant): void => {
     if (published.entry === options.entry) return;
-    others.set(published.entry, {use: published.use, heardAt: now});
+    others.set(published.entry, {use: published.use, receivedAt: now});
   };
 
   return {
@@ -176,10 +176,10 @@
 function createLimitState(limit: number): LimitState {
   return {
     limit,
-    tokens: LEAST_LIMIT_BURST,
+    tokens: MIN_LIMIT_BURST,
     filledAt: undefined,
     requested: 0,
-    published: leastUse(limit),
+    published: minUse(limit),
   };
 }
 
@@ -191,7 +191,7 @@
   const most = state.published * USE_CHANGE_PER_HEARTBEAT;
   const least = state.published / USE_CHANGE_PER_HEARTBEAT;
   const stepped = Math.min(most, Math.max(least, measured));
-  return Math.max(leastUse(state.limit), stepped);
+  return Math.max(minUse(state.limit), stepped);
 }
 
 /**
@@ -204,12 +204,12 @@
   limit: number,
 ): number {
   if (other.use === undefined) return limit;
-  return other.use.get(workspace) ?? leastUse(limit);
+  return other.use.get(workspace) ?? minUse(limit);
 }
 
 /** Use that is assumed of an entry without any, so that it can grow. */
-function leastUse(limit: number): number {
-  return limit * LEAST_USE_SHARE;
+function minUse(limit: number): number {
+  return limit * MIN_USE_SHARE;
 }
 
 /**
@@ -218,7 +218,7 @@
  * saved up to one burst, as between requests that come later.
  */
 function fill(state: LimitState, rate: number, now: MonotonicInstant): void {
-  const most = Math.max(LEAST_LIMIT_BURST, rate * LIMIT_BURST_SECONDS);
+  const most = Math.max(MIN_LIMIT_BURST, rate * LIMIT_BURST_SECONDS);
   const elapsed =
     state.filledAt === undefined ? Infinity : now - state.filledAt;
   state.filledAt = now;
@@ -227,10 +227,10 @@
 }
 
 function timeToToken(state: LimitState, rate: number): Milliseconds {
-  if (rate <= 0) return LONGEST_LIMIT_RETRY;
+  if (rate <= 0) return MAX_LIMIT_RETRY_AFTER;
   const time = ((1 - state.tokens) * 1_000) / rate;
-  return Math.ceil(Math.min(LONGEST_LIMIT_RETRY, time));
+  return Math.ceil(Math.min(MAX_LIMIT_RETRY_AFTER, time));
 }
 
 /** Longest time to come back that a limited caller is told. */
-const LONGEST_LIMIT_RETRY: Milliseconds = 30_000;
+const MAX_LIMIT_RETRY_AFTER: Milliseconds = 30_000;
--- a/packages/core/src/types/names.ts
+++ b/packages/core/src/types/names.ts
@@ -29,7 +29,7 @@
 export type AttemptId = string;
 
 /** Names one life of a target, as its instance and its birth. */
-export type TargetLife = string;
+export type TargetIncarnation = string;
 
 /** Names a request by its caller and content, the same at each attempt. */
 export type RequestFingerprint = string;
--- a/packages/core/src/utils/changing_rows.ts
+++ b/packages/core/src/utils/revisioned_rows.ts
@@ -7,23 +7,23 @@
 }
 
 /** Rows by key, in the order of their last change. */
-export interface ChangingRows<Row> {
+export interface RevisionedRows<Row> {
   readonly get: (key: string) => Row | undefined;
   /** Keeps a row as the newest change. */
   readonly set: (key: string, row: Row) => void;
   readonly values: () => Iterable<Row>;
   /** Rows that changed after `revision`, no more than `most`. */
-  readonly changedSince: (revision: number, most: number) => ChangedRows<Row>;
+  readonly changedSince: (revision: number, max: number) => ChangedRows<Row>;
 }
 
 /**
  * Creates the rows; `mostRows` are held, and the one that `leastOf` names is
  * dropped for one more. The oldest change is the first of its rows.
  */
-export function createChangingRows<Row>(
-  mostRows: number,
-  leastOf: (rows: ReadonlyMap<string, Row>) => string = firstKey,
-): ChangingRows<Row> {
+export function createRevisionedRows<Row>(
+  maxRows: number,
+  selectEvicted: (rows: ReadonlyMap<string, Row>) => string = firstKey,
+): RevisionedRows<Row> {
   const rows = new Map<string, Row>();
   const revisions = new Map<string, number>();
   let revision = 0;
@@ -33,7 +33,7 @@
     revisions.set(key, revision);
     rows.delete(key);
     rows.set(key, row);
-    if (rows.size > mostRows) drop(leastOf(rows));
+    if (rows.size > maxRows) drop(selectEvicted(rows));
   }
 
   function drop(key: string): void {
@@ -41,12 +41,12 @@
     revisions.delete(key);
   }
 
-  function changedSince(after: number, most: number): ChangedRows<Row> {
+  function changedSince(after: number, max: number): ChangedRows<Row> {
     if (after >= revision) return {rows: [], revision};
     const changed = [...rows].filter(
       ([key]) => (revisions.get(key) ?? 0) > after,
     );
-    const taken = changed.slice(0, most);
+    const taken = changed.slice(0, max);
     const last = taken.at(-1)?.[0] ?? '';
     const isAll = taken.length === changed.length;
     return {
--- a/packages/daemon/src/agent/serve_handler.ts
+++ b/packages/daemon/src/agent/serve_handler.ts
@@ -152,7 +152,7 @@
         return endWith(call, endFrame(attempt, frameCount, digest));
       }
       case 'turnedAway': {
-        const event = registry.turnedAway(attempt, result.reason);
+        const event = registry.recordTargetRefusal(attempt, result.reason);
         if (event !== undefined) return endWith(call, refusedFrame(event));
         return endWith(call, failedFrame(attempt, 'the target refused it'));
       }
--- a/packages/daemon/src/configuration/configuration_driver.ts
+++ b/packages/daemon/src/configuration/configuration_driver.ts
@@ -1,16 +1,16 @@
 import {
   bodyKey,
-  createGenerationKeeper,
+  createGenerationManager,
   decodeHead,
   HEAD_KEY,
   learnGeneration,
   unreachable,
   type AcceptedConfiguration,
   type Generation,
-  type GenerationKeeper,
+  type GenerationManager,
   type HeadRow,
   type InstanceName,
-  type KeeperEffect,
+  type GenerationManagerEffect,
   type PeerAnswer,
   type StartEffect,
   type StartReply,
@@ -75,18 +75,20 @@
   options: ConfigurationDriverOptions,
 ): ConfigurationDriver {
   const {clock, platform, transport, log} = options;
-  let keeper: GenerationKeeper | undefined;
+  let keeper: GenerationManager | undefined;
 
   const readRow = async (key: string) => {
     const result = await platform.table.read(key);
     return result.ok ? result.val : undefined;
   };
 
-  const carryOut = (effects: readonly KeeperEffect[]): void => {
+  const carryOut = (effects: readonly GenerationManagerEffect[]): void => {
     for (const effect of effects) void carryOutOne(effect);
   };
 
-  const carryOutOne = async (effect: KeeperEffect): Promise<void> => {
+  const carryOutOne = async (
+    effect: GenerationManagerEffect,
+  ): Promise<void> => {
     if (keeper === undefined) return;
     switch (effect.kind) {
       case 'adopted': {
@@ -105,7 +107,7 @@
         const head = decodeHead(row);
         if (head === undefined) return log.warn('cannot read the head row');
         options.onHead(head);
-        return carryOut(keeper.hearHead(head.generation, clock()));
+        return carryOut(keeper.receiveHead(head.generation, clock()));
       }
       case 'readBody': {
         const row = await readRow(bodyKey(effect.generation));
@@ -118,9 +120,9 @@
   };
 
   const offer = (
-    holder: GenerationKeeper,
+    holder: GenerationManager,
     value: unknown,
-    source: Parameters<GenerationKeeper['offer']>[1],
+    source: Parameters<GenerationManager['offer']>[1],
   ): void => {
     const offered = holder.offer(value, source, clock());
     if (offered.ok) return carryOut(offered.val);
@@ -130,14 +132,14 @@
   };
 
   const pull = async (
-    holder: GenerationKeeper,
+    holder: GenerationManager,
     peer: InstanceName,
     knownGeneration: Generation,
   ): Promise<void> => {
     const reply = await transport.pull(peer, knownGeneration);
     const value = reply === undefined ? undefined : parseBody(reply.body);
     if (value === undefined) {
-      return carryOut(holder.pullFailed(peer, clock()));
+      return carryOut(holder.recordPullFailure(peer, clock()));
     }
     offer(holder, value, {kind: 'peer', peer});
   };
@@ -187,7 +189,7 @@
       const {instance} = options;
       const start = await drive(learnGeneration({instance, digestText}), learn);
       const startedAt = clock();
-      keeper = createGenerationKeeper({
+      keeper = createGenerationManager({
         instance,
         digestText,
         start,
@@ -199,14 +201,14 @@
     current: () => keeper?.current(),
     hearPeer: (peer, generation) => {
       if (keeper === undefined) return;
-      carryOut(keeper.hearPeer(peer, generation, clock()));
+      carryOut(keeper.receivePeerGeneration(peer, generation, clock()));
     },
     offerCommitted: accepted => {
       if (keeper !== undefined) offer(keeper, accepted, {kind: 'platform'});
     },
     hearHead: generation => {
       if (keeper === undefined) return;
-      carryOut(keeper.hearHead(generation, clock()));
+      carryOut(keeper.receiveHead(generation, clock()));
     },
     reply: knownGeneration => replyOf(keeper?.current(), knownGeneration),
     tick: () => {
--- a/packages/daemon/src/entry/dispatcher.ts
+++ b/packages/daemon/src/entry/dispatcher.ts
@@ -206,7 +206,7 @@
   };
 
   const stopJudging = every(JUDGE_PERIOD, () => {
-    router.judge(clock());
+    router.evaluate(clock());
     moveStalled();
     moveOverdue();
   });
--- a/packages/daemon/src/entry/plan_service.ts
+++ b/packages/daemon/src/entry/plan_service.ts
@@ -9,9 +9,9 @@
   confirmPlan,
   decodeMoveRow,
   decodePlanRow,
-  findAwaited,
+  findAwaitedProcesses,
   type Generation,
-  followGeneration,
+  getGenerationStatus,
   MOVE_PREFIX,
   moveKey,
   parseIntent,
@@ -20,7 +20,7 @@
   planKey,
   storePlan,
   trimPlans,
-  versionsWanted,
+  requiredVersions,
   type AcceptedConfiguration,
   type Intent,
   type Plan,
@@ -112,7 +112,9 @@
   const gatherFacts = async (
     intent: Intent,
   ): Promise<Result<PlanFacts, PlanRefusal>> => {
-    const versions = await Promise.all(versionsWanted(intent).map(readVersion));
+    const versions = await Promise.all(
+      requiredVersions(intent).map(readVersion),
+    );
     const unreadable = versions.find(version => version.err);
     if (unreadable?.err === true) return unreadable;
     const moves = await readMoves();
@@ -222,7 +224,7 @@
     }
     if (stored.state.kind !== 'confirmed') return Ok(stored);
     const processes = await options.askGenerations();
-    const followed = followGeneration(stored.state.generation, processes);
+    const followed = getGenerationStatus(stored.state.generation, processes);
     const {isInForce, lagging} = followed;
     const shown = {...stored, inForce: isInForce, lagging};
     if (stored.plan.move === undefined) return Ok(shown);
@@ -241,7 +243,7 @@
     const {state, closedAt} = move;
     if (state.kind !== 'closed') return Ok({state, closedAt, awaited: []});
     const reports = await options.survey();
-    const awaited = findAwaited(closedAt, move.move.items, reports);
+    const awaited = findAwaitedProcesses(closedAt, move.move.items, reports);
     return Ok({state, closedAt, awaited});
   };
 
--- a/packages/daemon/src/swarm/pacer.ts
+++ b/packages/daemon/src/swarm/pacer.ts
@@ -1,4 +1,8 @@
-import {createPace, type Bytes, type BytesPerSecond} from '@hibiscusbeam/core';
+import {
+  createTransferPacer,
+  type Bytes,
+  type BytesPerSecond,
+} from '@hibiscusbeam/core';
 import {setTimeout as sleep} from 'node:timers/promises';
 
 /** Lets transfers wait for their share of one direction of a link. */
@@ -13,11 +17,11 @@
   share: () => number,
   now: () => number,
 ): Pacer {
-  const pace = createPace(linkBytesPerSecond, share);
+  const pace = createTransferPacer(linkBytesPerSecond, share);
   return {
     async take(bytes) {
       const at = now();
-      const freeAt = pace.take(bytes, at);
+      const freeAt = pace.reserve(bytes, at);
       if (freeAt > at) await sleep(freeAt - at);
     },
   };
--- a/packages/daemon/src/swarm/swarm_driver.ts
+++ b/packages/daemon/src/swarm/swarm_driver.ts
@@ -3,7 +3,7 @@
   unreachable,
   type Digest,
   type InstanceName,
-  type StoreLife,
+  type StoreIncarnation,
   type SwarmEffect,
   type SwarmEvent,
   type TransferId,
@@ -93,7 +93,7 @@
   async function storeChunk(
     transfer: TransferId,
     digest: Digest,
-    life: StoreLife,
+    life: StoreIncarnation,
   ): Promise<void> {
     const pieces = downloads.take(transfer) ?? [];
     const stored = await options.store.put(digest, pieces);
@@ -165,7 +165,7 @@
     neighbours: node.neighbours,
     heldPositions: node.heldPositions,
     isHaveKnown: node.isHaveKnown,
-    isWithinReach: node.isWithinReach,
+    isWithinReach: node.isFullyReachable,
     want(versionDigest, manifest, wanted) {
       tell({kind: 'versionWanted', versionDigest, manifest, ...wanted});
     },
--- a/packages/daemon/src/swarm/types.ts
+++ b/packages/daemon/src/swarm/types.ts
@@ -8,7 +8,7 @@
   Milliseconds,
   RequestFailure,
   RolloutPreference,
-  StoreLife,
+  StoreIncarnation,
   SwarmDump,
   VersionDigest,
   VersionHolders,
@@ -35,7 +35,7 @@
 
 /** What a chunk store holds, and in which of its lives. */
 export interface HeldChunks {
-  readonly life: StoreLife;
+  readonly life: StoreIncarnation;
   readonly digests: readonly Digest[];
 }
 
--- a/packages/fleet/src/agent/agent.ts
+++ b/packages/fleet/src/agent/agent.ts
@@ -1,5 +1,5 @@
 import {
-  AGENT_TRANSFERS,
+  AGENT_TRANSFER_POLICY,
   createNamedVersions,
   hash32,
   type NamedVersions,
@@ -97,10 +97,10 @@
     seed: hash32(settings.instance),
     weights: originReader,
     store: staged.store,
-    ...AGENT_TRANSFERS,
+    ...AGENT_TRANSFER_POLICY,
     linkBytesPerSecond: bytesPerSecond(settings.linkMegabits),
     linkShare: () =>
-      keeper.needsWholeLink() ? 1 : AGENT_TRANSFERS.shareBesideLive,
+      keeper.needsWholeLink() ? 1 : AGENT_TRANSFER_POLICY.shareBesideLive,
     fetchChunk: (address, digest, signal) =>
       fetchChunkOver(
         peers.channels.at(address),
