--- a/packages/fleet/src/agent/engine_keeper.ts
+++ b/packages/fleet/src/agent/engine_keeper.ts
@@ -1,13 +1,13 @@
 import {
   checkManifest,
   createVersionPlan,
-  loadPlace,
+  loadOffset,
   unreachable,
   type Digest,
   type Milliseconds,
   type MonotonicInstant,
   type NamedVersions,
-  type OfLife,
+  type IncarnationStamp,
   type PlanStep,
   type SwarmMember,
 } from '@hibiscusbeam/core';
@@ -96,12 +96,13 @@
   const orders = createEngineOrders(options);
   const plan = createVersionPlan<FetchedVersion>({
     bound: options.versionBound,
-    place: () => loadPlace(options.self, options.members()),
-    isSecured: ({identified}) => swarm.isWithinReach(identified.versionDigest),
-    canWait: ({identified: {manifest}}) =>
+    place: () => loadOffset(options.self, options.members()),
+    isIndependentOfOrigin: ({identified}) =>
+      swarm.isWithinReach(identified.versionDigest),
+    fitsOutsideStaging: ({identified: {manifest}}) =>
       canBeKept(manifest.chunks.length, manifest.chunks[0]?.size ?? 0),
   });
-  let life: OfLife = {born: undefined};
+  let life: IncarnationStamp = {born: undefined};
   let lastState = '';
   let isServing = false;
   let isReachable = true;
@@ -127,7 +128,7 @@
   /** Whether the engine serves the newest version that is known of. */
   function isNothingDue(): boolean {
     const model = findWantedModel(operator.services(), options.service);
-    if (model === undefined || plan.inHand() === undefined) return false;
+    if (model === undefined || plan.current() === undefined) return false;
     const wanted = options.versions.newest(model.name) ?? 0;
     return plan.isServed() && plan.newest() >= wanted && closedAt === undefined;
   }
@@ -170,7 +171,7 @@
   }
 
   function servedVersion({held}: EngineStanding): number | undefined {
-    const model = plan.inHand()?.content.model;
+    const model = plan.current()?.content.model;
     return held.find(entry => model === undefined || entry.model === model)
       ?.version;
   }
@@ -198,10 +199,10 @@
   }
 
   function loadThatIsDue(): FetchedVersion | undefined {
-    const inHand = plan.inHand();
+    const inHand = plan.current();
     if (inHand === undefined || plan.isServed()) return undefined;
     if (!isReady(inHand.identified.versionDigest)) return undefined;
-    plan.noteMoved(clock());
+    plan.recordTransferred(clock());
     return plan.mayLoad(clock()) ? inHand : undefined;
   }
 
@@ -223,7 +224,7 @@
   /** A version too large for the memory waits until it can be staged at once. */
   function mayFetch({chunkSize, chunks}: WantedModel): boolean {
     if (canBeKept(chunks, chunkSize)) return true;
-    return isReachable && !plan.keepsStaging(clock());
+    return isReachable && !plan.occupiesStaging(clock());
   }
 
   function isReady(versionDigest: Digest): boolean {
@@ -270,8 +271,8 @@
     const {version} = content;
     const knownSince = namedSince(content) ?? clock();
     const next = {version, content, identified, knownSince};
-    const before = plan.inHand()?.version;
-    const step = plan.take(next, clock());
+    const before = plan.current()?.version;
+    const step = plan.addVersion(next, clock());
     log.info('fetches a version', {
       model: content.model,
       version,
@@ -289,7 +290,7 @@
    */
   function carryOut(step: PlanStep<FetchedVersion> | undefined): void {
     if (step === undefined) return;
-    for (const {identified} of step.givenUp) {
+    for (const {identified} of step.replacedVersions) {
       swarm.abandon(identified.versionDigest);
     }
     switch (step.kind) {
@@ -332,7 +333,7 @@
     start: signal => void run(signal),
     lookNow: pause.wake,
     fetching: plan.wanted,
-    needsWholeLink: () => !isServing || plan.isPressed(clock()),
+    needsWholeLink: () => !isServing || plan.isBehindSchedule(clock()),
   };
 }
 
--- a/packages/fleet/src/agent/engine_reports.ts
+++ b/packages/fleet/src/agent/engine_reports.ts
@@ -221,7 +221,7 @@
     entry.stream = undefined;
     entry.sent = undefined;
     entry.brokenAt = clock();
-    silent.note(entry.life, entry.brokenAt);
+    silent.record(entry.life, entry.brokenAt);
     // The next one in order gets each report from the next look on.
     chosenAt = -Infinity;
   }
--- a/packages/fleet/src/agent/staged_chunks.ts
+++ b/packages/fleet/src/agent/staged_chunks.ts
@@ -1,4 +1,8 @@
-import {AGENT_TRANSFERS, type Bytes, type Digest} from '@hibiscusbeam/core';
+import {
+  AGENT_TRANSFER_POLICY,
+  type Bytes,
+  type Digest,
+} from '@hibiscusbeam/core';
 import {
   digestBytes,
   type ChunkStore,
@@ -296,7 +300,7 @@
 }
 
 function* inParts(bytes: Buffer): Generator<Result<Uint8Array, never>> {
-  const {pieceSize} = AGENT_TRANSFERS;
+  const {pieceSize} = AGENT_TRANSFER_POLICY;
   for (let at = 0; at < bytes.length; at += pieceSize) {
     yield Ok(bytes.subarray(at, at + pieceSize));
   }
--- a/packages/fleet/src/entry/admission_watch.ts
+++ b/packages/fleet/src/entry/admission_watch.ts
@@ -1,5 +1,5 @@
 import {
-  exchangedPriority,
+  wirePriority,
   type AdmissionLevel,
   type Milliseconds,
   type MonotonicInstant,
@@ -81,5 +81,5 @@
   priority: number,
 ): string {
   const {shares, demand, capacity} = describe(level);
-  return `belowLevel, priority ${exchangedPriority(priority)}, shares ${shares.join(' ')}, demand ${demand} of ${capacity} places`;
+  return `belowLevel, priority ${wirePriority(priority)}, shares ${shares.join(' ')}, demand ${demand} of ${capacity} places`;
 }
--- a/packages/fleet/src/entry/buffered_bytes.ts
+++ b/packages/fleet/src/entry/buffered_bytes.ts
@@ -1,5 +1,5 @@
 import {
-  chooseDropped,
+  selectReadersToDrop,
   type Bytes,
   type MonotonicInstant,
 } from '@hibiscusbeam/core';
@@ -109,7 +109,10 @@
       reader.takenBefore = taken;
       return {reader, held, stalledFor: now - reader.movedAt};
     });
-    for (const {reader, held, stalledFor} of chooseDropped(buffered, bound)) {
+    for (const {reader, held, stalledFor} of selectReadersToDrop(
+      buffered,
+      bound,
+    )) {
       const {kind, requestId} = reader;
       log.warn('slow reader dropped', {
         kind,
--- a/packages/fleet/src/entry/cold_watch.ts
+++ b/packages/fleet/src/entry/cold_watch.ts
@@ -5,7 +5,7 @@
   type EngineLoad,
   type InstanceName,
   type ListedTarget,
-  type TargetLife,
+  type TargetIncarnation,
 } from '@hibiscusbeam/core';
 import type {Clock, Log} from '@hibiscusbeam/daemon';
 import type {FleetMetrics} from './fleet_metrics';
@@ -26,7 +26,7 @@
   readonly report: (load: EngineLoad) => void;
   readonly isCold: ColdTargets['isCold'];
   /** Requests a second from all entries together; undefined for no limit. */
-  readonly rateOf: (life: TargetLife) => number | undefined;
+  readonly rateOf: (life: TargetIncarnation) => number | undefined;
 }
 
 /** Creates the watch; it logs each change. */
--- a/packages/fleet/src/entry/crash_watch.ts
+++ b/packages/fleet/src/entry/crash_watch.ts
@@ -1,10 +1,10 @@
 import {
-  nameOfLife,
+  targetIncarnationKey,
   type ListedTarget,
   type Milliseconds,
   type Quarantine,
   type RequestFingerprint,
-  type TargetLife,
+  type TargetIncarnation,
 } from '@hibiscusbeam/core';
 import {sleep, type Clock, type Log} from '@hibiscusbeam/daemon';
 import {connect} from 'node:net';
@@ -53,11 +53,11 @@
  */
 export function createCrashWatch(options: CrashWatchOptions): CrashWatch {
   const {quarantine, clock, log, look = lookAt} = options;
-  const looks = new Map<TargetLife, Promise<AddressState>>();
+  const looks = new Map<TargetIncarnation, Promise<AddressState>>();
 
   /** One look serves all requests of a target that want one at that time. */
   function lookOnce(target: ListedTarget): Promise<AddressState> {
-    const life = nameOfLife(target);
+    const life = targetIncarnationKey(target);
     const running = looks.get(life);
     if (running !== undefined) return running;
     const started = lookUntilAnswered(target.address).finally(() =>
@@ -89,9 +89,9 @@
     target: ListedTarget,
     endedAt: number,
   ): void {
-    const ending = {life: nameOfLife(target), endedAt};
+    const ending = {life: targetIncarnationKey(target), endedAt};
     const wasQuarantined = quarantine.isQuarantined(fingerprint);
-    if (!quarantine.noteEnding(fingerprint, ending)) return;
+    if (!quarantine.recordEnding(fingerprint, ending)) return;
     const isQuarantined = quarantine.isQuarantined(fingerprint);
     const {instance} = target;
     log.info('target ended under a request', {fingerprint, instance});
@@ -106,7 +106,7 @@
     noteLost,
     noteEnded: (fingerprint, target) => note(fingerprint, target, clock()),
     noteCompleted: fingerprint => {
-      if (!quarantine.noteCompletion(fingerprint, clock())) return;
+      if (!quarantine.recordCompletion(fingerprint, clock())) return;
       log.info('suspicion of a request dropped', {fingerprint});
       options.onChange(fingerprint);
     },
--- a/packages/fleet/src/entry/entry.ts
+++ b/packages/fleet/src/entry/entry.ts
@@ -2,14 +2,14 @@
   createConfirmation,
   createFairOrder,
   createNamedVersions,
-  createPacedSends,
+  createSendPacer,
   createRateLimits,
   createStoreClock,
-  createStoreContact,
+  createStoreAvailability,
   createStoreDistance,
-  createTargetBook,
+  createTargetRegistry,
   hash32,
-  VERSION_MARGIN,
+  VERSION_BOUND_MARGIN,
   type EngineLoad,
   type Milliseconds,
   type ReadingUse,
@@ -141,7 +141,7 @@
   const storeClock = createStoreClock();
   const storeDistance = createStoreDistance();
   const failurePause = createFailurePause(hash32(settings.instance) / 2 ** 32);
-  const storeContact = createStoreContact(failurePause.noteAnswer);
+  const storeContact = createStoreAvailability(failurePause.noteAnswer);
   const confirmation = createConfirmation(storeClock);
   const copies = createConfigurationCopies();
   const spread = hash32(settings.instance) / 2 ** 32;
@@ -176,10 +176,10 @@
     metrics,
     table: () => operator.table(),
   });
-  const paced = createPacedSends({
+  const paced = createSendPacer({
     self: {instance: settings.instance, zone: settings.zone},
     rateOf: life => smaller(limits.rateOf(life), cold.rateOf(life)),
-    knownPart: () =>
+    knownShare: () =>
       members.isKnown() ? (circle.usable().length + 1) / circle.size() : 0,
   });
   const regions = createSiteRegions(settings);
@@ -195,9 +195,9 @@
     isReadable(readings.evacuations()) &&
     isResidencyKnown();
   const isResidencyKnown = (): boolean =>
-    operator.table()?.bindsRegions !== true ||
+    operator.table()?.restrictsRegions !== true ||
     isReadable(readings.configuration());
-  const book = createTargetBook(
+  const book = createTargetRegistry(
     {instance: settings.instance, zone: settings.zone},
     arePlacesKnown,
     paced.maySend,
@@ -211,7 +211,7 @@
   const places = createPlaceQueue(
     book,
     clock,
-    paced.noteSend,
+    paced.recordSend,
     settings.admission === 'level' ? createFairOrder() : undefined,
   );
   const admission =
@@ -241,7 +241,7 @@
     callerAddress: settings.callerAddress,
     life,
   };
-  const versions = createNamedVersions(bounds.version - VERSION_MARGIN);
+  const versions = createNamedVersions(bounds.version - VERSION_BOUND_MARGIN);
   const namings = createNamingExchange(
     versions,
     machineClock,
@@ -297,7 +297,7 @@
     copies,
     records: createSiteRecords(quarantine, limits),
     demands: admission.exchange,
-    storeDistance: storeDistance.shortest,
+    storeDistance: storeDistance.min,
     namings: namings.tell,
     onNamings: namings.take,
     onReports: takeReports,
--- a/packages/fleet/src/entry/entry_admission.ts
+++ b/packages/fleet/src/entry/entry_admission.ts
@@ -1,16 +1,16 @@
 import {
   createDemandMeter,
   createLevelAdmission,
-  createPlaceTimes,
+  createSlotTimes,
   createSiteDemand,
-  exchangedPriority,
+  wirePriority,
   hash32,
-  returnTime,
+  retryDelay,
   type AdmissionLevel,
   type Milliseconds,
   type ServiceDemand,
   type ServiceName,
-  type TargetBook,
+  type TargetRegistry,
   type ZoneDemand,
 } from '@hibiscusbeam/core';
 import type {Clock, Log} from '@hibiscusbeam/daemon';
@@ -77,7 +77,7 @@
 export interface EntryAdmissionOptions {
   readonly instance: string;
   readonly zone: string;
-  readonly book: TargetBook;
+  readonly book: TargetRegistry;
   readonly metrics: FleetMetrics;
   readonly log: Log;
   readonly clock: Clock;
@@ -111,14 +111,14 @@
 ): EntryAdmission {
   const {clock, book, entries, waitingFor} = options;
   const meter = createDemandMeter();
-  const placeTimes = createPlaceTimes();
+  const placeTimes = createSlotTimes();
   const watch = createAdmissionWatch(options.metrics, options.log);
   const own = (now: number): readonly ServiceDemand[] =>
     meter.demands(now, waitingFor);
   const site = createSiteDemand({...options, own});
   const levels = createLevelAdmission({
     instance: options.instance,
-    demand: site.of,
+    demand: site.demandFor,
     capacity: book.capacity,
     entries,
   });
@@ -136,7 +136,7 @@
   }
 
   function placeTime(accepted: AcceptedRequest): Milliseconds {
-    return placeTimes.placeTime(accepted.service, expectedTime(accepted));
+    return placeTimes.slotTime(accepted.service, expectedTime(accepted));
   }
 
   function arrive(accepted: AcceptedRequest): ArrivalDecision {
@@ -145,12 +145,12 @@
       service,
       priority: priorityOf(accepted),
       workspace: workspaceOf(accepted),
-      placeTime: placeTime(accepted),
+      slotTime: placeTime(accepted),
     };
     const now = clock();
-    meter.note(request, now);
+    meter.record(request, now);
     // A stream that goes on has had its place before.
-    if (header.resumeAfter !== undefined || request.placeTime === 0) {
+    if (header.resumeAfter !== undefined || request.slotTime === 0) {
       return {kind: 'admitted', by: undefined};
     }
     const decision = levels.decide(request, waitingFor(service), now);
@@ -176,7 +176,7 @@
     reason: string,
   ): void {
     const {service} = accepted;
-    const priority = exchangedPriority(priorityOf(accepted));
+    const priority = wirePriority(priorityOf(accepted));
     options.metrics.countAdmission({service, priority, outcome, reason});
   }
 
@@ -186,8 +186,8 @@
       own: () => own(clock()),
       zones,
       noteFollower: (instance, demands) =>
-        site.noteFollower(instance, demands, clock()),
-      noteZones: site.noteZones,
+        site.recordFollower(instance, demands, clock()),
+      noteZones: site.recordZones,
     },
     arrive,
     noteWait: (accepted, waited, refusedFor) => {
@@ -198,13 +198,13 @@
     retryAfter: (accepted, least) => {
       const {header, route, service, deadline} = accepted;
       const now = clock();
-      return returnTime({
+      return retryDelay({
         objective: route.objective,
         timeLeft: deadline - now,
         priority: priorityOf(accepted),
         spread: hash32(header.requestId ?? '') / 2 ** 32,
         pressure: levels.pressure(service, now),
-        least,
+        minDelay: least,
       });
     },
     placeTime,
@@ -215,7 +215,7 @@
       // Slow engines count in the capacity, so not in the time as well.
       const pace = pacedPlaces > 0 ? places / pacedPlaces : 1;
       const expected = expectedTime(accepted);
-      placeTimes.note(service, {expected, held: held / pace}, now);
+      placeTimes.record(service, {expected, held: held / pace}, now);
     },
   };
 }
@@ -248,7 +248,7 @@
 
 /** The priority as engines are told it: 0 to 9. */
 export function toldPriority(accepted: AcceptedRequest): number {
-  return Math.min(LEAST_URGENT, exchangedPriority(priorityOf(accepted)));
+  return Math.min(LEAST_URGENT, wirePriority(priorityOf(accepted)));
 }
 
 /** The workspace of its caller; undefined for callers without a key. */
--- a/packages/fleet/src/entry/entry_circle.ts
+++ b/packages/fleet/src/entry/entry_circle.ts
@@ -1,7 +1,7 @@
 import {
   chooseRelay,
   createEntryStates,
-  createReportOrder,
+  createStaleReportFilter,
   createSilentPeers,
   isSmallZone,
   type Milliseconds,
@@ -103,7 +103,7 @@
   const channels = createEntryChannels();
   const states = createEntryStates();
   const silent = createSilentPeers();
-  const reportOrder = createReportOrder();
+  const reportOrder = createStaleReportFilter();
   const siteReader = createSiteReader({
     instance: self.instance,
     clock,
@@ -202,7 +202,7 @@
 
   function loseRelay(relay: MemberDescription): void {
     log.warn('relay lost', {relay: relay.instance, zone: relay.zone});
-    silent.note(relay.life, clock());
+    silent.record(relay.life, clock());
     siteReader.forget(relay);
     links = links.filter(link => link.relay !== relay);
     noteState(relay.instance, false, clock());
@@ -234,7 +234,7 @@
   }
 
   function isNewest({engineAddress, sequence}: EngineReport): boolean {
-    return reportOrder.takes(engineAddress, sequence, clock());
+    return reportOrder.accepts(engineAddress, sequence, clock());
   }
 
   function followsOwnRelay(): boolean {
@@ -272,7 +272,7 @@
   }
 
   function noteState(instance: string, ready: boolean, heardAt: number): void {
-    if (!states.note({instance, ready, heardAt})) return;
+    if (!states.record({instance, ready, observedAt: heardAt})) return;
     log.info(ready ? 'entry is ready' : 'entry is not ready', {instance});
     noteUsable();
     // What changes here is passed on; relays that know it already stay silent.
@@ -303,11 +303,13 @@
 
   function allStates(): EntryState[] {
     const now = clock();
-    const heard = states.heard(now).map(({instance, ready, heardAt}) => ({
-      instance,
-      ready,
-      ageMilliseconds: Math.max(0, Math.round(now - heardAt)),
-    }));
+    const heard = states
+      .recentStates(now)
+      .map(({instance, ready, observedAt: heardAt}) => ({
+        instance,
+        ready,
+        ageMilliseconds: Math.max(0, Math.round(now - heardAt)),
+      }));
     return [ownState(), ...heard];
   }
 
--- a/packages/fleet/src/entry/expected_run.ts
+++ b/packages/fleet/src/entry/expected_run.ts
@@ -3,7 +3,7 @@
   outputToExpect,
   outputToReserve,
   promptTime,
-  writingTime,
+  generationTime,
   type EngineProfile,
   type MemoryNeed,
   type Milliseconds,
@@ -76,7 +76,7 @@
     const {memoryTokens} = profile;
     return {
       promptTime: promptTime(profile, prompt),
-      writingTime: writingTime(profile, answer),
+      writingTime: generationTime(profile, answer),
       tokens: prompt + answer,
       answerTokens: claims.hint ?? 0,
       profile,
--- a/packages/fleet/src/entry/held_readings.ts
+++ b/packages/fleet/src/entry/held_readings.ts
@@ -1,10 +1,10 @@
 import {
-  judgeReading,
+  evaluateReading,
   type Confirmation,
   type Milliseconds,
   type MonotonicInstant,
   type ReadingUse,
-  type StoreContact,
+  type StoreAvailability,
 } from '@hibiscusbeam/core';
 import type {Clock} from '@hibiscusbeam/daemon';
 
@@ -29,7 +29,7 @@
   readonly listedAt: () => MonotonicInstant | undefined;
   /** When the evacuations were surely as they are held. */
   readonly evacuationsReadAt: () => MonotonicInstant | undefined;
-  readonly storeContact: StoreContact;
+  readonly storeContact: StoreAvailability;
   /** Counts suspensions of the machine. */
   readonly machineClock: Clock;
   readonly bounds: {
@@ -54,10 +54,10 @@
     bound: Milliseconds,
     readAt: MonotonicInstant = -Infinity,
   ): ReadingUse {
-    return judgeReading({
+    return evaluateReading({
       age: machineClock() - readAt,
       bound,
-      isStoreAway: storeContact.isAwaySince(readAt),
+      isStoreUnavailable: storeContact.isUnavailableSince(readAt),
     });
   }
 
--- a/packages/fleet/src/entry/limit_watch.ts
+++ b/packages/fleet/src/entry/limit_watch.ts
@@ -1,5 +1,5 @@
 import {
-  nameOfLife,
+  targetIncarnationKey,
   type ListedTarget,
   type MonotonicInstant,
   type RateLimits,
@@ -29,8 +29,8 @@
   const {limits, log} = options;
   return {
     noteAnswer: (target, rate, sentAt) => {
-      const life = nameOfLife(target);
-      if (!limits.noteAnswer({life, rate, sentAt})) return;
+      const life = targetIncarnationKey(target);
+      if (!limits.recordAnswer({life, rate, sentAt})) return;
       const {instance, service} = target;
       if (rate === undefined) {
         log.info('limit of a target is over', {instance, service});
--- a/packages/fleet/src/entry/operator_follower.ts
+++ b/packages/fleet/src/entry/operator_follower.ts
@@ -7,7 +7,7 @@
   type NamedVersions,
   type RouteTable,
   type StoreClock,
-  type StoreContact,
+  type StoreAvailability,
 } from '@hibiscusbeam/core';
 import {sleep, type Clock, type Log} from '@hibiscusbeam/daemon';
 import type {ConfigurationCopy} from '@hibiscusbeam/wire';
@@ -155,7 +155,7 @@
   readonly clock: Clock;
   readonly confirmation: Confirmation;
   readonly storeClock: StoreClock;
-  readonly storeContact: StoreContact;
+  readonly storeContact: StoreAvailability;
   readonly versions: NamedVersions;
   readonly copies: ConfigurationCopies;
   readonly evacuations: EvacuationWatch;
@@ -217,7 +217,7 @@
     for (const {model, version, namedAt} of reading.namedVersions) {
       // An answer may be late, and a version's bound counts from its naming.
       const storeTime = namedAt ?? reading.storeTime;
-      const lookedAt = options.storeClock.notAfter(storeTime);
+      const lookedAt = options.storeClock.localTimeLowerBound(storeTime);
       const knownSince = Math.min(answeredAt, lookedAt ?? answeredAt);
       const isNew = options.versions.name(model, version, knownSince);
       if (isNew) log.info('version named', {model, version, namedAt});
@@ -278,14 +278,14 @@
     heardChange = Math.max(heardChange, moment.newestChange);
     evacuations.hear(moment);
     evacuationsSeen.recordRelayed({
-      heardAt: clock(),
+      receivedAt: clock(),
       storeTime: moment.storeTime,
     });
     if (copy !== undefined) takeCopy(copy);
     if (moment.newestChange > knownUntil && !holdsNewest(moment)) return wake();
     if (held.isNewestLost()) return;
     confirmation.recordRelayed({
-      heardAt: clock(),
+      receivedAt: clock(),
       storeTime: moment.storeTime,
     });
     noteMoment(moment);
@@ -365,7 +365,7 @@
       lateAfter: wait + bound * LATE_SHARE,
       // What is held counts in any case while the store is away.
       isBackupWanted: () =>
-        !options.storeContact.isAwaySince(
+        !options.storeContact.isUnavailableSince(
           confirmation.confirmedAt() ?? -Infinity,
         ),
     });
@@ -385,7 +385,7 @@
     const reply = await question();
     const sign = signOf(reply);
     isStoreAway = showsStoreAway(sign);
-    options.storeContact.note(sentAt, sign);
+    options.storeContact.record(sentAt, sign);
     return reply.map(reading => ({...reading, askedAt: sentAt}));
   }
 
--- a/packages/fleet/src/entry/place_queue.ts
+++ b/packages/fleet/src/entry/place_queue.ts
@@ -1,14 +1,14 @@
 import {
-  exchangedPriority,
+  wirePriority,
   type ListedTarget,
   type Milliseconds,
   type MonotonicInstant,
-  type PacedSends,
-  type PlaceNeed,
-  type RequestInHand,
+  type SendPacer,
+  type PlacementRequest,
+  type InFlightRequest,
   type ServiceName,
-  type TargetBook,
-  type TargetPlace,
+  type TargetRegistry,
+  type TargetSelection,
   type WaitingOrder,
   type WaitingRequest,
 } from '@hibiscusbeam/core';
@@ -19,7 +19,7 @@
   | {
       readonly kind: 'place';
       readonly target: ListedTarget;
-      readonly inHand: RequestInHand;
+      readonly inHand: InFlightRequest;
       /** Aborts when the target's life ends, and with it the request there. */
       readonly lifeEnded: AbortSignal;
     }
@@ -35,7 +35,7 @@
 /** A request that asks for a place. */
 export interface PlaceRequest extends WaitingRequest {
   /** The need as of now; read anew at each look. */
-  readonly need: () => PlaceNeed;
+  readonly need: () => PlacementRequest;
   /** Time in which a target reads its prompt. */
   readonly promptTime: Milliseconds;
   /** Until when it may wait. */
@@ -65,14 +65,14 @@
 /** The order without admission by level. */
 const ORDER_BY_PRIORITY: WaitingOrder<PlaceRequest> = {
   compare,
-  notePlaced: () => undefined,
+  recordStart: () => undefined,
 };
 
 /** Creates the queue over the places of `book`; `onPlaced` is told of each taken. */
 export function createPlaceQueue(
-  book: TargetBook,
+  book: TargetRegistry,
   clock: Clock,
-  onPlaced: PacedSends['noteSend'] = () => undefined,
+  onPlaced: SendPacer['recordSend'] = () => undefined,
   order: WaitingOrder<PlaceRequest> = ORDER_BY_PRIORITY,
 ): PlaceQueue {
   let waiters: Waiter[] = [];
@@ -113,13 +113,13 @@
     if (choice.kind === 'chosen') {
       const {target} = choice;
       onPlaced(target, now);
-      order.notePlaced(request, now);
+      order.recordStart(request, now);
       const life = new AbortController();
       const inHand = book.begin(target, {
         promptTime: request.promptTime,
         memory: need.memory,
         at: now,
-        onLifeEnded: () => life.abort(),
+        onIncarnationEnded: () => life.abort(),
       });
       return {kind: 'place', target, inHand, lifeEnded: life.signal};
     }
@@ -147,8 +147,7 @@
     const asking = waiters.filter(
       ({request}) =>
         request.need().service === service &&
-        (priority === undefined ||
-          exchangedPriority(request.priority) === priority),
+        (priority === undefined || wirePriority(request.priority) === priority),
     );
     return asking.length;
   }
@@ -158,7 +157,7 @@
 
 /** Whether a place may come up while the request may wait. */
 function isWorthWaiting(
-  choice: Exclude<TargetPlace, {kind: 'chosen'}>,
+  choice: Exclude<TargetSelection, {kind: 'chosen'}>,
   {waitUntil}: PlaceRequest,
   now: MonotonicInstant,
 ): boolean {
--- a/packages/fleet/src/entry/quarantine_store.ts
+++ b/packages/fleet/src/entry/quarantine_store.ts
@@ -76,7 +76,7 @@
     }
     for (const {fingerprint, isStored} of changes) {
       noteRow(fingerprint, isStored);
-      quarantine.noteStored(fingerprint, isStored);
+      quarantine.recordStored(fingerprint, isStored);
     }
   }
 
@@ -104,7 +104,7 @@
     for (const fingerprint of listed) {
       rows.add(fingerprint);
       if (removed.has(fingerprint)) changed.add(fingerprint);
-      else quarantine.noteStored(fingerprint, true);
+      else quarantine.recordStored(fingerprint, true);
     }
     for (const fingerprint of lost) changed.add(fingerprint);
     void writeChanges();
@@ -143,7 +143,7 @@
     if (rows.size < MOST_ROWS) return;
     const [oldest] = rows;
     if (oldest === undefined) return;
-    quarantine.noteStored(oldest, false);
+    quarantine.recordStored(oldest, false);
     changed.add(oldest);
   }
 
--- a/packages/fleet/src/entry/request_acceptance.ts
+++ b/packages/fleet/src/entry/request_acceptance.ts
@@ -1,5 +1,5 @@
 import {
-  areNowhere,
+  areEmpty,
   chooseService,
   destinationsOf,
   type CallerAccess,
@@ -105,7 +105,7 @@
   const run = options.expectedRuns.expect(expectable);
   const workspace = access.kind === 'workspace' ? access.workspace : undefined;
   const destinations = destinationsOf(route, workspace);
-  if (areNowhere(destinations)) {
+  if (areEmpty(destinations)) {
     return notRun('noAllowedRegion', RETRY_RECONFIGURED);
   }
   const fingerprint = fingerprintOf({workspace: workspace?.name, path, body});
--- a/packages/fleet/src/entry/request_context.ts
+++ b/packages/fleet/src/entry/request_context.ts
@@ -1,9 +1,9 @@
 import type {
-  AnswerTimes,
+  FirstEventTimes,
   ListedTarget,
   NamedVersions,
   Quarantine,
-  TargetBook,
+  TargetRegistry,
 } from '@hibiscusbeam/core';
 import type {Clock, Log} from '@hibiscusbeam/daemon';
 import type {IncomingMessage, ServerResponse} from 'node:http';
@@ -27,13 +27,13 @@
 export interface RequestRunOptions extends KeyConfirmation {
   readonly protocol: RequestProtocol;
   readonly operator: OperatorFollower;
-  readonly book: TargetBook;
+  readonly book: TargetRegistry;
   readonly places: PlaceQueue;
   readonly budgets: RepeatBudgets;
   readonly handover: StreamHandover;
   readonly versions: NamedVersions;
   readonly timeliness: Timeliness;
-  readonly answerTimes: AnswerTimes;
+  readonly answerTimes: FirstEventTimes;
   readonly admission: EntryAdmission;
   readonly quarantine: Quarantine;
   readonly trials: QuarantineTrials;
--- a/packages/fleet/src/entry/request_handler.ts
+++ b/packages/fleet/src/entry/request_handler.ts
@@ -1,5 +1,5 @@
 import {
-  createAnswerTimes,
+  createFirstEventTimes,
   forwardRequest,
   type ForwardResult,
   type ListedTarget,
@@ -65,7 +65,7 @@
   options: RequestHandlerOptions,
 ): RequestHandler {
   const {protocol, operator, clock, log, metrics} = options;
-  const answerTimes = createAnswerTimes();
+  const answerTimes = createFirstEventTimes();
   const timeliness = createTimeliness(answerTimes);
   const runOptions = {...options, timeliness, answerTimes, ownLines};
   const expectedRuns = createExpectedRuns();
--- a/packages/fleet/src/entry/request_run.ts
+++ b/packages/fleet/src/entry/request_run.ts
@@ -1,5 +1,5 @@
 import {
-  FAR_DELAY,
+  MAX_FAR_DELAY,
   unreachable,
   type Destinations,
   type ForwardEffect,
@@ -7,8 +7,8 @@
   type ListedTarget,
   type Milliseconds,
   type MonotonicInstant,
-  type PlaceNeed,
-  type PlaceReply,
+  type PlacementRequest,
+  type SlotReply,
 } from '@hibiscusbeam/core';
 import type {WholeAnswer} from './attempt';
 import {describeRefusal} from './admission_watch';
@@ -74,18 +74,18 @@
   let triedBefore: readonly ListedTarget[] = [];
   let trial: 'none' | 'held' | 'used' = 'none';
 
-  function needOf(tried: readonly ListedTarget[]): PlaceNeed {
+  function needOf(tried: readonly ListedTarget[]): PlacementRequest {
     return {
       service,
       model: header.model,
-      leastVersion: leastVersion(0),
-      leastFarVersion: leastVersion(FAR_DELAY),
+      minVersion: leastVersion(0),
+      minFarVersion: leastVersion(MAX_FAR_DELAY),
       destinations: destinationsNow(),
       promptTime: run.promptTime,
       expectedRun: run.writingTime,
       expectedTokens: run.tokens,
       memory: run.memory,
-      firstEventBy: firstEventBy(),
+      firstEventDeadline: firstEventBy(),
       profile: run.profile,
       tried: new Set(tried.map(target => target.instance)),
       now: options.clock(),
@@ -109,7 +109,7 @@
     return options.timeliness.objectiveEnd(accepted);
   }
 
-  function refusalOnArrival(): PlaceReply<ListedTarget> | undefined {
+  function refusalOnArrival(): SlotReply<ListedTarget> | undefined {
     const decision = options.admission.arrive(accepted);
     if (decision.kind === 'admitted') return undefined;
     const reason = 'belowLevel';
@@ -178,7 +178,7 @@
       priority: priorityOf(accepted),
       isLaterAttempt: options.timeliness.isLaterAttempt(accepted),
       workspace: workspaceOf(accepted),
-      placeTime: options.admission.placeTime(accepted),
+      slotTime: options.admission.placeTime(accepted),
       ...placeLimits(),
       signal: AbortSignal.any([signal, withdrawal.signal]),
     });
@@ -204,7 +204,7 @@
     options.places.pump();
   }
 
-  function placeReply(outcome: PlaceOutcome): PlaceReply<ListedTarget> {
+  function placeReply(outcome: PlaceOutcome): SlotReply<ListedTarget> {
     switch (outcome.kind) {
       case 'place':
         return {kind: 'place', target: outcome.target};
@@ -228,7 +228,11 @@
 
   function leastVersion(delay: Milliseconds): number | undefined {
     if (header.model === undefined) return undefined;
-    return options.versions.least(header.model, options.machineClock(), delay);
+    return options.versions.oldestAllowed(
+      header.model,
+      options.machineClock(),
+      delay,
+    );
   }
 
   /**
@@ -237,7 +241,10 @@
    * would turn away a target that already holds a newer one.
    */
   function versionFor(target: ListedTarget): number | undefined {
-    if (header.model === undefined || leastVersion(FAR_DELAY) === undefined) {
+    if (
+      header.model === undefined ||
+      leastVersion(MAX_FAR_DELAY) === undefined
+    ) {
       return undefined;
     }
     return options.book.heldVersion(target, header.model, options.clock());
@@ -281,7 +288,7 @@
       case 'send':
         return send();
       case 'wait':
-        return effect.wantsRepeat ? nextOrRepeat() : sends.next();
+        return effect.wantsRetry ? nextOrRepeat() : sends.next();
       case 'takeRepeat': {
         const allowed = options.budgets.takeRepeat(service);
         story.repeat(allowed);
--- a/packages/fleet/src/entry/sends_under_way.ts
+++ b/packages/fleet/src/entry/sends_under_way.ts
@@ -1,7 +1,7 @@
 import type {
   ForwardAttemptEnd,
   ForwardAttemptOutcome,
-  SendReport,
+  AttemptReport,
 } from '@hibiscusbeam/core';
 
 /** A stream that is passed on, and may be held for a while. */
@@ -37,7 +37,7 @@
   /** Resolves once there is a report. */
   readonly reported: () => Promise<void>;
   /** The next report, in the order in which they came. */
-  readonly next: () => Promise<SendReport>;
+  readonly next: () => Promise<AttemptReport>;
   /** Makes `next` fail, since a send has failed in this process. */
   readonly fail: (error: unknown) => void;
   /** Ends all sends. */
@@ -131,7 +131,7 @@
     await new Promise<void>(resolve => (waiting = [...waiting, resolve]));
   }
 
-  async function next(): Promise<SendReport> {
+  async function next(): Promise<AttemptReport> {
     for (;;) {
       await reported();
       if (failure !== undefined) throw failure.error;
@@ -142,10 +142,10 @@
     }
   }
 
-  function deliver({send, outcome}: Report): SendReport {
+  function deliver({send, outcome}: Report): AttemptReport {
     if (isEnd(outcome)) underWay.delete(send);
     const silent = [...underWay].filter(({isSilent}) => isSilent).length;
-    return {kind: 'sent', outcome, underWay: underWay.size, silent};
+    return {kind: 'sent', outcome, attemptsInFlight: underWay.size, silent};
   }
 
   return {
--- a/packages/fleet/src/entry/site_reader.ts
+++ b/packages/fleet/src/entry/site_reader.ts
@@ -1,5 +1,5 @@
 import {
-  leavesReadingTo,
+  defersReadingTo,
   type InstanceName,
   type Milliseconds,
   type MonotonicInstant,
@@ -53,7 +53,7 @@
     const now = clock();
     return [...readers.values()].some(
       reader =>
-        now - reader.heardAt < READER_LIFE && leavesReadingTo(own, reader),
+        now - reader.heardAt < READER_LIFE && defersReadingTo(own, reader),
     );
   }
 
--- a/packages/fleet/src/entry/stream_handover.ts
+++ b/packages/fleet/src/entry/stream_handover.ts
@@ -1,26 +1,26 @@
 import {
   createStreamLengths,
   endsInTime,
-  gainOfMove,
+  timeSavedByMove,
   isWorthMoving,
   type ListedTarget,
   type Milliseconds,
   type MonotonicInstant,
-  type PlaceNeed,
+  type PlacementRequest,
   type StreamLengths,
-  type StreamRest,
-  type TargetBook,
+  type RemainingStream,
+  type TargetRegistry,
 } from '@hibiscusbeam/core';
 import type {Clock} from '@hibiscusbeam/daemon';
 
 /** A stream that could go on at another target. */
 export interface MovableStream {
   /** What its next place must have. */
-  readonly need: () => PlaceNeed;
+  readonly need: () => PlacementRequest;
   /** When its first event was passed on; undefined before. */
   readonly begunAt: () => MonotonicInstant | undefined;
   /** What is left of it; undefined while that can't be told. */
-  readonly rest: () => StreamRest | undefined;
+  readonly rest: () => RemainingStream | undefined;
   /** Whether it can go on where it stands now. */
   readonly mayMove: () => boolean;
   /** Takes one of the repeats that the site allows, if one is left. */
@@ -44,7 +44,7 @@
 
 /** What the handover needs. */
 export interface StreamHandoverOptions {
-  readonly book: TargetBook;
+  readonly book: TargetRegistry;
   readonly clock: Clock;
   /** Whether streams that won't end in time are moved. */
   readonly movesLate: boolean;
@@ -108,24 +108,24 @@
     if (now - offer.movedAt < MOVE_AGAIN) return false;
     if (!offer.stream.mayMove()) return false;
     if (lateRest(offer) !== undefined) return true;
-    const isEmptying = book.isEmptying(offer.target, now);
+    const isEmptying = book.isDrainingForLoad(offer.target, now);
     return isEmptying && isWorthMoving(remaining(offer, now));
   }
 
-  function restOf(stream: MovableStream): StreamRest | undefined {
+  function restOf(stream: MovableStream): RemainingStream | undefined {
     return options.movesLate ? stream.rest() : undefined;
   }
 
   /** The rest of a stream that won't end in time where it runs. */
-  function lateRest({stream}: Offer): StreamRest | undefined {
+  function lateRest({stream}: Offer): RemainingStream | undefined {
     const rest = restOf(stream);
-    return rest && gainOfMove(rest) !== undefined ? rest : undefined;
+    return rest && timeSavedByMove(rest) !== undefined ? rest : undefined;
   }
 
   /** Time that a move saves the caller or the engine's load. */
   function gain(offer: Offer, now: MonotonicInstant): Milliseconds {
     const rest = restOf(offer.stream);
-    return (rest && gainOfMove(rest)) ?? remaining(offer, now);
+    return (rest && timeSavedByMove(rest)) ?? remaining(offer, now);
   }
 
   function remaining({stream}: Offer, now: MonotonicInstant): Milliseconds {
--- a/packages/fleet/src/entry/target_follower.ts
+++ b/packages/fleet/src/entry/target_follower.ts
@@ -1,13 +1,13 @@
 import {
-  createListMemory,
+  createRetainedTargetList,
   type ListedTarget,
   type Milliseconds,
   type MonotonicInstant,
   type ServiceName,
   type StoreClock,
-  type StoreContact,
+  type StoreAvailability,
   type StoreDistance,
-  type TargetBook,
+  type TargetRegistry,
 } from '@hibiscusbeam/core';
 import {every, type Clock, type Log} from '@hibiscusbeam/daemon';
 import {createEraLog} from '../link/era_log';
@@ -78,13 +78,13 @@
 /** What a follower of the list needs. */
 export interface TargetFollowerOptions {
   readonly list: TargetList;
-  readonly book: TargetBook;
+  readonly book: TargetRegistry;
   readonly clock: Clock;
   /** Counts suspensions, in which what a relay has told grows old too. */
   readonly machineClock: Clock;
   readonly storeClock: StoreClock;
   readonly storeDistance: StoreDistance;
-  readonly storeContact: StoreContact;
+  readonly storeContact: StoreAvailability;
   /** Whether no relay of the zone reads the list for this entry. */
   readonly readsStore: () => boolean;
   /** Told of each listing, own or heard, that is newer than those before. */
@@ -115,9 +115,9 @@
   signal: AbortSignal,
 ): TargetFollower {
   const {list, book, clock, machineClock, log} = options;
-  const memory = createListMemory({
+  const memory = createRetainedTargetList({
     heartbeat: options.heartbeat,
-    returnTime: RETURN_TIME,
+    recoveryTime: RETURN_TIME,
   });
   const unusableRows = createUnusableRowLog('targets', log);
   const noteEra = createEraLog('targets', log);
@@ -146,8 +146,8 @@
     if (signal.aborted) return;
     const sign = signOf(reply);
     isStoreAway = showsStoreAway(sign);
-    options.storeContact.note(sentAt, sign);
-    if (reply.err) memory.noteFailure(clock());
+    options.storeContact.record(sentAt, sign);
+    if (reply.err) memory.recordFailure(clock());
     else {
       noteEra(reply.val);
       const answeredAt = machineClock();
@@ -156,7 +156,7 @@
         answeredAt,
         storeTime: reply.val.storeTime,
       });
-      options.storeDistance.note(answeredAt - sentAt);
+      options.storeDistance.record(answeredAt - sentAt);
       if (reply.val.revision >= newest) take(reply.val, sentAt);
     }
     logReach(reply.err, reply.ok ? undefined : reply.val);
@@ -180,11 +180,11 @@
    * the answers to this entry's own reads relate it to the clock here.
    */
   function hear(listing: TargetListing): void {
-    const lookedAt = options.storeClock.notAfter(listing.storeTime);
+    const lookedAt = options.storeClock.localTimeLowerBound(listing.storeTime);
     if (lookedAt === undefined || listing.revision < newest) return;
     const provenAt = Math.min(machineClock(), lookedAt);
     if (provenAt - (listedAt ?? startedAt) >= absence) {
-      memory.noteFailure(clock() - absence);
+      memory.recordFailure(clock() - absence);
     }
     relayedAt = Math.max(relayedAt, provenAt);
     goBy(listing, provenAt);
@@ -198,11 +198,11 @@
 
   function goBy(listing: TargetListing, provenAt: MonotonicInstant): void {
     newest = listing.revision;
-    if (era !== undefined && listing.era > era) memory.noteRestore(clock());
+    if (era !== undefined && listing.era > era) memory.recordRestore(clock());
     era = listing.era;
     listedAt = Math.max(listedAt ?? provenAt, provenAt);
     options.onListing(listing);
-    const targets = memory.take(listing.targets, clock());
+    const targets = memory.update(listing.targets, clock());
     options.onTargets(targets);
     book.list(targets, clock());
     logChanges(targets);
@@ -228,7 +228,7 @@
     else log.info('list of targets regained');
   }
 
-  function logChanges(targets: Parameters<TargetBook['list']>[0]): void {
+  function logChanges(targets: Parameters<TargetRegistry['list']>[0]): void {
     const next = new Map(
       targets.map(target => [
         target.instance,
--- a/packages/fleet/src/entry/target_notes.ts
+++ b/packages/fleet/src/entry/target_notes.ts
@@ -27,7 +27,7 @@
   let hasFailed = false;
 
   function noteFailure(): void {
-    if (!hasFailed) book.noteFailure(target, clock());
+    if (!hasFailed) book.recordFailure(target, clock());
     hasFailed = true;
   }
 
@@ -40,16 +40,18 @@
         // Nothing was asked of the target.
         if (end.cause === 'outdated') return;
         if (end.cause === 'connectionRefused') {
-          return book.noteRefusedConnection(target, clock());
+          return book.recordRefusedConnection(target, clock());
+        }
+        if (end.cause === 'misdirected') {
+          book.recordMisdirected(target, clock());
         }
-        if (end.cause === 'misdirected') book.noteMisdirected(target, clock());
         return noteFailure();
       case 'timedOut':
       case 'callerGone':
         return;
       case 'answered':
       case 'streamed':
-        return book.noteSuccess(target);
+        return book.recordSuccess(target);
       default:
         return unreachable(end);
     }
--- a/packages/fleet/src/entry/target_send.ts
+++ b/packages/fleet/src/entry/target_send.ts
@@ -6,8 +6,8 @@
   type ListedTarget,
   type Milliseconds,
   type MonotonicInstant,
-  type PlaceNeed,
-  type StreamRest,
+  type PlacementRequest,
+  type RemainingStream,
 } from '@hibiscusbeam/core';
 import {toldPriority} from './entry_admission';
 import {attempt, type AttemptOptions, type WholeAnswer} from './attempt';
@@ -25,7 +25,7 @@
 /** What the sends of one request need from its run. */
 export interface TargetSenderHooks {
   readonly sends: SendsUnderWay;
-  readonly needOf: (tried: readonly ListedTarget[]) => PlaceNeed;
+  readonly needOf: (tried: readonly ListedTarget[]) => PlacementRequest;
   /** Whether what led to the choice of the target still holds. */
   readonly mayBegin: (planned: PlannedSend) => boolean;
   /** Whether a place for another send is looked for. */
@@ -172,7 +172,7 @@
       },
       onEvent: () => {
         inHand.begun();
-        pauses.note(options.clock());
+        pauses.record(options.clock());
       },
       keepAnswer: kept => (begun.answer = kept),
       explain: line.explain,
@@ -203,7 +203,7 @@
     if (forecast === undefined || forecast <= 0) return;
     const now = options.clock();
     const took = now - sentAt;
-    options.book.noteFirstEvent(planned.place.target, took / forecast, now);
+    options.book.recordFirstEvent(planned.place.target, took / forecast, now);
     options.metrics.observeForecastError(service, took - forecast);
   }
 
@@ -273,20 +273,20 @@
     });
   }
 
-  function restOf(pauses: EventPauses): StreamRest | undefined {
-    const pause = pauses.usual();
+  function restOf(pauses: EventPauses): RemainingStream | undefined {
+    const pause = pauses.median();
     const passed = passedEvents();
     const {profile, answerTokens, tokens} = run;
     if (pause === undefined || profile === undefined) return undefined;
     if (passed === undefined) return undefined;
     const {lengths} = options.handover;
-    const events = lengths.rest(route.name, passed, answerTokens);
+    const events = lengths.remaining(route.name, passed, answerTokens);
     if (events === undefined) return undefined;
     return {
       events,
       pause,
-      usualPause: passTimeOf(profile, profile.slots, tokens),
-      left: accepted.deadline - options.clock(),
+      typicalPause: passTimeOf(profile, profile.slots, tokens),
+      timeLeft: accepted.deadline - options.clock(),
     };
   }
 
--- a/packages/fleet/src/entry/target_statements.ts
+++ b/packages/fleet/src/entry/target_statements.ts
@@ -1,7 +1,7 @@
 import type {
   ListedTarget,
   MonotonicInstant,
-  TargetBook,
+  TargetRegistry,
 } from '@hibiscusbeam/core';
 import type {Clock, Log} from '@hibiscusbeam/daemon';
 import type {AnswerHeader} from '../ports';
@@ -18,7 +18,7 @@
 
 /** What taking targets' statements needs. */
 export interface TargetStatementsOptions {
-  readonly book: Pick<TargetBook, 'noteLeaving' | 'noteBackoff'>;
+  readonly book: Pick<TargetRegistry, 'recordLeaving' | 'recordBackoff'>;
   readonly clock: Clock;
   readonly limitWatch: LimitWatch;
   readonly log: Log;
@@ -50,7 +50,7 @@
   function noteLeaving({target, header}: StatedAnswer): string[] {
     if (!header.leaving) return [];
     metrics.countLeavingAnswer(target.service);
-    if (book.noteLeaving(target)) {
+    if (book.recordLeaving(target)) {
       const {instance, service} = target;
       log.info('target says that it leaves', {instance, service});
     }
@@ -61,7 +61,7 @@
     const {backoff} = header;
     if (backoff === undefined) return [];
     metrics.countBackoffAnswer(target.service);
-    book.noteBackoff(target, clock() + backoff);
+    book.recordBackoff(target, clock() + backoff);
     const {instance, service} = target;
     log.info('target asks to back off', {instance, service, backoff});
     return [`asks to back off for ${Math.round(backoff)} ms`];
--- a/packages/fleet/src/entry/timeliness.ts
+++ b/packages/fleet/src/entry/timeliness.ts
@@ -1,8 +1,8 @@
 import {
   hash32,
-  LEAST_RETURN,
-  RETURN_SPREAD,
-  type AnswerTimes,
+  MIN_RETRY_OBJECTIVES,
+  RETRY_SPREAD_OBJECTIVES,
+  type FirstEventTimes,
   type Milliseconds,
   type MonotonicInstant,
   type Route,
@@ -70,7 +70,7 @@
  * Creates the limits; they learn how long callers wait on each route, and go by
  * the times that targets take.
  */
-export function createTimeliness(answerTimes: AnswerTimes): Timeliness {
+export function createTimeliness(answerTimes: FirstEventTimes): Timeliness {
   const patienceOfRoutes = createRoutePatience();
 
   /** Objectives count from a caller's first attempt. */
@@ -115,8 +115,8 @@
   least: Milliseconds,
 ): Milliseconds {
   const share = hash32(requestId ?? '') / 2 ** 32;
-  const first = Math.max(least, objective * LEAST_RETURN);
-  return first + objective * share * RETURN_SPREAD;
+  const first = Math.max(least, objective * MIN_RETRY_OBJECTIVES);
+  return first + objective * share * RETRY_SPREAD_OBJECTIVES;
 }
 
 /** Longest silence of a target before it is suspected to have ended. */
--- a/packages/fleet/src/link/demand_messages.ts
+++ b/packages/fleet/src/link/demand_messages.ts
@@ -25,7 +25,7 @@
   return rows.slice(0, MOST_ROWS).map(({zone, demands, ageMilliseconds}) => ({
     zone,
     demands: readDemands(demands),
-    heardAt: now - ageMilliseconds,
+    receivedAt: now - ageMilliseconds,
   }));
 }
 
@@ -34,10 +34,10 @@
   zones: readonly ZoneDemand[],
   now: MonotonicInstant,
 ): RelayNews['demands'] {
-  return zones.map(({zone, demands, heardAt}) => ({
+  return zones.map(({zone, demands, receivedAt}) => ({
     zone,
     demands: [...demands],
-    ageMilliseconds: Math.max(0, Math.round(now - heardAt)),
+    ageMilliseconds: Math.max(0, Math.round(now - receivedAt)),
   }));
 }
 
--- a/packages/fleet/src/link/naming_exchange.ts
+++ b/packages/fleet/src/link/naming_exchange.ts
@@ -36,7 +36,7 @@
   function knownSince(naming: VersionNaming): MonotonicInstant {
     const byAge = clock() - naming.ageMilliseconds;
     if (naming.storeTime === undefined) return byAge;
-    const byStore = storeClock?.notAfter(naming.storeTime);
+    const byStore = storeClock?.localTimeLowerBound(naming.storeTime);
     if (byStore === undefined || byAge - byStore > LONGEST_DELAY) return byAge;
     return Math.min(byAge, byStore);
   }
--- a/packages/fleet/src/link/store_sign.ts
+++ b/packages/fleet/src/link/store_sign.ts
@@ -1,10 +1,10 @@
-import {unreachable, type StoreSign} from '@hibiscusbeam/core';
+import {unreachable, type StoreCallOutcome} from '@hibiscusbeam/core';
 import type {Result} from 'ts-results';
 import type {HostError} from '../ports';
 import type {CallProgress} from './http_calls';
 
 /** What the end of a question says of the store. */
-export function signOf(reply: Result<unknown, HostError>): StoreSign {
+export function signOf(reply: Result<unknown, HostError>): StoreCallOutcome {
   if (reply.ok) return 'answered';
   const error = reply.val;
   switch (error.kind) {
@@ -22,7 +22,7 @@
   }
 }
 
-function signOfProgress(progress: CallProgress): StoreSign {
+function signOfProgress(progress: CallProgress): StoreCallOutcome {
   switch (progress) {
     case 'notConnected':
       return 'notReached';
@@ -40,7 +40,7 @@
  * Whether a question shows that the store is away, so that nothing was written
  * until then; not merely that its answer or the way to it is slow.
  */
-export function showsStoreAway(sign: StoreSign): boolean {
+export function showsStoreAway(sign: StoreCallOutcome): boolean {
   switch (sign) {
     case 'turnedAway':
     case 'silent':
--- a/packages/laboratory/src/chunk_transfers.ts
+++ b/packages/laboratory/src/chunk_transfers.ts
@@ -108,7 +108,7 @@
       return tell(from, {kind: 'uploadEnded', upload: id});
     }
     const bytes = pieceAfter(sent);
-    const paced = from.upPace.take(bytes, clock.now());
+    const paced = from.upPace.reserve(bytes, clock.now());
     clock.later(paced - clock.now(), () => {
       carry(from, request, bytes, sent + bytes);
       tell(from, {kind: 'uploadProgress', upload: id});
@@ -138,7 +138,7 @@
     const {by, transfer, digest} = request;
     const through = by.downLink.carry(bytes, clock.now());
     clock.later(through - clock.now(), () => {
-      const paced = by.downPace.take(bytes, clock.now());
+      const paced = by.downPace.reserve(bytes, clock.now());
       clock.later(paced - clock.now(), () => {
         if (isCancelled(request)) return;
         if (received < site.chunkSize) {
--- a/packages/laboratory/src/experiment/experiment_file.ts
+++ b/packages/laboratory/src/experiment/experiment_file.ts
@@ -1,4 +1,4 @@
-import {AGENT_TRANSFERS, type TransferPolicy} from '@hibiscusbeam/core';
+import {AGENT_TRANSFER_POLICY, type TransferPolicy} from '@hibiscusbeam/core';
 import {Err, Ok, type Result} from 'ts-results';
 import {parseDocument} from 'yaml';
 import * as z from 'zod';
@@ -36,7 +36,7 @@
   } satisfies {[field in keyof TransferPolicy]: z.ZodType<number>})
   .partial()
   .transform((changes): TransferPolicy => ({
-    ...AGENT_TRANSFERS,
+    ...AGENT_TRANSFER_POLICY,
     ...defined(changes),
   }));
 
--- a/packages/laboratory/src/linked_agent.ts
+++ b/packages/laboratory/src/linked_agent.ts
@@ -1,9 +1,9 @@
 import {
-  createPace,
+  createTransferPacer,
   createSwarmNode,
   type Bytes,
   type MonotonicInstant,
-  type Pace,
+  type TransferPacer,
   type SwarmNode,
   type TransferId,
 } from '@hibiscusbeam/core';
@@ -17,8 +17,8 @@
   readonly upLink: Link;
   readonly downLink: Link;
   /** What it takes of its links itself. */
-  readonly upPace: Pace;
-  readonly downPace: Pace;
+  readonly upPace: TransferPacer;
+  readonly downPace: TransferPacer;
   /** Downloads that were cancelled. */
   readonly cancelled: Set<TransferId>;
   /** When it next looks for what is due; undefined if nothing is. */
@@ -50,8 +50,8 @@
     node,
     upLink: createLink(linkRate),
     downLink: createLink(linkRate),
-    upPace: createPace(linkRate, share),
-    downPace: createPace(linkRate, share),
+    upPace: createTransferPacer(linkRate, share),
+    downPace: createTransferPacer(linkRate, share),
     cancelled: new Set(),
     wakeUp: undefined,
     readyAt: undefined,
--- a/test/activation/permits.test.ts
+++ b/test/activation/permits.test.ts
@@ -8,14 +8,14 @@
   type Step,
   stepsOf,
   NO_FAULT,
-  SWAPS,
-  sizes,
+  SWAP_ACTIONS,
+  arbitrarySiteSize,
   createSite,
-  latest,
-  take,
+  currentAgent,
+  runStep,
   act,
   requestOf,
-  holdsUnder,
+  assertFloorHolds,
   createPair,
   stateOf,
 } from './permits_site';
@@ -24,50 +24,50 @@
   // Dealers wait while a version rolls out: more engines than planned were
   // without a version at once, since several asked at the same moment.
   test('keep capacity at the floor through races', () => {
-    const actions = [...SWAPS, 'resumeOvertaken'] as const;
-    holdsUnder({actions, fault: NO_FAULT, earlier: 0, runs: 600});
+    const actions = [...SWAP_ACTIONS, 'resumeOvertaken'] as const;
+    assertFloorHolds({actions, fault: NO_FAULT, earlier: 0, runs: 600});
   });
 
   // The same sight after replies were lost and writes came late.
   test('keep capacity at the floor through lost and late writes', () => {
-    const actions = [...SWAPS, 'land', 'resumeOvertaken'] as const;
-    holdsUnder({actions, fault: tableFault, earlier: 0, runs: 800});
+    const actions = [...SWAP_ACTIONS, 'land', 'resumeOvertaken'] as const;
+    assertFloorHolds({actions, fault: tableFault, earlier: 0, runs: 800});
   });
 
   // The same sight after an agent was paused with a permit in hand, replaced,
   // and woke.
   test('keep capacity at the floor through replacements', () => {
-    const actions = [...SWAPS, 'fence', 'replace', 'report'] as const;
-    holdsUnder({actions, fault: NO_FAULT, earlier: 4, runs: 3_000});
+    const actions = [...SWAP_ACTIONS, 'fence', 'replace', 'report'] as const;
+    assertFloorHolds({actions, fault: NO_FAULT, earlier: 4, runs: 3_000});
   });
 
   // The same sight with engines that die: their death takes capacity, but no
   // swap begins that would take more.
   test('let no swap begin that would go under the floor after deaths', () => {
-    const actions = [...SWAPS, ...SWAPS, 'die', 'land'] as const;
-    holdsUnder({actions, fault: tableFault, earlier: 0, runs: 500});
+    const actions = [...SWAP_ACTIONS, ...SWAP_ACTIONS, 'die', 'land'] as const;
+    assertFloorHolds({actions, fault: tableFault, earlier: 0, runs: 500});
   });
 
   // The same sight after an operator raised the floor: engines that had not
   // learnt it yet still swapped by the lower one.
   test('keep capacity at the floor that a later configuration raises', () => {
-    const actions = [...SWAPS, 'adopt'] as const;
-    holdsUnder({actions, fault: NO_FAULT, earlier: 0, runs: 600});
+    const actions = [...SWAP_ACTIONS, 'adopt'] as const;
+    assertFloorHolds({actions, fault: NO_FAULT, earlier: 0, runs: 600});
   });
 
   // A version never reaches the last engines: a permit is held for ever by an
   // agent that died, and no other target may swap.
   test('let every target swap in turn once faults end', () => {
-    const actions = [...SWAPS, 'replace', 'land'] as const;
+    const actions = [...SWAP_ACTIONS, 'replace', 'land'] as const;
     const steps = stepsOf({actions, fault: tableFault, earlier: 2, runs: 0});
     const calm: TableFault[] = new Array<TableFault>(6).fill('none');
     fc.assert(
-      fc.property(sizes, steps, (size, taken) => {
+      fc.property(arbitrarySiteSize, steps, (size, taken) => {
         const site = createSite(size);
-        for (const next of taken) take(site, next);
+        for (const next of taken) runStep(site, next);
         const turn = (target: number, ...kinds: Step['action'][]): void => {
           for (const kind of kinds) {
-            take(site, {target, earlier: false, action: kind, faults: calm});
+            runStep(site, {target, earlier: false, action: kind, faults: calm});
           }
         };
         for (let late = 0; late < 80; late += 1) site.table.landLate();
@@ -89,16 +89,16 @@
   test('are not undone by the late report of a replaced agent', () => {
     const {site, target, agent: earlier} = createPair();
     act(site, target, earlier, 'take');
-    for (let hop = 0; hop < 2; hop += 1) earlier.hop('none');
+    for (let hop = 0; hop < 2; hop += 1) earlier.advance('none');
     act(site, target, earlier, 'report');
-    earlier.hop('none');
+    earlier.advance('none');
     startAgent(site.table, target);
-    const later = latest(target);
+    const later = currentAgent(target);
     act(site, target, later, 'fence');
     act(site, target, later, 'take');
-    for (let hop = 0; hop < 3; hop += 1) later.hop('none');
+    for (let hop = 0; hop < 3; hop += 1) later.advance('none');
     expect(later.activation.holdsPermit()).toBe(true);
-    for (let hop = 0; hop < 3; hop += 1) earlier.hop('none');
+    for (let hop = 0; hop < 3; hop += 1) earlier.advance('none');
     expect(stateOf(site, target)).toBe('swapping');
   });
 
@@ -108,14 +108,14 @@
     const {site, target, agent} = createPair();
     act(site, target, agent, 'take');
     for (const fault of ['none', 'lost', 'unavailable'] as const) {
-      agent.hop(fault);
+      agent.advance(fault);
     }
     act(site, target, agent, 'report');
     for (const fault of ['none', 'late', 'unavailable'] as const) {
-      agent.hop(fault);
+      agent.advance(fault);
     }
     act(site, target, agent, 'take');
-    for (let hop = 0; hop < 3; hop += 1) agent.hop('none');
+    for (let hop = 0; hop < 3; hop += 1) agent.advance('none');
     expect(agent.activation.holdsPermit()).toBe(true);
     site.table.landLate();
     expect(stateOf(site, target)).toBe('swapping');
@@ -126,11 +126,11 @@
   test('are not granted by a request that a report has overtaken', () => {
     const {site, target, agent} = createPair();
     act(site, target, agent, 'take');
-    agent.hop('none');
+    agent.advance('none');
     act(site, target, agent, 'report');
-    agent.hopOvertaken('none');
+    agent.advanceSuperseded('none');
     expect(agent.activation.holdsPermit()).toBe(false);
-    for (let hop = 0; hop < 3; hop += 1) agent.hop('none');
+    for (let hop = 0; hop < 3; hop += 1) agent.advance('none');
     expect(stateOf(site, target)).toBe('serving');
     expect(agent.activation.holdsPermit()).toBe(false);
   });
@@ -148,7 +148,7 @@
   test('name who serves and who swaps in one row a model', () => {
     const {site} = createPair();
     const turn = {target: 0, earlier: false, faults: ['none', 'none']} as const;
-    take(site, {...turn, action: 'take'});
+    runStep(site, {...turn, action: 'take'});
     expect(site.table.row(activationKey('notes'))?.value).toMatchObject({
       generation: 1,
       targets: {
--- a/test/activation/permits_site.ts
+++ b/test/activation/permits_site.ts
@@ -17,7 +17,7 @@
   type SteppedTarget,
 } from './stepped_target';
 
-const MOST_TARGETS = 4;
+const MAX_TARGETS = 4;
 
 /** One step of a run: an agent of a target acts, then faults strike. */
 export interface Step {
@@ -42,7 +42,7 @@
 
 type Action = Step['action'];
 
-interface Mix {
+interface ActionMix {
   readonly actions: readonly Action[];
   readonly fault: fc.Arbitrary<TableFault>;
   readonly earlier: number;
@@ -50,9 +50,9 @@
 }
 
 /** Steps of a mix; an action that stands twice comes twice as often. */
-export function stepsOf(mix: Mix): fc.Arbitrary<readonly Step[]> {
+export function stepsOf(mix: ActionMix): fc.Arbitrary<readonly Step[]> {
   const step = fc.record({
-    target: fc.nat({max: MOST_TARGETS - 1}),
+    target: fc.nat({max: MAX_TARGETS - 1}),
     earlier: fc.oneof(
       {weight: 10 - mix.earlier, arbitrary: fc.constant(false)},
       {weight: mix.earlier, arbitrary: fc.constant(true)},
@@ -70,7 +70,7 @@
 /** No fault at any hop. */
 export const NO_FAULT = fc.constant<TableFault>('none');
 /** What agents do when they swap, and nothing else. */
-export const SWAPS: readonly Action[] = [
+export const SWAP_ACTIONS: readonly Action[] = [
   'take',
   'take',
   'unload',
@@ -93,8 +93,8 @@
 }
 
 /** Few targets meet one another more often; the floor rises once. */
-export const sizes: fc.Arbitrary<SiteSize> = fc
-  .constantFrom(2, 2, 3, MOST_TARGETS)
+export const arbitrarySiteSize: fc.Arbitrary<SiteSize> = fc
+  .constantFrom(2, 2, 3, MAX_TARGETS)
   .chain(targets =>
     fc
       .array(fc.integer({min: 1, max: targets - 1}), {
@@ -113,28 +113,28 @@
   const site = {table, targets, floors};
   for (const target of targets) {
     startAgent(table, target);
-    act(site, target, latest(target), 'fence');
-    act(site, target, latest(target), 'report');
-    for (let hop = 0; hop < 2; hop += 1) latest(target).hop('none');
+    act(site, target, currentAgent(target), 'fence');
+    act(site, target, currentAgent(target), 'report');
+    for (let hop = 0; hop < 2; hop += 1) currentAgent(target).advance('none');
   }
   return site;
 }
 
 /** The agent in charge of a target. */
-export function latest(target: SteppedTarget): SteppedAgent {
+export function currentAgent(target: SteppedTarget): SteppedAgent {
   const agent = target.agents.at(-1);
   if (agent === undefined) throw new Error('target without agent');
   return agent;
 }
 
 /** Takes one step. */
-export function take(site: Site, next: Step): void {
+export function runStep(site: Site, next: Step): void {
   const target = site.targets[next.target % site.targets.length];
   if (target === undefined) throw new Error('no such target');
-  const agent = next.earlier ? target.agents.at(-2) : latest(target);
+  const agent = next.earlier ? target.agents.at(-2) : currentAgent(target);
   if (agent === undefined) return;
   act(site, target, agent, next.action);
-  for (const fault of next.faults) agent.hop(fault);
+  for (const fault of next.faults) agent.advance(fault);
 }
 
 /** Lets an agent act once; checks the floor after an unload. */
@@ -145,7 +145,7 @@
   kind: Step['action'],
 ): void {
   const {table, targets} = site;
-  const obeyed = !target.dead && agent.incarnation >= target.highestFencing;
+  const isObeyed = !target.dead && agent.incarnation >= target.highestFencing;
   switch (kind) {
     case 'take': {
       const request = requestOf(site, agent);
@@ -169,19 +169,19 @@
       }
       break;
     case 'unload':
-      if (!obeyed || !target.loaded) break;
+      if (!isObeyed || !target.loaded) break;
       if (!agent.activation.holdsPermit()) break;
       target.highestFencing = agent.incarnation;
       target.loaded = false;
       checkCapacity(site, agent);
       break;
     case 'load':
-      if (!obeyed) break;
+      if (!isObeyed) break;
       target.highestFencing = agent.incarnation;
       target.loaded = true;
       break;
     case 'fence':
-      if (obeyed) target.highestFencing = agent.incarnation;
+      if (isObeyed) target.highestFencing = agent.incarnation;
       break;
     case 'adopt':
       agent.generation = 2;
@@ -197,7 +197,7 @@
       table.landLate();
       break;
     case 'resumeOvertaken':
-      agent.hopOvertaken('none');
+      agent.advanceSuperseded('none');
       break;
     case 'resume':
       break;
@@ -239,11 +239,11 @@
 }
 
 /** Asserts that no run of a mix goes under the floor. */
-export function holdsUnder(mix: Mix): void {
+export function assertFloorHolds(mix: ActionMix): void {
   fc.assert(
-    fc.property(sizes, stepsOf(mix), (size, taken) => {
+    fc.property(arbitrarySiteSize, stepsOf(mix), (size, taken) => {
       const site = createSite(size);
-      for (const next of taken) take(site, next);
+      for (const next of taken) runStep(site, next);
     }),
     propertySettings(mix.runs),
   );
@@ -258,7 +258,7 @@
   const site = createSite({targets: 2, floors: [0, 1, 1]});
   const [target] = site.targets;
   if (target === undefined) throw new Error('no target');
-  return {site, target, agent: latest(target)};
+  return {site, target, agent: currentAgent(target)};
 }
 
 /** A target's state in the row of permits. */
--- a/test/activation/stepped_target.ts
+++ b/test/activation/stepped_target.ts
@@ -17,9 +17,9 @@
   /** The floor and the deaths when the last permit was asked for. */
   permitFor: {readonly floor: number; readonly deaths: number} | undefined;
   readonly begin: (flow: ActivationFlow) => void;
-  readonly hop: (fault: TableFault) => void;
+  readonly advance: (fault: TableFault) => void;
   /** Goes on with the flow that the last one has overtaken. */
-  readonly hopOvertaken: (fault: TableFault) => void;
+  readonly advanceSuperseded: (fault: TableFault) => void;
 }
 
 interface RunningFlow {
@@ -65,21 +65,21 @@
   activation: Activation,
 ): SteppedAgent {
   let current: RunningFlow | undefined;
-  let overtaken: RunningFlow | undefined;
+  let superseded: RunningFlow | undefined;
   return {
     incarnation,
     activation,
     generation: 1,
     permitFor: undefined,
     begin: begun => {
-      overtaken = current;
+      superseded = current;
       current = begin(begun);
     },
-    hop: fault => {
-      current = hop(table, current, fault);
+    advance: fault => {
+      current = advance(table, current, fault);
     },
-    hopOvertaken: fault => {
-      overtaken = hop(table, overtaken, fault);
+    advanceSuperseded: fault => {
+      superseded = advance(table, superseded, fault);
     },
   };
 }
@@ -89,7 +89,7 @@
   return first.done === true ? undefined : {flow, effect: first.value};
 }
 
-function hop(
+function advance(
   table: SteppedTable,
   running: RunningFlow | undefined,
   fault: TableFault,
--- a/test/admission/entry_admission.test.ts
+++ b/test/admission/entry_admission.test.ts
@@ -1,4 +1,4 @@
-import {ANYWHERE, createTargetBook, type Route} from '@hibiscusbeam/core';
+import {ANYWHERE, createTargetRegistry, type Route} from '@hibiscusbeam/core';
 import {expect, test} from 'vitest';
 import type {Log} from '@hibiscusbeam/daemon';
 import {describeRefusal} from '../../packages/fleet/src/entry/admission_watch';
@@ -39,7 +39,7 @@
 /** An entry with one engine of 16 places, on a clock that only `at` moves. */
 function createSite(options: {readonly isReported?: boolean} = {}) {
   let now = 0;
-  const book = createTargetBook({instance: 'entry', zone: 'north'});
+  const book = createTargetRegistry({instance: 'entry', zone: 'north'});
   book.list([engineTarget('engine')], 0);
   const report = (running: number): void => {
     if (options.isReported === false) return;
--- a/test/admission/level.test.ts
+++ b/test/admission/level.test.ts
@@ -2,9 +2,9 @@
   admissionLevel,
   createDemandMeter,
   createLevelAdmission,
-  createPlaceTimes,
+  createSlotTimes,
   createSiteDemand,
-  createWorkspaceParts,
+  createWorkspaceAdmission,
   shareAt,
   type ServiceDemand,
 } from '@hibiscusbeam/core';
@@ -58,7 +58,7 @@
 test('priorities that messages cannot carry are counted as the nearest that they can', () => {
   const meter = createDemandMeter();
   for (const priority of [-3, NaN, 0.5]) {
-    meter.note({service: 'engines', priority, placeTime: 100}, 1_000);
+    meter.record({service: 'engines', priority, slotTime: 100}, 1_000);
   }
   const demands = meter.demands(1_000, () => 0);
   expect(demands).toMatchObject([{priority: 0, places: 0.3}]);
@@ -66,7 +66,7 @@
 
 test('demand of more than a second ago counts no more', () => {
   const meter = createDemandMeter();
-  meter.note({service: 'engines', priority: 0, placeTime: 500}, 0);
+  meter.record({service: 'engines', priority: 0, slotTime: 500}, 0);
   expect(meter.demands(1_000, () => 0)).toHaveLength(1);
   expect(meter.demands(1_101, () => 0)).toEqual([]);
 });
@@ -88,46 +88,50 @@
 }
 
 const placesOf = (site: ReturnType<typeof createSite>, now: number) =>
-  site.of('engines', now).get(1);
+  site.demandFor('engines', now).get(1);
 
 test('an entry that is cut off counts its own demand for each entry known', () => {
   const site = createSite({follows: true});
-  site.noteZones([{zone: 'north', demands: [ONE], heardAt: 1_000}]);
+  site.recordZones([{zone: 'north', demands: [ONE], receivedAt: 1_000}]);
   expect(placesOf(site, 3_999)).toBe(10);
   expect(placesOf(site, 4_000)).toBe(400);
 });
 
 test('an entry that resumes after a freeze drops what it heard before', () => {
   const site = createSite();
-  site.noteFollower('other', [ONE], 0);
-  site.noteZones([{zone: 'south', demands: [ONE], heardAt: 0}]);
+  site.recordFollower('other', [ONE], 0);
+  site.recordZones([{zone: 'south', demands: [ONE], receivedAt: 0}]);
   expect(placesOf(site, 1_000)).toBe(30);
-  site.noteFollower('other', [ONE], 9_000);
+  site.recordFollower('other', [ONE], 9_000);
   expect(placesOf(site, 9_000)).toBe(20);
 });
 
 test('a relay that takes over keeps the former sum until its followers greet', () => {
   const site = createSite();
-  const former = {zone: 'north', demands: [{...ONE, places: 90}], heardAt: 0};
-  site.noteZones([former]);
-  site.noteFollower('other', [ONE], 500);
+  const former = {
+    zone: 'north',
+    demands: [{...ONE, places: 90}],
+    receivedAt: 0,
+  };
+  site.recordZones([former]);
+  site.recordFollower('other', [ONE], 500);
   expect(placesOf(site, 500)).toBe(90);
   expect(placesOf(site, 3_000)).toBe(20);
 });
 
 test('a sum that was overtaken by a newer one is dropped', () => {
   const site = createSite({follows: true});
-  const newer = {zone: 'north', demands: [ONE], heardAt: 500};
-  site.noteZones([newer, {zone: 'north', demands: [], heardAt: 400}]);
+  const newer = {zone: 'north', demands: [ONE], receivedAt: 500};
+  site.recordZones([newer, {zone: 'north', demands: [], receivedAt: 400}]);
   expect(placesOf(site, 600)).toBe(10);
 });
 
 test('a workspace with a burst gets only what the others leave', () => {
-  const parts = createWorkspaceParts(() => 0.5);
+  const parts = createWorkspaceAdmission(() => 0.5);
   const admitted = {burst: 0, calm: 0};
   for (let now = 0; now < 20_000; now += 10) {
     const workspace = now % 70 === 0 ? 'calm' : 'burst';
-    if (parts.admits({workspace, placeTime: 100}, 0.5, now)) {
+    if (parts.admits({workspace, slotTime: 100}, 0.5, now)) {
       admitted[workspace] += 1;
     }
   }
@@ -140,8 +144,8 @@
 test('few requests at each entry are admitted by their share in the mean', () => {
   let admitted = 0;
   for (let entry = 0; entry < 1_000; entry += 1) {
-    const parts = createWorkspaceParts(() => entry / 1_000);
-    const request = {workspace: 'one', placeTime: 100};
+    const parts = createWorkspaceAdmission(() => entry / 1_000);
+    const request = {workspace: 'one', slotTime: 100};
     if (parts.admits(request, 0.4, 0)) admitted += 1;
   }
   expect(admitted).toBeGreaterThan(350);
@@ -165,7 +169,7 @@
   service: 'engines',
   priority: 1,
   workspace: 'one',
-  placeTime: 1_000,
+  slotTime: 1_000,
 };
 
 test('without a known engine no request is refused by a level', () => {
@@ -190,17 +194,17 @@
 });
 
 test('hints that are far off change the learned place time within bounds', () => {
-  const times = createPlaceTimes();
-  expect(times.placeTime('engines', 100)).toBe(100);
-  times.note('engines', {expected: 0, held: 1e9}, 0);
-  expect(times.placeTime('engines', 100)).toBe(500);
-  times.note('other', {expected: 1e9, held: 10}, 0);
-  expect(times.placeTime('other', 100)).toBe(20);
+  const times = createSlotTimes();
+  expect(times.slotTime('engines', 100)).toBe(100);
+  times.record('engines', {expected: 0, held: 1e9}, 0);
+  expect(times.slotTime('engines', 100)).toBe(500);
+  times.record('other', {expected: 1e9, held: 10}, 0);
+  expect(times.slotTime('other', 100)).toBe(20);
 });
 
 test('a request without a hint counts as long as those before it', () => {
-  const times = createPlaceTimes();
-  times.note('engines', {expected: undefined, held: 800}, 0);
-  times.note('engines', {expected: 100, held: 1_200}, 0);
-  expect(times.placeTime('engines', undefined)).toBe(1_000);
+  const times = createSlotTimes();
+  times.record('engines', {expected: undefined, held: 800}, 0);
+  times.record('engines', {expected: 100, held: 1_200}, 0);
+  expect(times.slotTime('engines', undefined)).toBe(1_000);
 });
--- a/test/admission/model_calls.ts
+++ b/test/admission/model_calls.ts
@@ -57,7 +57,7 @@
   return (9.27 + 0.15 * running) * (1 + 0.1 * (running / PLACES));
 }
 
-export function expectedPlaceTime({promptTokens, tokens}: Kind): number {
+export function expectedSlotTime({promptTokens, tokens}: Kind): number {
   const read = promptTokens / PROMPT_TOKENS_PER_MILLISECOND;
   return read + tokens * stepTime(PLACES);
 }
@@ -86,7 +86,7 @@
   const {entries, engines, load, seed, length = 6_000} = options;
   const random = createRandom(seed);
   const meanTime = KINDS.reduce(
-    (sum, kind) => sum + kind.share * expectedPlaceTime(kind),
+    (sum, kind) => sum + kind.share * expectedSlotTime(kind),
     0,
   );
   const ratePerLoad = (engines * PLACES) / meanTime;
--- a/test/admission/model_decisions.ts
+++ b/test/admission/model_decisions.ts
@@ -9,7 +9,7 @@
   KINDS,
   PLACES,
   WARM_UP,
-  expectedPlaceTime,
+  expectedSlotTime,
   type Call,
   type ModelOptions,
 } from './model_calls';
@@ -46,8 +46,8 @@
 
 function toArriving(call: Call): ArrivingRequest {
   const {priority} = call.kind;
-  const placeTime = expectedPlaceTime(call.kind);
-  return {service: 'engines', priority, workspace: call.workspace, placeTime};
+  const slotTime = expectedSlotTime(call.kind);
+  return {service: 'engines', priority, workspace: call.workspace, slotTime};
 }
 
 /** With complete knowledge the demand is known without delay, by its rate. */
@@ -67,7 +67,7 @@
         : options.load;
     const known = exact.get(load);
     if (known !== undefined) return known;
-    const times = KINDS.map(kind => kind.share * expectedPlaceTime(kind));
+    const times = KINDS.map(kind => kind.share * expectedSlotTime(kind));
     const all = times.reduce((sum, time) => sum + time, 0);
     const demand = new Map(
       KINDS.map((kind, index) => [
@@ -92,7 +92,7 @@
     const admission = createLevelAdmission({
       instance: `entry-${index}`,
       demand: (service, now) =>
-        isComplete ? exactDemand() : demand.of(service, now),
+        isComplete ? exactDemand() : demand.demandFor(service, now),
       capacity: () => ({
         places,
         pacedPlaces: places,
@@ -115,13 +115,13 @@
         site.after(LIST_PERIOD, greet);
         if (index >= zoneCount) {
           const relay = entries[index % zoneCount]!;
-          relay.demand.noteFollower(`entry-${index}`, entry.own(now), now);
-          entry.demand.noteZones(relay.demand.zones(now));
+          relay.demand.recordFollower(`entry-${index}`, entry.own(now), now);
+          entry.demand.recordZones(relay.demand.zones(now));
           return;
         }
         const [ownZone] = entry.demand.zones(now);
         for (const other of entries.slice(0, zoneCount)) {
-          if (other !== entry) other.demand.noteZones([ownZone!]);
+          if (other !== entry) other.demand.recordZones([ownZone!]);
         }
       };
       site.after((LIST_PERIOD * ((index * 7) % count)) / count, greet);
@@ -132,7 +132,7 @@
     admits: (call, entry) => {
       const {meter, admission} = entries[entry]!;
       const request = toArriving(call);
-      meter.note(request, call.at);
+      meter.record(request, call.at);
       const {kind} = admission.decide(request, site.waiting(entry), call.at);
       return kind !== 'belowLevel';
     },
--- a/test/admission/model_results.ts
+++ b/test/admission/model_results.ts
@@ -1,7 +1,7 @@
 import {WARM_UP, type Call} from './model_calls';
 
 /** What callers got of one priority or workspace. */
-export interface Earned {
+export interface CallerResults {
   requests: number;
   served: number;
   refused: number;
@@ -13,22 +13,22 @@
 /** What callers got. */
 export interface ModelResult {
   readonly value: number;
-  readonly byPriority: ReadonlyMap<number, Earned>;
-  readonly byWorkspace: ReadonlyMap<string, Earned>;
-  readonly largest: Earned;
+  readonly byPriority: ReadonlyMap<number, CallerResults>;
+  readonly byWorkspace: ReadonlyMap<string, CallerResults>;
+  readonly largest: CallerResults;
 }
 
 export type CallEnd = 'onTime' | 'late' | 'cut' | 'refused';
 
 export function createResults() {
-  const byPriority = new Map<number, Earned>();
-  const byWorkspace = new Map<string, Earned>();
+  const byPriority = new Map<number, CallerResults>();
+  const byWorkspace = new Map<string, CallerResults>();
   const all = emptyEarned();
   const largest = emptyEarned();
   let possible = 0;
   let earned = 0;
 
-  function add(into: Earned, end: CallEnd, value: number): void {
+  function add(into: CallerResults, end: CallEnd, value: number): void {
     into.requests += 1;
     into.value += value;
     if (end === 'refused') into.refused += 1;
@@ -58,11 +58,11 @@
   };
 }
 
-function emptyEarned(): Earned {
+function emptyEarned(): CallerResults {
   return {requests: 0, served: 0, refused: 0, late: 0, value: 0};
 }
 
-function entryIn<Key>(map: Map<Key, Earned>, key: Key): Earned {
+function entryIn<Key>(map: Map<Key, CallerResults>, key: Key): CallerResults {
   const known = map.get(key) ?? emptyEarned();
   map.set(key, known);
   return known;
--- a/test/admission/return_time.test.ts
+++ b/test/admission/retry_delay.test.ts
@@ -1,8 +1,8 @@
-import {returnTime, type ReturnNeed} from '@hibiscusbeam/core';
+import {retryDelay, type RetryDelayRequest} from '@hibiscusbeam/core';
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
 
-function need(changes: Partial<ReturnNeed> = {}): ReturnNeed {
+function need(changes: Partial<RetryDelayRequest> = {}): RetryDelayRequest {
   const shares = [0, 1, 2].map(priority => ({priority, share: 0.5}));
   return {
     objective: 400,
@@ -14,7 +14,7 @@
       overloadedFor: 2_000,
       capacityIn: 0,
     },
-    least: 0,
+    minDelay: 0,
     ...changes,
   };
 }
@@ -29,7 +29,7 @@
   });
   fc.assert(
     fc.property(anyNeed, changes => {
-      const pause = returnTime(need(changes));
+      const pause = retryDelay(need(changes));
       expect(pause).toBeGreaterThanOrEqual(0);
       expect(pause).toBeLessThanOrEqual(Math.max(0, changes.timeLeft) / 3);
     }),
@@ -40,28 +40,28 @@
 test('refused callers do not return at once, also if their time is short', () => {
   for (const timeLeft of [30_000, 3_000]) {
     const [first, last] = [0, 1].map(spread =>
-      returnTime(need({timeLeft, spread})),
+      retryDelay(need({timeLeft, spread})),
     );
     expect(last! - first!).toBeGreaterThan(timeLeft > 3_000 ? 1_000 : 400);
   }
 });
 
 test('who is urgent returns earlier, but not before two and a half objectives', () => {
-  const pauses = [0, 1, 2].map(priority => returnTime(need({priority})));
+  const pauses = [0, 1, 2].map(priority => retryDelay(need({priority})));
   expect(pauses).toEqual([...pauses].sort((one, other) => one - other));
   expect(new Set(pauses).size).toBe(3);
-  expect(returnTime(need({spread: 0}))).toBe(1_000);
+  expect(retryDelay(need({spread: 0}))).toBe(1_000);
 });
 
 test('the pause covers the backlog, and the time until engines have loaded', () => {
   const {pressure} = need();
   const longer = {...pressure!, overloadedFor: 4_000};
   const lately = {...pressure!, overloadedFor: 0};
-  expect(returnTime(need({pressure: longer}))).toBeGreaterThan(
-    returnTime(need({pressure: lately})),
+  expect(retryDelay(need({pressure: longer}))).toBeGreaterThan(
+    retryDelay(need({pressure: lately})),
   );
   const loading = {...lately, capacityIn: 2_200};
   expect(
-    returnTime(need({pressure: loading, spread: 0})),
+    retryDelay(need({pressure: loading, spread: 0})),
   ).toBeGreaterThanOrEqual(2_200);
 });
--- a/test/admission/site_load.test.ts
+++ b/test/admission/site_load.test.ts
@@ -1,5 +1,5 @@
 import {afterAll, expect, test} from 'vitest';
-import type {Earned, ModelResult} from './model_results';
+import type {CallerResults, ModelResult} from './model_results';
 import {runModel} from './site_model';
 
 const SITES = [
@@ -36,7 +36,8 @@
   return results.map(of).reduce((sum, one) => sum + one, 0) / results.length;
 }
 
-const servedShare = ({served, requests}: Earned): number => served / requests;
+const servedShare = ({served, requests}: CallerResults): number =>
+  served / requests;
 
 function servedOf(results: readonly ModelResult[], priority: number): number {
   return mean(results, ({byPriority}) =>
--- a/test/admission/site_model.ts
+++ b/test/admission/site_model.ts
@@ -3,7 +3,7 @@
   PLACES,
   PROMPT_TOKENS_PER_MILLISECOND,
   createRandom,
-  expectedPlaceTime,
+  expectedSlotTime,
   generateCalls,
   stepTime,
   type Call,
@@ -98,7 +98,7 @@
         continue;
       }
       decisions.noteWait(entry, now - call.at);
-      orders[entry]!.notePlaced(toWaiting(call), now);
+      orders[entry]!.recordStart(toWaiting(call), now);
       start(call);
       return true;
     }
@@ -123,7 +123,7 @@
       onTimeUntil: onTimeUntil(call),
       isLaterAttempt: false,
       workspace: call.workspace,
-      placeTime: expectedPlaceTime(call.kind),
+      slotTime: expectedSlotTime(call.kind),
     };
   }
 
--- a/test/configuration/spreading.test.ts
+++ b/test/configuration/propagation.test.ts
@@ -1,7 +1,7 @@
 import {
-  createGenerationKeeper,
-  DEFAULT_KEEPER_BOUNDS,
-  followGeneration,
+  createGenerationManager,
+  DEFAULT_GENERATION_MANAGER_BOUNDS,
+  getGenerationStatus,
   initialConfiguration,
 } from '@hibiscusbeam/core';
 import * as fc from 'fast-check';
@@ -36,7 +36,7 @@
     {weight: 1, arbitrary: named('time', fc.nat(900), (s, p) => s.advance(p))},
     {weight: 1, arbitrary: named('outage', fc.boolean(), setPlatform)},
     {weight: 2, arbitrary: named('beat', fc.tuple(slot, slot), heartbeat)},
-    {weight: 2, arbitrary: named('groups', fc.nat(63), setGroups)},
+    {weight: 2, arbitrary: named('groups', fc.nat(63), setPartitions)},
     {weight: 1, arbitrary: named('heal', slot, site => site.healAll())},
     {weight: 2, arbitrary: named('round', slot, round)},
     {
@@ -78,7 +78,7 @@
 }
 
 /** Cuts the processes whose bit is set from those whose bit is not. */
-function setGroups(site: SpreadingSite, mask: number): void {
+function setPartitions(site: SpreadingSite, mask: number): void {
   const isIn = (number: number) => (mask >> number) % 2 === 1;
   for (let left = 0; left < PROCESSES; left += 1) {
     for (let right = 0; right < left; right += 1) {
@@ -116,7 +116,7 @@
 }
 
 /** Everything works again, but the platform stays as it is. */
-function calmDown(site: SpreadingSite): void {
+function settle(site: SpreadingSite): void {
   site.healAll();
   const numbers = site.slots.map((_, number) => number);
   for (let round = 0; round < 10; round += 1) {
@@ -167,7 +167,7 @@
   // the change was lost, or the peer that it asked was frozen.
   test('every reachable process reaches the head', () => {
     check(200, site => {
-      calmDown(site);
+      settle(site);
       const ready = site.slots.filter(({life}) => life.kind === 'ready');
       const generations = ready.map(found => generationAt(found) ?? 0);
       const highest = Math.max(0, ...generations);
@@ -185,7 +185,7 @@
       fc.property(fc.integer({min: 1, max: 600}), count => {
         const start = initialConfiguration(sha256Text);
         const keepers = Array.from({length: count}, (_, number) =>
-          createGenerationKeeper({
+          createGenerationManager({
             instance: `process-${number}`,
             digestText: sha256Text,
             start,
@@ -203,7 +203,7 @@
             }).length;
           }
         }
-        const {headReadsPerSecond} = DEFAULT_KEEPER_BOUNDS;
+        const {headReadsPerSecond} = DEFAULT_GENERATION_MANAGER_BOUNDS;
         // One read each more than the rate gives: the first period is cut.
         expect(reads).toBeLessThanOrEqual(headReadsPerSecond * seconds + count);
       }),
@@ -217,8 +217,8 @@
       {instance: 'b', generation: 2},
       {instance: 'c', generation: undefined},
     ];
-    const followed = followGeneration(3, processes);
+    const followed = getGenerationStatus(3, processes);
     expect(followed.lagging.map(({instance}) => instance)).toEqual(['b', 'c']);
-    expect(followGeneration(2, processes.slice(0, 2)).isInForce).toBe(true);
+    expect(getGenerationStatus(2, processes.slice(0, 2)).isInForce).toBe(true);
   });
 });
--- a/test/distribution/faults.test.ts
+++ b/test/distribution/faults.test.ts
@@ -11,7 +11,7 @@
 const version = generateVersion('1', chunkNames('chunk', 32));
 
 /** The patience of a node that has learned nothing yet. */
-const FIRST_PATIENCE = 3_000;
+const INITIAL_TAKEOVER_TIMEOUT_MS = 3_000;
 
 describe('swarm', () => {
   test('asks the origin for each chunk once when nothing fails', () => {
@@ -19,7 +19,7 @@
       fc.property(fc.nat(), fc.integer({min: 1, max: 12}), (seed, nodes) => {
         const mesh = createMesh({nodes, seed, versions: [version]});
         expect(mesh.run()).toBe(true);
-        expect(mesh.originAsks().length).toBe(32);
+        expect(mesh.originRequests().length).toBe(32);
       }),
       propertySettings(15),
     );
@@ -36,9 +36,9 @@
           ? ({kind: 'freeze', node: 0, time: Infinity} as const)
           : ({kind: 'kill', node: 0} as const);
         expect(mesh.run([{at: 0, fault}])).toBe(true);
-        const last = Math.max(...mesh.originAsks().map(ask => ask.at));
-        expect(last).toBeLessThanOrEqual(FIRST_PATIENCE + 600);
-        expect(mesh.originAsks().length).toBeLessThanOrEqual(34);
+        const last = Math.max(...mesh.originRequests().map(ask => ask.at));
+        expect(last).toBeLessThanOrEqual(INITIAL_TAKEOVER_TIMEOUT_MS + 600);
+        expect(mesh.originRequests().length).toBeLessThanOrEqual(34);
       }),
       propertySettings(15),
     );
@@ -82,7 +82,7 @@
         const outage = {kind: 'originOutage', time: 20_000} as const;
         expect(mesh.run([{at, fault: outage}])).toBe(true);
         const served = mesh
-          .originAsks()
+          .originRequests()
           .filter(ask => ask.at < at || ask.at >= at + outage.time);
         expect(served.length).toBeLessThanOrEqual(38);
       }),
@@ -101,7 +101,7 @@
           {at: 5_001, fault: restart},
         ];
         expect(mesh.run(faults)).toBe(true);
-        expect(mesh.originAsks().length).toBe(32);
+        expect(mesh.originRequests().length).toBe(32);
       }),
       propertySettings(15),
     );
@@ -117,7 +117,7 @@
         const mesh = createMesh({nodes: 6, seed, versions: [version, next]});
         const fault = {kind: 'supersede'} as const;
         expect(mesh.run([{at: 10_000, fault}])).toBe(true);
-        expect(mesh.originAsks().length).toBe(40);
+        expect(mesh.originRequests().length).toBe(40);
       }),
       propertySettings(15),
     );
--- a/test/distribution/grpc_chunks.test.ts
+++ b/test/distribution/grpc_chunks.test.ts
@@ -23,7 +23,7 @@
 const PIECE_BYTES = 64 * 1024;
 
 /** Flow-control windows and socket buffers between two processes. */
-const MOST_BUFFERED_BYTES = 8 * 1024 * 1024;
+const MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
 const closers: (() => void)[] = [];
 
@@ -60,7 +60,7 @@
   test('a slow reader holds the sender back', async () => {
     let sentBytes = 0;
     async function* endless() {
-      while (sentBytes < 64 * MOST_BUFFERED_BYTES) {
+      while (sentBytes < 64 * MAX_BUFFERED_BYTES) {
         sentBytes += PIECE_BYTES;
         yield Buffer.alloc(PIECE_BYTES);
       }
@@ -74,7 +74,7 @@
       before = sentBytes;
       await sleep(300);
     }
-    expect(sentBytes).toBeLessThan(MOST_BUFFERED_BYTES);
+    expect(sentBytes).toBeLessThan(MAX_BUFFERED_BYTES);
     controller.abort();
     await pieces.return(undefined);
   });
--- a/test/distribution/load_places.test.ts
+++ b/test/distribution/load_offsets.test.ts
@@ -1,7 +1,7 @@
 import {
   committedAge,
   loadAge,
-  loadPlace,
+  loadOffset,
   type SwarmMember,
 } from '@hibiscusbeam/core';
 import fc from 'fast-check';
@@ -14,9 +14,9 @@
   return zones.map((zone, index) => ({instance: `engine-${index}`, zone}));
 }
 
-function placesOf(zones: readonly string[]) {
+function offsetsOf(zones: readonly string[]) {
   const members = membersOf(zones);
-  return members.map(member => loadPlace(member, members));
+  return members.map(member => loadOffset(member, members));
 }
 
 // All engines of a zone load at once, and its callers are refused until they
@@ -28,7 +28,7 @@
   });
   fc.assert(
     fc.property(sites, zones => {
-      const places = placesOf(zones);
+      const places = offsetsOf(zones);
       for (const zone of new Set(zones)) {
         const own = places.filter((_place, index) => zones[index] === zone);
         own.sort((one, other) => one - other);
@@ -43,7 +43,7 @@
 });
 
 test('engines of different zones don’t load at the same time', () => {
-  expect(placesOf(['north', 'south'])).toEqual([0, 0.5]);
+  expect(offsetsOf(['north', 'south'])).toEqual([0, 0.5]);
 });
 
 test('the first one loads when its chunks are there', () => {
--- a/test/distribution/mesh.ts
+++ b/test/distribution/mesh.ts
@@ -7,19 +7,24 @@
   type SwarmEvent,
 } from '@hibiscusbeam/core';
 import {createMeshClock} from './mesh_clock';
-import type {Ask, Fault, MeshNode, MeshOptions} from './mesh_types';
+import type {MeshRequest, Fault, MeshNode, MeshOptions} from './mesh_types';
 import type {GeneratedVersion} from './versions';
 
 /** Longest simulated time before a mesh counts as stuck, in milliseconds. */
-const LONGEST_RUN = 900_000;
+const MAX_RUN_MS = 900_000;
 
 /** Pure swarm nodes joined by links that lose, delay, double and cross. */
 export function createMesh(options: MeshOptions) {
-  const {now, draw, later, runUntil} = createMeshClock(options.seed);
-  const asks: Ask[] = [];
+  const {
+    now,
+    randomBelow: draw,
+    schedule: later,
+    runUntil,
+  } = createMeshClock(options.seed);
+  const chunkRequests: MeshRequest[] = [];
   const cutOffs: {by: number; neighbour: InstanceName}[] = [];
-  const wrongReady: string[] = [];
-  const served: {by: number; from: InstanceName}[] = [];
+  const readyViolations: string[] = [];
+  const servedUploads: {by: number; from: InstanceName}[] = [];
   const uploads = new Map<
     string,
     {by: number; life: number; transfer: number; digest: Digest}
@@ -36,8 +41,8 @@
       instance,
       zone,
       node: createNode(instance, zone, place),
-      agentLife: 0,
-      engineLife: 0,
+      agentIncarnation: 0,
+      storeIncarnation: 0,
       store: new Map(),
       alive: true,
       frozenUntil: 0,
@@ -58,23 +63,23 @@
   }
 
   /** Delivers to one life of a node; a frozen node gets it when it wakes. */
-  function tell(place: number, life: number, event: SwarmEvent): void {
+  function dispatch(place: number, life: number, event: SwarmEvent): void {
     const target = nodes[place]!;
-    if (!target.alive || target.agentLife !== life) return;
+    if (!target.alive || target.agentIncarnation !== life) return;
     if (target.frozenUntil > now()) {
       if (target.frozenUntil === Infinity) return;
-      later(target.frozenUntil - now(), () => tell(place, life, event));
+      later(target.frozenUntil - now(), () => dispatch(place, life, event));
       return;
     }
     for (const effect of target.node.handle(event, now())) {
-      carryOut(place, effect);
+      runEffect(place, effect);
     }
     const at = target.node.nextWakeUp();
     if (at === undefined || at === target.wakeUp) return;
     target.wakeUp = at;
     later(Math.max(1, at - now()), () => {
       target.wakeUp = Infinity;
-      tell(place, life, {kind: 'tick'});
+      dispatch(place, life, {kind: 'tick'});
     });
   }
 
@@ -85,16 +90,16 @@
     digest: Digest,
     good: boolean,
   ): void {
-    const isBad = !good || take('corrupt');
+    const isBad = !good || consumeFault('corrupt');
     const other = [...options.versions[0]!.content.keys()][0]!;
-    const arriving = take('cross') ? other : digest;
+    const arriving = consumeFault('cross') ? other : digest;
     const bytes = isBad ? 'bad' : arriving;
-    const times = take('double') ? 2 : 1;
-    const delay = take('late') ? 20_000 : 5 + draw(20);
+    const times = consumeFault('double') ? 2 : 1;
+    const delay = consumeFault('late') ? 20_000 : 5 + draw(20);
     for (let time = 0; time < times; time += 1) {
       later(delay + time * 50, () => {
         nodes[place]!.pieces.set(transfer, bytes);
-        tell(place, life, {
+        dispatch(place, life, {
           kind: 'chunkArrived',
           transfer,
           digest: arriving,
@@ -104,7 +109,7 @@
     }
   }
 
-  function take(kind: keyof typeof pending): boolean {
+  function consumeFault(kind: keyof typeof pending): boolean {
     if (pending[kind] === 0) return false;
     pending[kind] -= 1;
     return true;
@@ -117,16 +122,16 @@
     failure: RequestFailure,
   ): void {
     const event = {kind: 'requestFailed', transfer, failure} as const;
-    later(2 + draw(5), () => tell(place, life, event));
+    later(2 + draw(5), () => dispatch(place, life, event));
   }
 
-  function carryOut(place: number, effect: SwarmEffect): void {
+  function runEffect(place: number, effect: SwarmEffect): void {
     const own = nodes[place]!;
-    const life = own.agentLife;
+    const life = own.agentIncarnation;
     switch (effect.kind) {
       case 'askOrigin': {
         const {transfer, digest} = effect;
-        asks.push({at: now(), by: place, from: 'origin', digest});
+        chunkRequests.push({at: now(), by: place, from: 'origin', digest});
         if (originDownUntil > now()) {
           fail(place, life, transfer, {kind: 'unavailable'});
         } else deliver(place, life, transfer, digest, true);
@@ -134,7 +139,7 @@
       }
       case 'askNeighbour': {
         const {transfer, digest, neighbour} = effect;
-        asks.push({at: now(), by: place, from: neighbour, digest});
+        chunkRequests.push({at: now(), by: place, from: neighbour, digest});
         const sender = names.indexOf(neighbour);
         later(1 + draw(5), () => {
           const target = nodes[sender]!;
@@ -150,7 +155,7 @@
             transfer,
             digest,
           });
-          tell(sender, target.agentLife, {
+          dispatch(sender, target.agentIncarnation, {
             kind: 'uploadAsked',
             upload,
             neighbour: own.instance,
@@ -162,12 +167,12 @@
       case 'startUpload': {
         const upload = uploads.get(`${place}:${effect.upload}`)!;
         const good = options.badSenders?.includes(place) !== true;
-        served.push({by: upload.by, from: own.instance});
+        servedUploads.push({by: upload.by, from: own.instance});
         deliver(upload.by, upload.life, upload.transfer, upload.digest, good);
         const reads = nodes[upload.by]!.frozenUntil <= now();
         if (!reads) return;
         const ended = {kind: 'uploadEnded', upload: effect.upload} as const;
-        later(25, () => tell(place, life, ended));
+        later(25, () => dispatch(place, life, ended));
         return;
       }
       case 'refuseUpload': {
@@ -185,7 +190,7 @@
             digest,
             life: storeLife,
           } as const;
-          later(1 + draw(20), () => tell(place, life, stored));
+          later(1 + draw(20), () => dispatch(place, life, stored));
         });
         return;
       }
@@ -193,14 +198,14 @@
         const {versionDigest, gained} = effect;
         for (const neighbour of effect.neighbours) {
           const target = names.indexOf(neighbour);
-          const targetLife = nodes[target]!.agentLife;
+          const targetLife = nodes[target]!.agentIncarnation;
           const have = {
             kind: 'neighbourHave',
             neighbour: own.instance,
             versionDigest,
             gained,
           } as const;
-          later(3, () => tell(target, targetLife, have));
+          later(3, () => dispatch(target, targetLife, have));
         }
         return;
       }
@@ -222,14 +227,14 @@
     )!;
     for (const {digest} of version.manifest.chunks) {
       const stored = own.store.get(digest);
-      if (stored !== digest) wrongReady.push(`${own.instance}: ${stored}`);
+      if (stored !== digest) readyViolations.push(`${own.instance}: ${stored}`);
     }
   }
 
-  function begin(place: number): void {
+  function startNode(place: number): void {
     const own = nodes[place]!;
-    const life = own.agentLife;
-    tell(place, life, {kind: 'membersChanged', members: nodes});
+    const life = own.agentIncarnation;
+    dispatch(place, life, {kind: 'membersChanged', members: nodes});
     reportHeld(place);
     want(place, options.versions[current]!);
   }
@@ -238,14 +243,14 @@
     const own = nodes[place]!;
     const report = {
       kind: 'heldReported',
-      life: String(own.engineLife),
+      life: String(own.storeIncarnation),
       digests: [...own.store.keys()],
     } as const;
-    tell(place, own.agentLife, report);
+    dispatch(place, own.agentIncarnation, report);
   }
 
   function want(place: number, version: GeneratedVersion): void {
-    tell(place, nodes[place]!.agentLife, {
+    dispatch(place, nodes[place]!.agentIncarnation, {
       kind: 'versionWanted',
       versionDigest: version.versionDigest,
       manifest: version.manifest,
@@ -256,12 +261,12 @@
 
   function endSession(place: number, other: number): void {
     const own = nodes[place]!;
-    const life = own.agentLife;
+    const life = own.agentIncarnation;
     const neighbour = names[other]!;
-    later(2, () => tell(place, life, {kind: 'neighbourGone', neighbour}));
+    later(2, () => dispatch(place, life, {kind: 'neighbourGone', neighbour}));
     later(50, () => {
       if (!nodes[other]!.alive) return;
-      tell(place, life, {kind: 'neighbourConnected', neighbour});
+      dispatch(place, life, {kind: 'neighbourConnected', neighbour});
     });
   }
 
@@ -290,17 +295,17 @@
       case 'restartAgent': {
         const own = nodes[fault.node]!;
         if (!own.alive) return;
-        own.agentLife += 1;
+        own.agentIncarnation += 1;
         own.frozenUntil = 0;
         own.node = createNode(own.instance, own.zone, fault.node);
         own.ready.clear();
         loseSessions(fault.node);
-        later(10 + draw(100), () => begin(fault.node));
+        later(10 + draw(100), () => startNode(fault.node));
         return;
       }
       case 'restartEngine': {
         const own = nodes[fault.node]!;
-        own.engineLife += 1;
+        own.storeIncarnation += 1;
         own.store = new Map();
         own.ready.clear();
         return reportHeld(fault.node);
@@ -318,8 +323,8 @@
         const {versionDigest} = old;
         nodes.forEach((_node, place) => {
           later(draw(200), () => {
-            const life = nodes[place]!.agentLife;
-            tell(place, life, {kind: 'versionSuperseded', versionDigest});
+            const life = nodes[place]!.agentIncarnation;
+            dispatch(place, life, {kind: 'versionSuperseded', versionDigest});
             want(place, options.versions[current]!);
           });
         });
@@ -352,7 +357,7 @@
   function run(
     faults: readonly {readonly at: number; readonly fault: Fault}[] = [],
   ): boolean {
-    names.forEach((_name, place) => later(draw(10), () => begin(place)));
+    names.forEach((_name, place) => later(draw(10), () => startNode(place)));
     let left = faults.length;
     for (const {at, fault} of faults) {
       later(at, () => {
@@ -360,18 +365,18 @@
         inject(fault);
       });
     }
-    return runUntil(() => left === 0 && isDone(), LONGEST_RUN);
+    return runUntil(() => left === 0 && isDone(), MAX_RUN_MS);
   }
 
   return {
     nodes,
     names,
-    asks,
+    asks: chunkRequests,
     cutOffs,
-    served,
-    wrongReady,
+    served: servedUploads,
+    wrongReady: readyViolations,
     run,
     now,
-    originAsks: () => asks.filter(ask => ask.from === 'origin'),
+    originRequests: () => chunkRequests.filter(ask => ask.from === 'origin'),
   };
 }
--- a/test/distribution/mesh_clock.ts
+++ b/test/distribution/mesh_clock.ts
@@ -4,8 +4,8 @@
 export interface MeshClock {
   readonly now: () => number;
   /** A number from 0 to `range`, exclusive. */
-  readonly draw: (range: number) => number;
-  readonly later: (delay: number, run: () => void) => void;
+  readonly randomBelow: (range: number) => number;
+  readonly schedule: (delay: number, run: () => void) => void;
   /** Runs events until `isDone`; false if none is left, or at `longest`. */
   readonly runUntil: (isDone: () => boolean, longest: number) => boolean;
 }
@@ -15,14 +15,14 @@
   const queue: {at: number; order: number; run: () => void}[] = [];
   let now = 0;
   let order = 0;
-  let draws = 0;
+  let randomCount = 0;
   return {
     now: () => now,
-    draw(range) {
-      draws += 1;
-      return hash32(`${seed}:${draws}`) % range;
+    randomBelow(range) {
+      randomCount += 1;
+      return hash32(`${seed}:${randomCount}`) % range;
     },
-    later(delay, run) {
+    schedule(delay, run) {
       order += 1;
       queue.push({at: now + delay, order, run});
     },
--- a/test/distribution/mesh_types.ts
+++ b/test/distribution/mesh_types.ts
@@ -37,8 +37,8 @@
   readonly zone: string;
   node: SwarmNode;
   /** Counts restarts of the agent: messages for an older life are lost. */
-  agentLife: number;
-  engineLife: number;
+  agentIncarnation: number;
+  storeIncarnation: number;
   /** Bytes as stored, by the digest that they were stored under. */
   store: Map<Digest, string>;
   alive: boolean;
@@ -49,7 +49,7 @@
 }
 
 /** One request for a chunk. */
-export interface Ask {
+export interface MeshRequest {
   readonly at: number;
   readonly by: number;
   readonly from: InstanceName;
--- a/test/distribution/node.test.ts
+++ b/test/distribution/node.test.ts
@@ -8,7 +8,7 @@
 );
 
 /** The stall time of a node that has learned nothing yet. */
-const FIRST_STALL = 3_000;
+const INITIAL_STALL_TIMEOUT_MS = 3_000;
 
 describe('swarm node', () => {
   // A rollout stays at 99%. Order of events: a sender freezes in the middle of
@@ -16,14 +16,18 @@
   test('a chunk on a frozen link is asked of another after a stall time', () => {
     const digest = version.manifest.chunks[0]!.digest;
     const node = startNode(['a', 'b']);
-    tell(node, {kind: 'neighbourHave', neighbour: 'a', ...have([0])}, 10);
-    const effects = tell(
+    dispatch(node, {kind: 'neighbourHave', neighbour: 'a', ...have([0])}, 10);
+    const effects = dispatch(
       node,
       {kind: 'neighbourHave', neighbour: 'b', ...have([0])},
       20,
     );
     expect(effects).toEqual([]);
-    const retried = tell(node, {kind: 'tick'}, 10 + FIRST_STALL);
+    const retried = dispatch(
+      node,
+      {kind: 'tick'},
+      10 + INITIAL_STALL_TIMEOUT_MS,
+    );
     expect(retried).toContainEqual(
       expect.objectContaining({kind: 'askNeighbour', neighbour: 'b', digest}),
     );
@@ -33,9 +37,9 @@
   // bytes are whole, so only the digest asked for tells that it is crossed.
   test('a crossed chunk is not stored for the one asked for', () => {
     const node = startNode(['a']);
-    tell(node, {kind: 'neighbourHave', neighbour: 'a', ...have([0])}, 10);
+    dispatch(node, {kind: 'neighbourHave', neighbour: 'a', ...have([0])}, 10);
     const digest = version.manifest.chunks[1]!.digest;
-    const effects = tell(
+    const effects = dispatch(
       node,
       {kind: 'chunkArrived', transfer: 1, digest, verified: true},
       20,
@@ -46,17 +50,17 @@
   test('a download of a shared chunk goes on when the version changes', () => {
     const node = startNode(['a']);
     const next = generateVersion('2', ['chunk-0', 'new']);
-    tell(node, {kind: 'neighbourHave', neighbour: 'a', ...have([0])}, 10);
+    dispatch(node, {kind: 'neighbourHave', neighbour: 'a', ...have([0])}, 10);
     const {versionDigest, manifest} = next;
     const prefer = 'origin-bytes';
     const holders = ['a'];
-    tell(
+    dispatch(
       node,
       {kind: 'versionWanted', versionDigest, manifest, prefer, holders},
       20,
     );
     const old = version.versionDigest;
-    tell(node, {kind: 'versionSuperseded', versionDigest: old}, 30);
+    dispatch(node, {kind: 'versionSuperseded', versionDigest: old}, 30);
     expect(node.dump().downloads.length).toBe(1);
   });
 
@@ -66,9 +70,9 @@
     const node = startNode(['a', 'b'], {holders: ['self', 'a', 'b']});
     expect(node.dump().downloads).toEqual([]);
     const all = have(version.manifest.chunks.map((_chunk, place) => place));
-    tell(node, {kind: 'neighbourHave', neighbour: 'a', ...all}, 100);
-    tell(node, {kind: 'neighbourHave', neighbour: 'b', ...all}, 110);
-    tell(node, {kind: 'tick'}, 1_000);
+    dispatch(node, {kind: 'neighbourHave', neighbour: 'a', ...all}, 100);
+    dispatch(node, {kind: 'neighbourHave', neighbour: 'b', ...all}, 110);
+    dispatch(node, {kind: 'tick'}, 1_000);
     const senders = node.dump().downloads.map(download => download.sender);
     expect(senders).toEqual(['a', 'b']);
   });
@@ -77,18 +81,22 @@
   // events: its neighbours cut it off. Cause: they stop telling it, too.
   test('still tells what it holds to a sender that it cut off', () => {
     const node = startNode(['a', 'b']);
-    tell(node, {kind: 'neighbourHave', neighbour: 'a', ...have([0, 1])}, 10);
+    dispatch(
+      node,
+      {kind: 'neighbourHave', neighbour: 'a', ...have([0, 1])},
+      10,
+    );
     const digests = version.manifest.chunks.map(chunk => chunk.digest);
     for (const transfer of [1, 2]) {
       const digest = node.dump().downloads[0]!.digest;
       const bad = {transfer, digest, verified: false} as const;
-      tell(node, {kind: 'chunkArrived', ...bad}, 20);
+      dispatch(node, {kind: 'chunkArrived', ...bad}, 20);
     }
     expect(node.dump().cutOff).toEqual(['a']);
     const stored = {kind: 'chunkStored', digest: digests[5]!, life: '1'};
     const effects = [
-      ...tell(node, stored as SwarmEvent, 30),
-      ...tell(node, {kind: 'tick'}, 1_000),
+      ...dispatch(node, stored as SwarmEvent, 30),
+      ...dispatch(node, {kind: 'tick'}, 1_000),
     ];
     expect(effects).toContainEqual(
       expect.objectContaining({kind: 'announce', neighbours: ['a', 'b']}),
@@ -97,13 +105,13 @@
 
   test('holds no more chunks in memory than its buffer takes', () => {
     const node = startNode([], {transferBuffer: 128, holders: ['self']});
-    const asked = tell(node, {kind: 'tick'}, 1_000);
+    const asked = dispatch(node, {kind: 'tick'}, 1_000);
     const started = node.dump().downloads.length;
     expect(asked.length).toBeLessThanOrEqual(2);
     expect(started).toBe(2);
     for (let transfer = 1; transfer <= 2; transfer += 1) {
       const digest = node.dump().downloads[0]!.digest;
-      tell(
+      dispatch(
         node,
         {kind: 'chunkArrived', transfer, digest, verified: true},
         1_100,
@@ -119,7 +127,7 @@
     const node = startNode([], {transferBuffer: 64, holders: ['self']});
     const asks: number[] = [];
     for (let at = 0; at <= 60_000; at += 100) {
-      const effects = tell(node, {kind: 'tick'}, at);
+      const effects = dispatch(node, {kind: 'tick'}, at);
       if (effects.some(effect => effect.kind === 'askOrigin')) asks.push(at);
     }
     expect(asks).toEqual([6_000, 18_000, 42_000]);
@@ -136,12 +144,12 @@
     });
     const asked: string[] = [];
     for (let at = 0; at <= 3_000; at += 100) {
-      for (const effect of tell(node, {kind: 'tick'}, at)) {
+      for (const effect of dispatch(node, {kind: 'tick'}, at)) {
         if (effect.kind !== 'askOrigin') continue;
         const {transfer, digest} = effect;
         asked.push(digest);
         const whole = {transfer, digest, verified: true} as const;
-        tell(node, {kind: 'chunkArrived', ...whole}, at);
+        dispatch(node, {kind: 'chunkArrived', ...whole}, at);
       }
     }
     expect(new Set(asked).size).toBe(3);
@@ -155,10 +163,12 @@
     const node = startNode(['a', 'b', 'c'], {held: digests, uploadSlots: 1});
     const digest = digests[0]!;
     const ask = (upload: number, neighbour: string) =>
-      tell(node, {kind: 'uploadAsked', upload, neighbour, digest}, 10);
+      dispatch(node, {kind: 'uploadAsked', upload, neighbour, digest}, 10);
     expect(ask(1, 'a')).toEqual([{kind: 'startUpload', upload: 1}]);
     expect(ask(2, 'b')).toEqual([]);
-    expect(tell(node, {kind: 'tick'}, 10 + FIRST_STALL)).toEqual([
+    expect(
+      dispatch(node, {kind: 'tick'}, 10 + INITIAL_STALL_TIMEOUT_MS),
+    ).toEqual([
       {kind: 'stopUpload', upload: 1},
       {kind: 'startUpload', upload: 2},
     ]);
@@ -167,14 +177,14 @@
   test('tells a neighbour again that has lost its chunks', () => {
     const digests = version.manifest.chunks.map(chunk => chunk.digest);
     const node = startNode(['a'], {held: digests});
-    tell(node, {kind: 'neighbourHave', neighbour: 'a', ...have([3])}, 5);
+    dispatch(node, {kind: 'neighbourHave', neighbour: 'a', ...have([3])}, 5);
     const ask = {
       kind: 'uploadAsked',
       upload: 1,
       neighbour: 'a',
       digest: digests[3]!,
     } as const;
-    expect(tell(node, ask, 10)).toContainEqual(
+    expect(dispatch(node, ask, 10)).toContainEqual(
       expect.objectContaining({kind: 'announce', neighbours: ['a']}),
     );
   });
@@ -182,14 +192,14 @@
   test('leaves its slots to live requests while they queue', () => {
     const node = startNode(['a', 'b', 'c', 'd']);
     const load = {running: 4, queued: 4, slots: 4};
-    tell(node, {kind: 'liveRequestLoad', ...load}, 1);
+    dispatch(node, {kind: 'liveRequestLoad', ...load}, 1);
     ['a', 'b', 'c', 'd'].forEach((neighbour, place) => {
       const gained = have([place]);
-      tell(node, {kind: 'neighbourHave', neighbour, ...gained}, 10);
+      dispatch(node, {kind: 'neighbourHave', neighbour, ...gained}, 10);
     });
     expect(node.dump().downloads.length).toBe(1);
     expect(node.transferShare()).toBeCloseTo(0.1);
-    tell(node, {kind: 'liveRequestLoad', ...load, queued: 0}, 20);
+    dispatch(node, {kind: 'liveRequestLoad', ...load, queued: 0}, 20);
     expect(node.dump().downloads.length).toBe(4);
     expect(node.transferShare()).toBeCloseTo(0.9);
   });
@@ -199,7 +209,7 @@
   return {versionDigest: version.versionDigest, gained};
 }
 
-function tell(
+function dispatch(
   node: ReturnType<typeof createSwarmNode>,
   event: SwarmEvent,
   at: number,
@@ -227,13 +237,13 @@
     originBytesPerSecond: settings.originBytesPerSecond,
   });
   const members = others.map(instance => ({instance, zone: 'z'}));
-  tell(node, {kind: 'membersChanged', members}, 0);
+  dispatch(node, {kind: 'membersChanged', members}, 0);
   const digests = settings.held ?? [];
-  tell(node, {kind: 'heldReported', life: '1', digests}, 0);
+  dispatch(node, {kind: 'heldReported', life: '1', digests}, 0);
   const {versionDigest, manifest} = version;
   const holders = settings.holders ?? others;
   const prefer = 'origin-bytes';
-  tell(
+  dispatch(
     node,
     {kind: 'versionWanted', versionDigest, manifest, prefer, holders},
     0,
--- a/test/distribution/version_plan.test.ts
+++ b/test/distribution/version_plan.test.ts
@@ -1,7 +1,7 @@
 import {
   createVersionPlan,
-  VERSION_MARGIN,
-  type LoadPlace,
+  VERSION_BOUND_MARGIN,
+  type LoadOffset,
   type PlannedVersion,
   type VersionPlanOptions,
 } from '@hibiscusbeam/core';
@@ -12,24 +12,24 @@
 const BOUND = 8_000;
 
 /** Times of a site: to move a version, to load one, and with nothing running. */
-const MOVED_IN = 4_400;
-const LOADED_IN = 2_300;
-const IDLE_LOADED_IN = 400;
+const TRANSFER_TIME = 4_400;
+const LOAD_TIME = 2_300;
+const IDLE_LOAD_TIME = 400;
 
 const STEP = 100;
 
 /** The place of the last of many engines. */
-const LAST = 0.95;
+const LAST_OFFSET = 0.95;
 
 function planOf(
-  place: LoadPlace,
+  place: LoadOffset,
   changes: Partial<VersionPlanOptions<PlannedVersion>> = {},
 ) {
   return createVersionPlan<PlannedVersion>({
     bound: BOUND,
     place: () => place,
-    isSecured: () => true,
-    canWait: () => true,
+    isIndependentOfOrigin: () => true,
+    fitsOutsideStaging: () => true,
     ...changes,
   });
 }
@@ -41,17 +41,17 @@
 const serving = (served: number) => ({served, isLoading: false});
 
 test('an engine that serves nothing loads at once', () => {
-  const plan = planOf(LAST);
+  const plan = planOf(LAST_OFFSET);
   plan.observe({served: undefined, isLoading: false}, 0);
-  expect(plan.take(named(1, 0), 0)).toMatchObject({kind: 'stage'});
+  expect(plan.addVersion(named(1, 0), 0)).toMatchObject({kind: 'stage'});
   expect(plan.mayLoad(0)).toBe(true);
 });
 
 test('a version that is named soon after another takes its place', () => {
   const plan = planOf(0);
   plan.observe(serving(1), 0);
-  plan.take(named(2, 0), 0);
-  plan.take(named(3, 2_000), 2_000);
+  plan.addVersion(named(2, 0), 0);
+  plan.addVersion(named(3, 2_000), 2_000);
   const step = plan.observe(serving(1), 2_100);
   expect(step).toMatchObject({kind: 'stage', givenUp: [{version: 2}]});
 });
@@ -62,13 +62,15 @@
 test('a version is given up only for one that can be had', () => {
   let isSecured = false;
   const plan = planOf(0, {
-    isSecured: ({version}) => version === 2 || isSecured,
+    isIndependentOfOrigin: ({version}) => version === 2 || isSecured,
   });
   plan.observe(serving(1), 0);
-  plan.take(named(2, 0), 0);
-  expect(plan.take(named(3, 2_000), 2_000)).toMatchObject({kind: 'prepare'});
+  plan.addVersion(named(2, 0), 0);
+  expect(plan.addVersion(named(3, 2_000), 2_000)).toMatchObject({
+    kind: 'prepare',
+  });
   expect(plan.observe(serving(1), 4_300)).toBeUndefined();
-  plan.noteMoved(4_400);
+  plan.recordTransferred(4_400);
   expect(plan.mayLoad(4_500)).toBe(true);
   isSecured = true;
   const step = plan.observe(serving(1), 4_500);
@@ -78,12 +80,12 @@
 test('a version is skipped only for one that can be had', () => {
   const mayLoad = [true, false].map(isSecured => {
     const plan = planOf(0.5, {
-      isSecured: ({version}) => version === 2 || isSecured,
+      isIndependentOfOrigin: ({version}) => version === 2 || isSecured,
     });
     plan.observe(serving(1), 0);
-    plan.take(named(2, 0), 0);
-    plan.take(named(3, 3_000), 3_000);
-    plan.noteMoved(4_400);
+    plan.addVersion(named(2, 0), 0);
+    plan.addVersion(named(3, 3_000), 3_000);
+    plan.recordTransferred(4_400);
     return plan.mayLoad(5_900);
   });
   expect(mayLoad).toEqual([false, true]);
@@ -92,25 +94,25 @@
 // The store comes back and tells of two versions at the same moment. Moved one
 // behind the other, the newer one comes seconds later than alone.
 test('a version that still needs its origin is given up at once', () => {
-  const plan = planOf(0, {isSecured: () => false});
+  const plan = planOf(0, {isIndependentOfOrigin: () => false});
   plan.observe(serving(1), 0);
-  plan.take(named(2, 0), 0);
-  const step = plan.take(named(3, 200), 200);
+  plan.addVersion(named(2, 0), 0);
+  const step = plan.addVersion(named(3, 200), 200);
   expect(step).toMatchObject({kind: 'stage', givenUp: [{version: 2}]});
 });
 
 test('a version too large to wait is staged in place of one just named', () => {
-  const plan = planOf(0, {canWait: () => false});
+  const plan = planOf(0, {fitsOutsideStaging: () => false});
   plan.observe(serving(1), 0);
-  plan.take(named(2, 0), 0);
-  const step = plan.take(named(3, 2_000), 2_000);
+  plan.addVersion(named(2, 0), 0);
+  const step = plan.addVersion(named(3, 2_000), 2_000);
   expect(step).toMatchObject({kind: 'stage', givenUp: [{version: 2}]});
 });
 
 test('an older version than known changes nothing', () => {
   const plan = planOf(0);
-  plan.take(named(3, 0), 0);
-  expect(plan.take(named(2, 10), 10)).toBeUndefined();
+  plan.addVersion(named(3, 0), 0);
+  expect(plan.addVersion(named(2, 10), 10)).toBeUndefined();
   expect(plan.newest()).toBe(3);
 });
 
@@ -119,11 +121,13 @@
 test('the first engine loads a version before the one that follows it', () => {
   const plan = planOf(0);
   plan.observe(serving(1), 0);
-  plan.take(named(2, 0), 0);
+  plan.addVersion(named(2, 0), 0);
   plan.observe(serving(1), 4_000);
-  expect(plan.take(named(3, 4_000), 4_000)).toMatchObject({kind: 'prepare'});
-  expect(plan.inHand()?.version).toBe(2);
-  plan.noteMoved(4_400);
+  expect(plan.addVersion(named(3, 4_000), 4_000)).toMatchObject({
+    kind: 'prepare',
+  });
+  expect(plan.current()?.version).toBe(2);
+  plan.recordTransferred(4_400);
   expect(plan.mayLoad(4_500)).toBe(true);
   const step = plan.observe({served: 1, isLoading: true}, 4_600);
   expect(step).toMatchObject({kind: 'stage', version: {version: 3}});
@@ -131,13 +135,13 @@
 
 // Two loads within four seconds would each stop the engine for two of them.
 test('the last engine skips a version that is soon replaced', () => {
-  const plan = planOf(LAST);
+  const plan = planOf(LAST_OFFSET);
   plan.observe(serving(1), 0);
-  plan.take(named(2, 0), 0);
+  plan.addVersion(named(2, 0), 0);
   plan.observe(serving(1), 4_000);
-  plan.take(named(3, 4_000), 4_000);
-  plan.noteMoved(4_400);
-  const end = BOUND - VERSION_MARGIN;
+  plan.addVersion(named(3, 4_000), 4_000);
+  plan.recordTransferred(4_400);
+  const end = BOUND - VERSION_BOUND_MARGIN;
   expect(plan.mayLoad(end - 100)).toBe(false);
   const step = plan.observe(serving(1), end);
   expect(step).toMatchObject({kind: 'stage', givenUp: [{version: 2}]});
@@ -145,7 +149,7 @@
 });
 
 /** An engine at a place, with the times of a site. */
-function simulateEngine(place: LoadPlace) {
+function simulateEngine(place: LoadOffset) {
   const plan = planOf(place);
   const namedAt = new Map<number, number>([[1, -Infinity]]);
   let served: number | undefined = 1;
@@ -155,14 +159,15 @@
     if (served === undefined || loading !== undefined) return false;
     const own = served;
     return ![...namedAt].some(
-      ([version, at]) => version > own && now - at >= BOUND - VERSION_MARGIN,
+      ([version, at]) =>
+        version > own && now - at >= BOUND - VERSION_BOUND_MARGIN,
     );
   }
 
   return {
     take(version: number, now: number) {
       namedAt.set(version, now);
-      plan.take(named(version, now), now);
+      plan.addVersion(named(version, now), now);
     },
     advance(now: number) {
       if (loading !== undefined && now >= loading.until) {
@@ -170,12 +175,12 @@
         loading = undefined;
       }
       plan.observe({served, isLoading: loading !== undefined}, now);
-      const next = plan.inHand();
+      const next = plan.current();
       if (next === undefined) return;
-      if (now - next.knownSince < MOVED_IN) return;
-      plan.noteMoved(now);
+      if (now - next.knownSince < TRANSFER_TIME) return;
+      plan.recordTransferred(now);
       if (!plan.mayLoad(now)) return;
-      const time = mayStart(now) ? LOADED_IN : IDLE_LOADED_IN;
+      const time = mayStart(now) ? LOAD_TIME : IDLE_LOAD_TIME;
       loading = {version: next.version, until: now + time};
     },
     mayStart,
@@ -184,23 +189,23 @@
 }
 
 /** Sum over engines of the time in which each may start nothing. */
-function standstill(
+function measureBlockedTime(
   engines: readonly ReturnType<typeof simulateEngine>[],
   gap: number,
 ) {
-  let allDark = 0;
-  let standing = 0;
+  let allBlockedTime = 0;
+  let meanBlockedTime = 0;
   for (let now = 0; now <= 40_000; now += STEP) {
     for (const engine of engines) {
       if (now === 0) engine.take(2, now);
       if (now === gap * STEP) engine.take(3, now);
       engine.advance(now);
     }
-    const dark = engines.filter(engine => !engine.mayStart(now)).length;
-    if (dark === engines.length) allDark += STEP;
-    standing += (dark * STEP) / engines.length;
+    const blocked = engines.filter(engine => !engine.mayStart(now)).length;
+    if (blocked === engines.length) allBlockedTime += STEP;
+    meanBlockedTime += (blocked * STEP) / engines.length;
   }
-  return {allDark, standing};
+  return {allDark: allBlockedTime, standing: meanBlockedTime};
 }
 
 // All engines stand still at the same time, and all callers are refused.
@@ -208,9 +213,9 @@
   fc.assert(
     fc.property(fc.integer({min: 0, max: 200}), gap => {
       const engines = [0, 0.25, 0.5, 0.75].map(simulateEngine);
-      const {allDark} = standstill(engines, gap);
+      const {allDark: allBlockedTime} = measureBlockedTime(engines, gap);
       expect(engines.map(engine => engine.served())).toEqual([3, 3, 3, 3]);
-      expect(allDark).toBeLessThanOrEqual(700);
+      expect(allBlockedTime).toBeLessThanOrEqual(700);
     }),
     propertyRuns,
   );
--- a/test/fleet/confirmation_renewal.test.ts
+++ b/test/fleet/confirmation_renewal.test.ts
@@ -2,7 +2,7 @@
   createConfirmation,
   createNamedVersions,
   createStoreClock,
-  createStoreContact,
+  createStoreAvailability,
 } from '@hibiscusbeam/core';
 import type {Log} from '@hibiscusbeam/daemon';
 import type {HostError, OperatorFeed} from '@hibiscusbeam/fleet';
@@ -85,7 +85,7 @@
   };
   const storeClock = createStoreClock();
   const confirmation = createConfirmation(storeClock);
-  const storeContact = createStoreContact();
+  const storeContact = createStoreAvailability();
   const follower = createOperatorFollower({
     feed,
     clock: now,
@@ -122,7 +122,7 @@
     lose: (count: number) => (lost = count),
     turnAway: (count: number) => (turnedAway = count),
     questions: () => questions,
-    noteList: () => storeContact.note(now(), 'answered'),
+    noteList: () => storeContact.record(now(), 'answered'),
   };
 }
 
--- a/test/fleet/entry_circle.test.ts
+++ b/test/fleet/entry_circle.test.ts
@@ -68,8 +68,8 @@
       own: () => [{service: 'engines', priority: 1, places: 2, waiting: 1}],
       zones: () => demand.zones(performance.now()),
       noteFollower: (follower, demands) =>
-        demand.noteFollower(follower, demands, performance.now()),
-      noteZones: demand.noteZones,
+        demand.recordFollower(follower, demands, performance.now()),
+      noteZones: demand.recordZones,
     },
     storeDistance: () => distance,
     onTables: told => void news.push(told),
@@ -94,7 +94,7 @@
   return {
     self,
     circle,
-    places: () => demand.of('engines', performance.now()).get(1),
+    places: () => demand.demandFor('engines', performance.now()).get(1),
     reports,
     news,
     copies,
@@ -276,7 +276,7 @@
 
 function endTarget(entry: Entry, life: string): void {
   const ending = {life, endedAt: performance.now()};
-  entry.quarantine.noteEnding('c0ffee', ending);
+  entry.quarantine.recordEnding('c0ffee', ending);
   entry.circle.offerRecords();
 }
 
@@ -311,7 +311,7 @@
   for (const life of ['one', 'two', 'three']) endTarget(entries[0]!, life);
   await eventually(() => entries.every(isQuarantined));
   const last = entries.at(-1)!;
-  last.quarantine.noteCompletion('c0ffee', performance.now());
+  last.quarantine.recordCompletion('c0ffee', performance.now());
   last.circle.offerRecords();
   await eventually(() => !entries.some(isQuarantined));
 });
@@ -321,7 +321,7 @@
   await untilSettled(entries);
   const [first, late] = entries;
   late!.circle.setMembers([]);
-  first!.limits.noteAnswer({life: 'engine', rate: 2, sentAt: 0});
+  first!.limits.recordAnswer({life: 'engine', rate: 2, sentAt: 0});
   first!.circle.offerRecords();
   const others = entries.filter(entry => entry !== late);
   const knows = ({limits}: Entry): boolean => limits.rateOf('engine') === 2;
--- a/test/fleet/operator_follower.test.ts
+++ b/test/fleet/operator_follower.test.ts
@@ -2,7 +2,7 @@
   createConfirmation,
   createNamedVersions,
   createStoreClock,
-  createStoreContact,
+  createStoreAvailability,
   type EvacuationChange,
   type RoutingConfiguration,
 } from '@hibiscusbeam/core';
@@ -116,7 +116,7 @@
     feed,
     clock: now,
     confirmation,
-    storeContact: createStoreContact(),
+    storeContact: createStoreAvailability(),
     versions,
     storeClock,
     evacuations,
@@ -143,7 +143,7 @@
       named = [{model: 'model', version: 2, namedAt}];
       version += 1;
     },
-    leastVersion: () => versions.least('model', now(), 0),
+    leastVersion: () => versions.oldestAllowed('model', now(), 0),
     writeUnusable: () => {
       isUnusable = true;
       version += 1;
--- a/test/fleet/passed_on_rows.test.ts
+++ b/test/fleet/passed_on_rows.test.ts
@@ -205,8 +205,8 @@
   for (let index = 0; index < 1_000; index += 1) {
     const life = `i-${String(index).padStart(10, '0')}/1790000000000`;
     const fingerprint = createHash('md5').update(life).digest('hex');
-    quarantine.noteEnding(fingerprint, {life, endedAt: -1_000});
-    limits.noteAnswer({life, rate: 2.5, sentAt: 0});
+    quarantine.recordEnding(fingerprint, {life, endedAt: -1_000});
+    limits.recordAnswer({life, rate: 2.5, sentAt: 0});
   }
   const write = createSiteRecords(quarantine, limits).createWriter();
   const message = write(0);
--- a/test/fleet/place_queue.test.ts
+++ b/test/fleet/place_queue.test.ts
@@ -1,6 +1,6 @@
 import {
   createFairOrder,
-  createTargetBook,
+  createTargetRegistry,
   type WaitingOrder,
 } from '@hibiscusbeam/core';
 import {expect, test} from 'vitest';
@@ -15,7 +15,7 @@
 /** A queue on a clock that only `at` moves, so that no wait runs out by itself. */
 function createQueue(order?: WaitingOrder<PlaceRequest>) {
   let now = 0;
-  const book = createTargetBook({instance: 'entry', zone: 'north'});
+  const book = createTargetRegistry({instance: 'entry', zone: 'north'});
   book.list([TARGET], 0);
   return {
     book,
@@ -33,7 +33,7 @@
     priority: 0,
     isLaterAttempt: false,
     workspace: undefined,
-    placeTime: 1_000,
+    slotTime: 1_000,
     onTimeUntil: 1_000,
     waitUntil: 1_000,
     signal: new AbortController().signal,
@@ -42,7 +42,7 @@
 
 test('a request for a service whose targets all leave is refused at once', async () => {
   const {book, queue, placeRequest} = createQueue();
-  book.noteLeaving(TARGET);
+  book.recordLeaving(TARGET);
   expect(await queue.take(placeRequest())).toEqual({kind: 'leaving'});
 });
 
@@ -51,21 +51,21 @@
   expect(await queue.take(placeRequest())).toMatchObject({kind: 'place'});
   const waiting = queue.take(placeRequest());
   expect(queue.waiting()).toBe(1);
-  book.noteLeaving(TARGET);
+  book.recordLeaving(TARGET);
   queue.pump();
   expect(await waiting).toEqual({kind: 'leaving'});
 });
 
 test('a request whose targets all back off for longer than it may wait is refused at once', async () => {
   const {book, queue, placeRequest} = createQueue();
-  book.noteBackoff(TARGET, 3_000);
+  book.recordBackoff(TARGET, 3_000);
   const refused = {kind: 'backingOff', until: 3_000};
   expect(await queue.take(placeRequest())).toEqual(refused);
 });
 
 test('a request waits for a target that takes requests again soon', async () => {
   const {book, queue, at, placeRequest} = createQueue();
-  book.noteBackoff(TARGET, 500);
+  book.recordBackoff(TARGET, 500);
   const waiting = queue.take(placeRequest());
   expect(queue.waiting()).toBe(1);
   at(500);
--- a/test/fleet/request_run.test.ts
+++ b/test/fleet/request_run.test.ts
@@ -1,7 +1,7 @@
 import {
   ANYWHERE,
-  createAnswerTimes,
-  createTargetBook,
+  createFirstEventTimes,
+  createTargetRegistry,
   type ListedTarget,
   type Route,
 } from '@hibiscusbeam/core';
@@ -49,10 +49,10 @@
 
 /** A run of a request that is quarantined and has been given its one trial. */
 function startTrial(admission: EntryAdmission = NO_ADMISSION) {
-  const book = createTargetBook({instance: 'entry', zone: 'north'});
+  const book = createTargetRegistry({instance: 'entry', zone: 'north'});
   book.list([target('one'), target('two')], 0);
   const clock = (): number => performance.now();
-  const answerTimes = createAnswerTimes();
+  const answerTimes = createFirstEventTimes();
   const options = {
     protocol: requestProtocol,
     book,
--- a/test/fleet/sends_under_way.test.ts
+++ b/test/fleet/sends_under_way.test.ts
@@ -1,4 +1,4 @@
-import type {ForwardAttemptEnd, SendReport} from '@hibiscusbeam/core';
+import type {ForwardAttemptEnd, AttemptReport} from '@hibiscusbeam/core';
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
 import {
@@ -94,9 +94,10 @@
       const reports = await playEnds(ends, picks);
       const successes = reports.filter(({outcome}) => outcome === SUCCESS);
       expect(successes).toHaveLength(ends.includes(SUCCESS) ? 1 : 0);
-      const isLast = ({underWay}: SendReport) => underWay === 0;
+      const isLast = ({attemptsInFlight: underWay}: AttemptReport) =>
+        underWay === 0;
       expect(reports.map(isLast).lastIndexOf(false)).toBe(reports.length - 2);
-      expect(reports.at(-1)?.underWay).toBe(0);
+      expect(reports.at(-1)?.attemptsInFlight).toBe(0);
     }),
     propertyRuns,
   );
@@ -106,10 +107,10 @@
 async function playEnds(
   ends: readonly ForwardAttemptEnd[],
   picks: Iterator<number>,
-): Promise<readonly SendReport[]> {
+): Promise<readonly AttemptReport[]> {
   const sends = createSendsUnderWay();
   const left = ends.map(end => ({end, send: sends.begin()}));
-  const reports: SendReport[] = [];
+  const reports: AttemptReport[] = [];
   const pick = (): number => Number(picks.next().value);
   while (left.length > 0) {
     const [{end, send}] = left.splice(pick() % left.length, 1) as [
--- a/test/fleet/stream_handover.test.ts
+++ b/test/fleet/stream_handover.test.ts
@@ -1,4 +1,4 @@
-import {createTargetBook, type EngineLoad} from '@hibiscusbeam/core';
+import {createTargetRegistry, type EngineLoad} from '@hibiscusbeam/core';
 import {afterEach, beforeEach, expect, test, vi} from 'vitest';
 import {
   createStreamHandover,
@@ -32,7 +32,7 @@
 /** Two engines, one of which takes nothing new and waits for its streams. */
 function startSite(movesAllowed = Infinity, isLoading = true) {
   const clock = (): number => Date.now();
-  const book = createTargetBook({instance: 'entry', zone: 'north'});
+  const book = createTargetRegistry({instance: 'entry', zone: 'north'});
   const [loading, other] = [engine('loading'), engine('other')];
   book.list([loading, other], clock());
   const handover = createStreamHandover({book, clock, movesLate: true});
@@ -56,7 +56,7 @@
       takeMove: () => (movesLeft -= 1) >= 0,
       handOn: () => {
         moved.push(rest);
-        const sent = {promptTime: 50, onLifeEnded: () => undefined};
+        const sent = {promptTime: 50, onIncarnationEnded: () => undefined};
         book.begin(other, sent);
       },
       ...changes,
@@ -128,11 +128,11 @@
 // its caller's deadline 5 s later. On a played day 141 streams ended like that.
 test('a stream that won’t end in time goes on at a faster engine', () => {
   const {offer, run, moved} = startSite(Infinity, false);
-  const late = {events: 20, pause: 250, usualPause: 50, left: 3_000};
+  const late = {events: 20, pause: 250, typicalPause: 50, timeLeft: 3_000};
   offer(1_000, {rest: () => ({...late, pause: 120})});
   offer(1_001, {rest: () => late});
-  offer(1_002, {rest: () => ({...late, events: 40, left: 8_000})});
-  offer(1_003, {rest: () => ({...late, left: 1_000})});
+  offer(1_002, {rest: () => ({...late, events: 40, timeLeft: 8_000})});
+  offer(1_003, {rest: () => ({...late, timeLeft: 1_000})});
   run(100);
   expect(moved).toEqual([1_002, 1_001]);
 });
--- a/test/fleet/target_follower.test.ts
+++ b/test/fleet/target_follower.test.ts
@@ -1,8 +1,8 @@
 import {
   createStoreClock,
-  createStoreContact,
+  createStoreAvailability,
   createStoreDistance,
-  createTargetBook,
+  createTargetRegistry,
   type ListedTarget,
   type StoreClock,
 } from '@hibiscusbeam/core';
@@ -60,7 +60,7 @@
 ) {
   const now = () => Date.now();
   const startedAt = now();
-  const book = createTargetBook({instance: 'entry', zone: 'north'});
+  const book = createTargetRegistry({instance: 'entry', zone: 'north'});
   let losesLeft = losesNext;
   let reads = 0;
   const read = async (timeout: number) => {
@@ -94,7 +94,7 @@
       machineClock: now,
       storeClock,
       storeDistance: createStoreDistance(),
-      storeContact: createStoreContact(),
+      storeContact: createStoreAvailability(),
       readsStore,
       onListing: () => undefined,
       spread: 0,
--- a/test/fleet/target_notes.test.ts
+++ b/test/fleet/target_notes.test.ts
@@ -1,4 +1,4 @@
-import {createTargetBook} from '@hibiscusbeam/core';
+import {createTargetRegistry} from '@hibiscusbeam/core';
 import {expect, test} from 'vitest';
 import type {AcceptedRequest} from '../../packages/fleet/src/entry/request_acceptance';
 import type {
@@ -17,7 +17,7 @@
 
 /** Two targets, the first of which is in doubt; the clock stands still. */
 function startSite() {
-  const book = createTargetBook({instance: 'entry', zone: 'north'});
+  const book = createTargetRegistry({instance: 'entry', zone: 'north'});
   const [doubted, other] = [target('doubted'), target('other')];
   book.list([doubted, other], 0);
   const endings: string[] = [];
@@ -42,7 +42,7 @@
     const taken = Array.from({length: 50}, () => {
       const choice = book.choose(plainNeed({expectedRun: 1}));
       if (choice.kind !== 'chosen') throw new Error('no target has room');
-      const sent = {promptTime: 0, onLifeEnded: () => undefined};
+      const sent = {promptTime: 0, onIncarnationEnded: () => undefined};
       book.begin(choice.target, sent);
       return choice.target.instance;
     });
--- a/test/fleet/timeliness.test.ts
+++ b/test/fleet/timeliness.test.ts
@@ -1,4 +1,4 @@
-import {ANYWHERE, createAnswerTimes, type Route} from '@hibiscusbeam/core';
+import {ANYWHERE, createFirstEventTimes, type Route} from '@hibiscusbeam/core';
 import {expect, test} from 'vitest';
 import type {AcceptedRequest} from '../../packages/fleet/src/entry/request_acceptance';
 import {
@@ -31,14 +31,14 @@
 }
 
 test('a later attempt has less time left than the first one', () => {
-  const timeliness = createTimeliness(createAnswerTimes());
+  const timeliness = createTimeliness(createFirstEventTimes());
   const first = timeliness.limits(accepted(20_000, 6_000));
   const second = timeliness.limits(accepted(20_000, 5_000));
   expect(first.onTimeUntil - second.onTimeUntil).toBe(1_000);
 });
 
 test('waits no longer than an answer would be on time', () => {
-  const answerTimes = createAnswerTimes();
+  const answerTimes = createFirstEventTimes();
   const timeliness = createTimeliness(answerTimes);
   const idle = timeliness.limits(accepted(20_000, 6_000)).waitUntil;
   for (let count = 0; count < 50; count += 1) {
@@ -52,7 +52,7 @@
 // Callers of one route differ in patience. Taken for later attempts, first ones
 // look late on arrival and are refused while places are free.
 test('first attempts of less patient callers are not taken for later ones', () => {
-  const timeliness = createTimeliness(createAnswerTimes());
+  const timeliness = createTimeliness(createFirstEventTimes());
   const longest = timeliness.limits(accepted(20_000, 6_000));
   for (const patience of [5_900, 5_500, 5_100]) {
     const shorter = timeliness.limits(accepted(20_000, patience));
@@ -63,7 +63,7 @@
 // An operator shortens a route's timeout below the patience of its callers. All
 // of them look late, and once engines are full they are refused before others.
 test('a shorter timeout makes no first attempt look late', () => {
-  const timeliness = createTimeliness(createAnswerTimes());
+  const timeliness = createTimeliness(createFirstEventTimes());
   const before = timeliness.limits(accepted(20_000, 6_000));
   const after = timeliness.limits(accepted(3_000, 6_000));
   expect(after.onTimeUntil).toBe(before.onTimeUntil);
--- a/test/fleet/version_namings.test.ts
+++ b/test/fleet/version_namings.test.ts
@@ -116,8 +116,10 @@
   const exchange = createNamingExchange(versions, () => 6_000, log, storeClock);
   const naming = {model: 'model', version: 2, ageMilliseconds: 100};
   exchange.take([{...naming, storeTime: 701_000}]);
-  expect(versions.least('model', 999 + VERSION_BOUND, 0)).toBeUndefined();
-  expect(versions.least('model', 1_000 + VERSION_BOUND, 0)).toBe(2);
+  expect(
+    versions.oldestAllowed('model', 999 + VERSION_BOUND, 0),
+  ).toBeUndefined();
+  expect(versions.oldestAllowed('model', 1_000 + VERSION_BOUND, 0)).toBe(2);
   expect(exchange.tell()).toEqual([
     {...naming, ageMilliseconds: 5_000, storeTime: 701_000},
   ]);
--- a/test/forecast/first_event.test.ts
+++ b/test/forecast/first_event.test.ts
@@ -1,5 +1,5 @@
 import {
-  createSeenPace,
+  createObservedPace,
   forecastFirstEvent,
   relativePaces,
   type EngineProfile,
@@ -52,7 +52,7 @@
 
 // A slow period ends and no request shows it, since the engine is passed over.
 test('a slow period is learned from few answers and forgotten', () => {
-  const seen = createSeenPace();
+  const seen = createObservedPace();
   for (let at = 0; at < 300; at += 50) seen.record(2.5, at);
   expect(Math.exp(seen.logPace(300))).toBeGreaterThan(1.6);
   expect(Math.exp(seen.logPace(3_300))).toBeLessThan(1.5);
@@ -60,14 +60,14 @@
 });
 
 test('an engine that is slow for good stays known for longer', () => {
-  const seen = createSeenPace();
+  const seen = createObservedPace();
   for (let at = 0; at < 30_000; at += 500) seen.record(2, at);
   expect(Math.exp(seen.logPace(35_000))).toBeGreaterThan(1.6);
 });
 
 // After a jump of the clock to the past, old values must not count for more.
 test('a clock that jumps back changes nothing by itself', () => {
-  const seen = createSeenPace();
+  const seen = createObservedPace();
   seen.record(2, 10_000);
   expect(seen.logPace(5_000)).toBeCloseTo(seen.logPace(10_000));
 });
--- a/test/forecast/stream_end.test.ts
+++ b/test/forecast/stream_end.test.ts
@@ -1,36 +1,36 @@
 import {
   createEventPauses,
   createStreamLengths,
-  gainOfMove,
+  timeSavedByMove,
 } from '@hibiscusbeam/core';
 import {expect, test} from 'vitest';
 
-const REST = {events: 20, usualPause: 50, left: 2_000};
+const REST = {events: 20, typicalPause: 50, timeLeft: 2_000};
 
 // An engine is frozen for a second and goes on as before. Its streams end in
 // time, and moving all of them would use up what the site may repeat.
 test('a single long pause doesn’t make a stream late', () => {
   const pauses = createEventPauses();
-  [0, 50, 100, 150, 1_150, 1_200].forEach(pauses.note);
-  expect(pauses.usual()).toBe(50);
-  expect(gainOfMove({...REST, pause: 50})).toBeUndefined();
+  [0, 50, 100, 150, 1_150, 1_200].forEach(pauses.record);
+  expect(pauses.median()).toBe(50);
+  expect(timeSavedByMove({...REST, pause: 50})).toBeUndefined();
 });
 
 test('nothing is judged by fewer than three pauses', () => {
   const pauses = createEventPauses();
-  [0, 250, 500].forEach(pauses.note);
-  expect(pauses.usual()).toBeUndefined();
-  pauses.note(750);
-  expect(gainOfMove({...REST, pause: pauses.usual() ?? 0})).toBe(4_000);
+  [0, 250, 500].forEach(pauses.record);
+  expect(pauses.median()).toBeUndefined();
+  pauses.record(750);
+  expect(timeSavedByMove({...REST, pause: pauses.median() ?? 0})).toBe(4_000);
 });
 
 // A hint counts tokens and may be wrong; an engine's events hold several.
 test('lengths follow what was seen, with a hint and without one', () => {
   const lengths = createStreamLengths();
-  expect(lengths.rest('route', 1, 100)).toBeUndefined();
+  expect(lengths.remaining('route', 1, 100)).toBeUndefined();
   for (let count = 0; count < 5; count += 1) lengths.record('route', 20, 100);
-  expect(lengths.rest('route', 5, 100)).toBeCloseTo(15);
-  expect(lengths.rest('route', 5, 200)).toBeCloseTo(35);
-  expect(lengths.rest('route', 5, 0)).toBeCloseTo(15);
-  expect(lengths.rest('route', 30, 0)).toBeGreaterThan(0);
+  expect(lengths.remaining('route', 5, 100)).toBeCloseTo(15);
+  expect(lengths.remaining('route', 5, 200)).toBeCloseTo(35);
+  expect(lengths.remaining('route', 5, 0)).toBeCloseTo(15);
+  expect(lengths.remaining('route', 30, 0)).toBeGreaterThan(0);
 });
--- a/test/forecast/uneven_choice.test.ts
+++ b/test/forecast/uneven_choice.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
-import {playSite, type SitePlan} from './uneven_site';
+import {simulateSite, type SiteOptions} from './uneven_site';
 
-const PLAN: Omit<SitePlan, 'engines' | 'chooser' | 'seed'> = {
+const PLAN: Omit<SiteOptions, 'engines' | 'chooser' | 'seed'> = {
   load: 0.85,
   entries: 17,
   reportAge: 100,
@@ -9,8 +9,8 @@
 const SEEDS = [1, 2, 3];
 
 /** Mean share of late first events, in percent. */
-function lateShare(plan: Omit<SitePlan, 'seed'>): number {
-  const shares = SEEDS.map(seed => playSite({...plan, seed}));
+function lateShare(plan: Omit<SiteOptions, 'seed'>): number {
+  const shares = SEEDS.map(seed => simulateSite({...plan, seed}));
   return (100 * shares.reduce((sum, share) => sum + share)) / SEEDS.length;
 }
 
@@ -37,7 +37,7 @@
 // are late for want of a turn while engines have places; 5 to 12% with open ones.
 test('requests take open places where turns come too seldom', () => {
   const plan = {...PLAN, engines: 'even', entries: 390} as const;
-  const shares = playSite({...plan, chooser: 'forecast', seed: 1});
+  const shares = simulateSite({...plan, chooser: 'forecast', seed: 1});
   expect(100 * shares).toBeLessThan(12);
 });
 
--- a/test/forecast/uneven_site.ts
+++ b/test/forecast/uneven_site.ts
@@ -1,13 +1,13 @@
 import {
-  createTargetBook,
+  createTargetRegistry,
   forecastFirstEvent,
   hash32,
   type EngineProfile,
   type ListedTarget,
-  type PlaceNeed,
-  type RequestInHand,
+  type PlacementRequest,
+  type InFlightRequest,
   type SendingEntry,
-  type TargetBook,
+  type TargetRegistry,
 } from '@hibiscusbeam/core';
 import {
   engineLoad,
@@ -22,7 +22,7 @@
 export type Chooser =
   'standing' | 'forecast' | 'twoChoices' | 'late' | 'complete';
 
-export interface SitePlan {
+export interface SiteOptions {
   readonly engines: Engines;
   readonly load: number;
   readonly entries: number;
@@ -76,7 +76,7 @@
 }
 
 /** Plays a site; returns the share of late first events. */
-export function playSite(plan: SitePlan): number {
+export function simulateSite(plan: SiteOptions): number {
   let count = 0;
   const next = () => hash32(`${plan.seed}/${(count += 1)}`) / 2 ** 32;
   const exponential = () => -Math.log(1 - next());
@@ -126,8 +126,8 @@
     };
   }
 
-  function createBook(entry: SendingEntry): TargetBook {
-    const book = createTargetBook(entry, undefined, undefined, {
+  function createBook(entry: SendingEntry): TargetRegistry {
+    const book = createTargetRegistry(entry, undefined, undefined, {
       placement: 'forecast',
     });
     book.list(
@@ -204,7 +204,7 @@
         promptTime: prompt,
         expectedRun: tokens * STEP,
         expectedTokens: tokens,
-        firstEventBy: arrivedAt + OBJECTIVE,
+        firstEventDeadline: arrivedAt + OBJECTIVE,
         profile: PROFILE,
         now,
       });
@@ -223,7 +223,7 @@
           request?.begun();
           if (plan.chooser === 'standing') return;
           if (forecast === undefined) return;
-          books[entry]?.noteFirstEvent(
+          books[entry]?.recordFirstEvent(
             engine.target,
             (now - sentAt) / forecast,
             now,
@@ -236,8 +236,8 @@
   }
 
   function choose(
-    need: PlaceNeed,
-    book: TargetBook | undefined,
+    need: PlacementRequest,
+    book: TargetRegistry | undefined,
     arrivedAt: number,
   ) {
     if (book === undefined) return chooseComplete(need);
@@ -254,9 +254,9 @@
     ) {
       return undefined;
     }
-    const request: RequestInHand = book.begin(target, {
+    const request: InFlightRequest = book.begin(target, {
       promptTime: need.promptTime,
-      onLifeEnded: () => undefined,
+      onIncarnationEnded: () => undefined,
     });
     const engine = engines.find(
       one => one.target.instance === target.instance,
@@ -272,7 +272,7 @@
     return all;
   }
 
-  function chooseComplete(need: PlaceNeed) {
+  function chooseComplete(need: PlacementRequest) {
     let best: Engine | undefined;
     let least = Infinity;
     for (const engine of engines) {
--- a/test/forwarding/forward_request.test.ts
+++ b/test/forwarding/forward_request.test.ts
@@ -6,14 +6,14 @@
   type ForwardEffect,
   type ForwardReply,
   type ForwardResult,
-  type SendReport,
+  type AttemptReport,
 } from '@hibiscusbeam/core';
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
 import {propertyRuns} from './property_runs';
 
 /** More steps than any script has. */
-const MOST_STEPS = 200;
+const MAX_STEPS = 200;
 
 const eventIds = fc.option(fc.constantFrom('1', '2'), {nil: undefined});
 
@@ -97,7 +97,7 @@
   lateRepeats: fc.integer({min: 0, max: 3}),
 });
 
-interface PlayedSend {
+interface PlayedAttempt {
   /** Undefined while it is under way, or if another one has won. */
   end: ForwardAttemptEnd | undefined;
   isSilent: boolean;
@@ -109,7 +109,7 @@
 
 interface Played {
   readonly result: ForwardResult;
-  readonly sent: readonly PlayedSend[];
+  readonly sent: readonly PlayedAttempt[];
   readonly streamBegun: boolean;
   readonly lastReport: ForwardAttemptOutcome | undefined;
   readonly leftUnderWay: number;
@@ -120,14 +120,14 @@
 /** Runs the flow against a script of reports; then the deadline comes. */
 function play(script: Script): Played {
   const flow = forwardRequest<string>(script.request);
-  const sent: PlayedSend[] = [];
-  let underWay: PlayedSend[] = [];
+  const sent: PlayedAttempt[] = [];
+  let underWay: PlayedAttempt[] = [];
   let streamBegun = false;
   let lastReport: ForwardAttemptOutcome | undefined;
   let [reports, searches, repeats, moves, late] = [0, 0, 0, 0, 0];
   let step = flow.next();
   for (let steps = 0; step.done !== true; steps += 1) {
-    if (steps > MOST_STEPS) throw new Error('the flow does not end');
+    if (steps > MAX_STEPS) throw new Error('the flow does not end');
     step = flow.next(reply(step.value));
   }
   const leftUnderWay = underWay.length;
@@ -140,7 +140,7 @@
       case 'choosePlace':
         return choosePlace();
       case 'send': {
-        const send: PlayedSend = {
+        const send: PlayedAttempt = {
           end: undefined,
           isSilent: false,
           resumeAfter: effect.resumeAfter,
@@ -152,7 +152,7 @@
         return report();
       }
       case 'wait':
-        if (!effect.wantsRepeat || late >= script.lateRepeats) return report();
+        if (!effect.wantsRetry || late >= script.lateRepeats) return report();
         late += 1;
         return {kind: 'repeat', allowed: true};
       case 'takeRepeat':
@@ -172,7 +172,7 @@
     return {kind: 'placed', place};
   }
 
-  function report(): SendReport {
+  function report(): AttemptReport {
     if (underWay.length === 0) throw new Error('waits for nothing');
     const {from, outcome} = script.reports[reports] ?? {
       from: 0,
@@ -180,12 +180,15 @@
     };
     reports += 1;
     lastReport = outcome;
-    note(underWay[from % underWay.length]!, outcome);
+    recordOutcome(underWay[from % underWay.length]!, outcome);
     const silent = underWay.filter(({isSilent}) => isSilent).length;
-    return {kind: 'sent', outcome, underWay: underWay.length, silent};
+    return {kind: 'sent', outcome, attemptsInFlight: underWay.length, silent};
   }
 
-  function note(send: PlayedSend, outcome: ForwardAttemptOutcome): void {
+  function recordOutcome(
+    send: PlayedAttempt,
+    outcome: ForwardAttemptOutcome,
+  ): void {
     if (outcome.kind === 'silent') {
       send.isSilent = true;
       streamBegun ||= outcome.streamBegun;
@@ -195,11 +198,11 @@
       streamBegun = true;
       moves += 1;
     } else {
-      noteEnd(send, outcome);
+      recordEnd(send, outcome);
     }
   }
 
-  function noteEnd(send: PlayedSend, end: ForwardAttemptEnd): void {
+  function recordEnd(send: PlayedAttempt, end: ForwardAttemptEnd): void {
     send.end = end;
     streamBegun ||= end.kind === 'broken';
     const hasWon =
@@ -211,19 +214,19 @@
 const UNREACHED = ['notConnected', 'connectionRefused'];
 
 /** Whether there was a connection to the send's target. */
-function isReached({end}: PlayedSend): boolean {
+function isReached({end}: PlayedAttempt): boolean {
   return end?.kind !== 'notRun' || !UNREACHED.includes(end.cause);
 }
 
 /** Whether anything of the request may have reached the send's target. */
-function hasArrived(send: PlayedSend): boolean {
+function mayHaveReachedTarget(send: PlayedAttempt): boolean {
   if (send.end?.kind === 'notRun' && send.end.cause === 'outdated') {
     return false;
   }
   return isReached(send);
 }
 
-const mayHaveRun = ({end}: PlayedSend): boolean => end?.kind !== 'notRun';
+const mayHaveRun = ({end}: PlayedAttempt): boolean => end?.kind !== 'notRun';
 
 function silentFor(request: Partial<ForwardedRequest> = {}): Script {
   const silent = {kind: 'silent', streamBegun: false} as const;
@@ -287,7 +290,7 @@
   fc.assert(
     fc.property(scripts, script => {
       const {sent, charged} = play(script);
-      const arrivals = sent.filter(hasArrived).length;
+      const arrivals = sent.filter(mayHaveReachedTarget).length;
       expect(Math.max(0, arrivals - 1)).toBeLessThanOrEqual(charged);
     }),
     propertyRuns,
--- a/test/freshness/store_clock.test.ts
+++ b/test/freshness/store_clock.test.ts
@@ -30,10 +30,10 @@
       for (const answer of answers) {
         clock.record(answer);
         // What was known of the store's clock is not forgotten.
-        expect(clock.notAfter(0)).toBeGreaterThanOrEqual(known);
-        known = clock.notAfter(0)!;
+        expect(clock.localTimeLowerBound(0)).toBeGreaterThanOrEqual(known);
+        known = clock.localTimeLowerBound(0)!;
         const lookedAt = answer.storeTime - offset;
-        const claimed = clock.notAfter(answer.storeTime)!;
+        const claimed = clock.localTimeLowerBound(answer.storeTime)!;
         expect(claimed).toBeLessThanOrEqual(lookedAt);
         expect(claimed).toBeGreaterThanOrEqual(answer.askedAt);
       }
@@ -46,7 +46,7 @@
   const clock = createStoreClock();
   clock.record({askedAt: 1_000, answeredAt: 1_010, storeTime: 90_000});
   clock.record({askedAt: 2_000, answeredAt: 2_010, storeTime: 50});
-  expect(clock.notAfter(100)).toBe(2_050);
+  expect(clock.localTimeLowerBound(100)).toBe(2_050);
 });
 
 // A relay is frozen with an answer of the store in hand, and passes it on four
@@ -54,12 +54,12 @@
 test('an answer that a relay held up confirms no more than when it was given', () => {
   const confirmation = createConfirmation();
   confirmation.record({askedAt: 0, answeredAt: 4, storeTime: 5_000});
-  confirmation.recordRelayed({heardAt: 6_000, storeTime: 7_000});
+  confirmation.recordRelayed({receivedAt: 6_000, storeTime: 7_000});
   expect(confirmation.confirmedAt()).toBe(2_000);
 });
 
 test('a relay confirms nothing before an own exchange with the store', () => {
   const confirmation = createConfirmation();
-  confirmation.recordRelayed({heardAt: 6_000, storeTime: 7_000});
+  confirmation.recordRelayed({receivedAt: 6_000, storeTime: 7_000});
   expect(confirmation.confirmedAt()).toBeUndefined();
 });
--- a/test/laboratory/swarm_run.test.ts
+++ b/test/laboratory/swarm_run.test.ts
@@ -1,4 +1,4 @@
-import {AGENT_TRANSFERS, type TransferPolicy} from '@hibiscusbeam/core';
+import {AGENT_TRANSFER_POLICY, type TransferPolicy} from '@hibiscusbeam/core';
 import {runSwarm, type SiteAgent} from '@hibiscusbeam/laboratory';
 import {expect, test} from 'vitest';
 
@@ -14,7 +14,7 @@
 const LINK_TIME = (VERSION_BYTES * 1000) / LINK;
 
 /** Until an agent knows the others, has heard of a version and has settled. */
-const START = 150 + 100 + AGENT_TRANSFERS.settleTime;
+const START = 150 + 100 + AGENT_TRANSFER_POLICY.settleTime;
 
 function agents(
   count: number,
@@ -46,7 +46,7 @@
     latency: (from, to) => (from === to ? 0.2 : 2.8),
     storeTime: 5,
     seed,
-    policy: {...AGENT_TRANSFERS, ...changes},
+    policy: {...AGENT_TRANSFER_POLICY, ...changes},
   });
 }
 
@@ -56,7 +56,7 @@
 
 test('one agent alone needs what its link needs', () => {
   const [only] = play(agents(1, () => ({})));
-  const least = LINK_TIME / (1 - AGENT_TRANSFERS.headroom);
+  const least = LINK_TIME / (1 - AGENT_TRANSFER_POLICY.headroom);
   expect(only!.readyAt).toBeGreaterThan(least);
   expect(only!.readyAt).toBeLessThan(least + START + 100);
   expect(only!.originBytes).toBe(VERSION_BYTES);
@@ -68,7 +68,7 @@
 test('an engine that joins waits for little but its own link', () => {
   const members = agents(19, place =>
     place < 11
-      ? {holds: true, linkShare: AGENT_TRANSFERS.shareBesideLive}
+      ? {holds: true, linkShare: AGENT_TRANSFER_POLICY.shareBesideLive}
       : {joinsAt: (place - 11) * 500},
   );
   const results = play(members);
@@ -96,7 +96,7 @@
   const before = lastReady(play(members));
   const after = lastReady(play(members, {}, 5_000));
   expect(after - 5_000).toBeLessThan(
-    before + AGENT_TRANSFERS.longestOriginWait,
+    before + AGENT_TRANSFER_POLICY.longestOriginWait,
   );
 });
 
@@ -108,7 +108,7 @@
 test('an agent that freezes holds up the others for little', () => {
   const last = [200, 300, 400, 500, 600, 800, 1_000].map(frozenFrom => {
     const members = agents(15, place => ({
-      linkShare: AGENT_TRANSFERS.shareBesideLive,
+      linkShare: AGENT_TRANSFER_POLICY.shareBesideLive,
       ...(place === 4 ? {frozenFrom} : {}),
     }));
     return lastReady(play(members).filter((_, place) => place !== 4));
@@ -124,7 +124,7 @@
   const last = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10].map(seed => {
     const members = agents(19, place => ({
       instance: `engine-${seed}-${place}`,
-      linkShare: AGENT_TRANSFERS.shareBesideLive,
+      linkShare: AGENT_TRANSFER_POLICY.shareBesideLive,
       ...(place === 0 ? {frozenFrom: 300} : {}),
     }));
     return lastReady(play(members, {}, 0, seed).slice(1));
@@ -155,7 +155,7 @@
       latency: (from, to) => (from === to ? 0.2 : 1),
       storeTime: 5,
       seed,
-      policy: AGENT_TRANSFERS,
+      policy: AGENT_TRANSFER_POLICY,
     }),
   );
   const bytes = chunks * chunkSize;
--- a/test/membership/held_targets.test.ts
+++ b/test/membership/held_targets.test.ts
@@ -2,11 +2,11 @@
   AGENT_HEARTBEAT_SIZE,
   chooseHeldTargets,
   ENTRY_HEARTBEAT_SIZE,
-  FEWEST_HELD_PER_GROUP,
+  MIN_HELD_PER_GROUP,
   heartbeatTraffic,
-  heldBound,
+  maxHeldTargets,
   HOLDERS_PER_TARGET,
-  NODE_BUDGET,
+  HEARTBEAT_BUDGET,
   type InstanceName,
   type TargetName,
 } from '@hibiscusbeam/core';
@@ -54,9 +54,9 @@
         const held = holdAll(entries, targets);
         for (const each of held.values()) {
           expect(each.size).toBeGreaterThanOrEqual(
-            Math.min(few, FEWEST_HELD_PER_GROUP),
+            Math.min(few, MIN_HELD_PER_GROUP),
           );
-          expect(each.size).toBeLessThanOrEqual(heldBound(many, few));
+          expect(each.size).toBeLessThanOrEqual(maxHeldTargets(many, few));
         }
         for (const target of targets) {
           expect(holdersOf(held, target)).toBeGreaterThanOrEqual(
@@ -112,8 +112,8 @@
   test('stays within the budget at 390 entries and 600 engines', () => {
     for (const targetsPerGroup of [[600], new Array<number>(10).fill(60)]) {
       const cost = heartbeatTraffic({entries: 390, targetsPerGroup});
-      expect(cost.entryBytes).toBeLessThan(NODE_BUDGET);
-      expect(cost.agentBytes).toBeLessThan(NODE_BUDGET);
+      expect(cost.entryBytes).toBeLessThan(HEARTBEAT_BUDGET);
+      expect(cost.agentBytes).toBeLessThan(HEARTBEAT_BUDGET);
     }
   });
 
--- a/test/membership/membership.test.ts
+++ b/test/membership/membership.test.ts
@@ -1,9 +1,9 @@
 import {
   createMembership,
   DEAD_AFTER,
-  FORGET_FALLS_AFTER,
+  FORGET_FLAPS_AFTER,
   HEARTBEAT_PERIOD,
-  LONGEST_HOLD,
+  MAX_HOLD_DOWN,
   SUSPECT_AFTER,
   TICK_PERIOD,
   type Liveness,
@@ -47,7 +47,7 @@
   return world;
 }
 
-function pass(world: World, duration: number): void {
+function advanceTime(world: World, duration: number): void {
   const end = world.now + duration;
   while (world.now < end) {
     world.now = Math.min(end, world.now + TICK_PERIOD);
@@ -55,7 +55,7 @@
   }
 }
 
-function beat(world: World, leaving = false): void {
+function sendHeartbeat(world: World, leaving = false): void {
   const {members, incarnation} = world;
   world.sequence += 1;
   const {sequence} = world;
@@ -63,18 +63,18 @@
   members.heartbeat({instance, incarnation, sequence, leaving}, world.now);
 }
 
-function happen(world: World, event: Event, duration: number): void {
+function apply(world: World, event: Event, duration: number): void {
   const {members, incarnation} = world;
   switch (event) {
     case 'heartbeat':
-      beat(world);
+      sendHeartbeat(world);
       break;
     case 'hello':
       members.hello(AGENT, incarnation, world.now);
       break;
     case 'doubled':
       world.sequence -= 1;
-      beat(world);
+      sendHeartbeat(world);
       break;
     case 'sessionLost':
       members.sessionLost(AGENT.instance, incarnation, world.now);
@@ -86,7 +86,7 @@
       members.list([], world.now);
       break;
     case 'silence':
-      pass(world, duration * 10);
+      advanceTime(world, duration * 10);
       break;
     case 'ownPause':
       world.now += duration * 10;
@@ -96,7 +96,7 @@
       members.hello(AGENT, world.incarnation, world.now);
       break;
   }
-  pass(world, duration);
+  advanceTime(world, duration);
 }
 
 function liveness(world: World): Liveness | undefined {
@@ -126,11 +126,11 @@
   {maxLength: 60},
 );
 
-function replay(
+function applyAll(
   taken: readonly {readonly event: Event; readonly duration: number}[],
 ): World {
   const world = createWorld();
-  for (const {event, duration} of taken) happen(world, event, duration);
+  for (const {event, duration} of taken) apply(world, event, duration);
   return world;
 }
 
@@ -140,13 +140,13 @@
   test('takes a dead instance out of routing within its bound', () => {
     fc.assert(
       fc.property(events, taken => {
-        const world = replay(taken);
-        beat(world);
+        const world = applyAll(taken);
+        sendHeartbeat(world);
         const late: Event[] = ['doubled', 'listLive', 'doubled', 'listLive'];
-        for (const event of late) happen(world, event, HEARTBEAT_PERIOD / 2);
-        pass(world, SUSPECT_AFTER + TICK_PERIOD - 2 * HEARTBEAT_PERIOD);
+        for (const event of late) apply(world, event, HEARTBEAT_PERIOD / 2);
+        advanceTime(world, SUSPECT_AFTER + TICK_PERIOD - 2 * HEARTBEAT_PERIOD);
         expect(liveness(world)).not.toBe('live');
-        pass(world, DEAD_AFTER - SUSPECT_AFTER);
+        advanceTime(world, DEAD_AFTER - SUSPECT_AFTER);
         expect(liveness(world)).toBe('dead');
       }),
       propertySettings(500),
@@ -158,11 +158,11 @@
   test('never keeps a live instance out beyond its bound', () => {
     fc.assert(
       fc.property(events, taken => {
-        const world = replay(taken);
+        const world = applyAll(taken);
         world.members.hello(AGENT, world.incarnation, world.now);
-        const beats = (LONGEST_HOLD + SUSPECT_AFTER) / HEARTBEAT_PERIOD + 1;
+        const beats = (MAX_HOLD_DOWN + SUSPECT_AFTER) / HEARTBEAT_PERIOD + 1;
         for (let count = 0; count < beats; count += 1) {
-          happen(world, 'heartbeat', HEARTBEAT_PERIOD);
+          apply(world, 'heartbeat', HEARTBEAT_PERIOD);
         }
         expect(liveness(world)).toBe('live');
       }),
@@ -173,12 +173,12 @@
   test('takes an instance back within its longest hold after many falls', () => {
     const world = createWorld();
     for (let fall = 0; fall < 8; fall += 1) {
-      happen(world, 'sessionLost', HEARTBEAT_PERIOD);
+      apply(world, 'sessionLost', HEARTBEAT_PERIOD);
       const start = world.now;
-      while (liveness(world) !== 'live' && world.now < 10 * LONGEST_HOLD) {
-        happen(world, 'heartbeat', HEARTBEAT_PERIOD);
+      while (liveness(world) !== 'live' && world.now < 10 * MAX_HOLD_DOWN) {
+        apply(world, 'heartbeat', HEARTBEAT_PERIOD);
       }
-      const most = LONGEST_HOLD + 2 * HEARTBEAT_PERIOD;
+      const most = MAX_HOLD_DOWN + 2 * HEARTBEAT_PERIOD;
       expect(world.now - start).toBeLessThanOrEqual(most);
     }
   });
@@ -187,7 +187,7 @@
   // second, and each time it came back it got work at once.
   test('damps an instance that comes and goes', () => {
     // Holds of 2, 4, 8, 16, 32 and 32 s: the seventh return is too late.
-    const MOST_RETURNS = 6;
+    const MAX_RETURNS = 6;
     fc.assert(
       fc.property(
         fc.array(fc.nat({max: 8}), {minLength: 40, maxLength: 200}),
@@ -197,18 +197,18 @@
           for (const count of beats) {
             for (let each = 0; each <= count; each += 1) {
               const before = liveness(world);
-              happen(world, 'heartbeat', HEARTBEAT_PERIOD);
+              apply(world, 'heartbeat', HEARTBEAT_PERIOD);
               if (before !== 'live' && liveness(world) === 'live') {
                 returns.push(world.now);
               }
             }
-            happen(world, 'sessionLost', TICK_PERIOD);
+            apply(world, 'sessionLost', TICK_PERIOD);
           }
           for (const start of returns) {
             const within = returns.filter(
-              at => at >= start && at < start + FORGET_FALLS_AFTER,
+              at => at >= start && at < start + FORGET_FLAPS_AFTER,
             );
-            expect(within.length).toBeLessThanOrEqual(MOST_RETURNS);
+            expect(within.length).toBeLessThanOrEqual(MAX_RETURNS);
           }
         },
       ),
@@ -234,11 +234,11 @@
     );
     fc.assert(
       fc.property(events, late, (taken, after) => {
-        const world = replay(taken);
+        const world = applyAll(taken);
         const {members, incarnation, now} = world;
         members.goodbye(AGENT.instance, incarnation, now);
         for (const event of after) {
-          happen(world, event, HEARTBEAT_PERIOD);
+          apply(world, event, HEARTBEAT_PERIOD);
           expect(liveness(world) ?? 'leaving').toBe('leaving');
         }
       }),
@@ -249,7 +249,7 @@
   test('takes back a later life of one that said goodbye', () => {
     const world = createWorld();
     world.members.goodbye(AGENT.instance, 1, world.now);
-    happen(world, 'restart', HEARTBEAT_PERIOD);
+    apply(world, 'restart', HEARTBEAT_PERIOD);
     expect(liveness(world)).toBe('live');
     world.members.goodbye(AGENT.instance, 1, world.now);
     expect(liveness(world)).toBe('live');
@@ -259,11 +259,11 @@
   // silence for theirs.
   test('does not blame others for a pause of its own', () => {
     const world = createWorld();
-    happen(world, 'heartbeat', HEARTBEAT_PERIOD);
+    apply(world, 'heartbeat', HEARTBEAT_PERIOD);
     world.now += 10 * DEAD_AFTER;
     world.members.tick(world.now);
     expect(liveness(world)).toBe('live');
-    pass(world, SUSPECT_AFTER);
+    advanceTime(world, SUSPECT_AFTER);
     expect(liveness(world)).toBe('suspect');
   });
 
@@ -291,7 +291,7 @@
       0,
     );
     expect(verdict).toBe('needsHello');
-    beat(world, true);
+    sendHeartbeat(world, true);
     expect(liveness(world)).toBe('leaving');
   });
 
@@ -300,24 +300,24 @@
   test('learns of others from live tellers by changes alone', () => {
     fc.assert(
       fc.property(events, fc.nat({max: 60}), (taken, asked) => {
-        const teller = createWorld();
+        const reporter = createWorld();
         const listener = createMembership('entry-2');
         const entry = {...AGENT, instance: 'entry-1', role: 'entry'} as const;
         listener.hello(entry, 1, 0);
         let position = 0;
         const ask = (): void => {
-          const delta = teller.members.changesSince(position);
-          listener.takeDelta('entry-1', delta);
+          const delta = reporter.members.changesSince(position);
+          listener.applyDelta('entry-1', delta);
           position = delta.latest;
         };
         taken.forEach(({event, duration}, index) => {
-          happen(teller, event, duration);
+          apply(reporter, event, duration);
           if (index === asked) ask();
         });
         ask();
-        const told = listener.livenessOf(AGENT.instance);
-        const known = liveness(teller);
-        if (known !== 'joining') expect(told).toBe(known);
+        const reported = listener.livenessOf(AGENT.instance);
+        const known = liveness(reporter);
+        if (known !== 'joining') expect(reported).toBe(known);
         listener.goodbye('entry-1', 1, 1);
         expect(listener.livenessOf(AGENT.instance)).toBeUndefined();
       }),
--- a/test/memory/engine_memory.test.ts
+++ b/test/memory/engine_memory.test.ts
@@ -1,10 +1,10 @@
 import {
   createRequestSizes,
-  createTargetBook,
+  createTargetRegistry,
   hash32,
   outputToReserve,
-  type PlaceNeed,
-  type RequestInHand,
+  type PlacementRequest,
+  type InFlightRequest,
 } from '@hibiscusbeam/core';
 import {expect, test} from 'vitest';
 import {engineLoad, engineNeed, engineTarget} from '../fixtures/placement';
@@ -36,7 +36,7 @@
 interface Run {
   readonly prompt: number;
   readonly output: number;
-  readonly inHand: RequestInHand;
+  readonly inHand: InFlightRequest;
   startedAt: number;
 }
 
@@ -66,7 +66,7 @@
     engineTarget(`engine-${index}`, {slots: SLOTS}),
   );
   const books = senders.map(sender => {
-    const book = createTargetBook(sender);
+    const book = createTargetRegistry(sender);
     book.list(targets, 0);
     book.setEntries(senders);
     return book;
@@ -82,7 +82,7 @@
   let served = 0;
 
   function needAt(now: number): {
-    need: PlaceNeed;
+    need: PlacementRequest;
     prompt: number;
     output: number;
   } {
@@ -152,7 +152,7 @@
         promptTime: 0,
         memory: need.memory,
         at: now,
-        onLifeEnded: () => undefined,
+        onIncarnationEnded: () => undefined,
       });
       const run = {prompt, output, inHand, startedAt: now};
       const engine = engines.find(({target}) => target === choice.target);
--- a/test/memory/slow_readers.test.ts
+++ b/test/memory/slow_readers.test.ts
@@ -1,4 +1,4 @@
-import {chooseDropped} from '@hibiscusbeam/core';
+import {selectReadersToDrop} from '@hibiscusbeam/core';
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
 import {propertyRuns} from '../forwarding/property_runs';
@@ -14,7 +14,7 @@
     fc.property(readers, fc.nat(100_000), (held, bound) => {
       const sumOf = (some: typeof held) =>
         some.reduce((sum, reader) => sum + reader.held, 0);
-      const dropped = chooseDropped(held, bound);
+      const dropped = selectReadersToDrop(held, bound);
       const left = held.filter(reader => !dropped.includes(reader));
       expect(sumOf(left)).toBeLessThanOrEqual(bound);
       const last = dropped.at(-1);
@@ -30,5 +30,7 @@
   const large = {held: 5_000, stalledFor: 900};
   const slowest = {held: 4_000, stalledFor: 1_000};
   const small = {held: 10, stalledFor: 3_000};
-  expect(chooseDropped([large, small, slowest], 6_000)).toEqual([slowest]);
+  expect(selectReadersToDrop([large, small, slowest], 6_000)).toEqual([
+    slowest,
+  ]);
 });
--- a/test/moving/acquaintances.test.ts
+++ b/test/moving/acquaintances.test.ts
@@ -5,7 +5,7 @@
 
 const FROZEN = {instance: 'engine-3', address: '10.0.1.3:7400'};
 
-const said = (incarnation: number) => ({...FROZEN, incarnation});
+const helloOf = (incarnation: number) => ({...FROZEN, incarnation});
 
 const names = (acquaintances: ReturnType<typeof createAcquaintances>) =>
   acquaintances.all().map(({instance}) => instance);
@@ -22,7 +22,7 @@
     fc.assert(
       fc.property(fc.array(step, {maxLength: 20}), steps => {
         const acquaintances = createAcquaintances();
-        acquaintances.hello(said(1));
+        acquaintances.hello(helloOf(1));
         let now = 0;
         let absentFrom: number | undefined;
         let isOut = false;
@@ -42,7 +42,7 @@
 
   test('forget whoever says goodbye, but not for a goodbye of an earlier life', () => {
     const acquaintances = createAcquaintances();
-    acquaintances.hello(said(2));
+    acquaintances.hello(helloOf(2));
     acquaintances.goodbye(FROZEN.instance, 1);
     expect(names(acquaintances)).toEqual(['engine-3']);
     acquaintances.goodbye(FROZEN.instance, 2);
--- a/test/moving/ownership.test.ts
+++ b/test/moving/ownership.test.ts
@@ -50,7 +50,7 @@
             targets,
             workspaces,
           };
-          const told = ownershipAt(
+          const reported = ownershipAt(
             {...base, generation: 7, configuration},
             {
               generation: 3,
@@ -60,20 +60,20 @@
               busyWorkspaces: [],
             },
           );
-          expect(told.generation).toBe(7);
+          expect(reported.generation).toBe(7);
           for (const name of NAMES) {
             const target = targets[name];
             const mayOrder =
               target === undefined
                 ? owned.includes(name)
                 : target.owner === 'older-system' && target.state === 'joined';
-            expect(told.targets.includes(name)).toBe(mayOrder);
+            expect(reported.targets.includes(name)).toBe(mayOrder);
             const workspace = workspaces[name];
             const mayServe =
               workspace === undefined
                 ? owned.includes(name)
                 : workspace.owner === 'older-system' && workspace.open;
-            expect(told.workspaces.includes(name)).toBe(mayServe);
+            expect(reported.workspaces.includes(name)).toBe(mayServe);
           }
         },
       ),
--- a/test/orders/fencing.test.ts
+++ b/test/orders/fencing.test.ts
@@ -125,7 +125,7 @@
       break;
     case 'hop': {
       const before = agent.nextEffect();
-      agent.hop(now, 'none', 0);
+      agent.advance(now, 'none', 0);
       const after = agent.nextEffect();
       if (before?.kind === 'readClock' && after?.kind === 'sendOrder') {
         const check = lease.mayAct(now);
--- a/test/orders/reconciler_property.test.ts
+++ b/test/orders/reconciler_property.test.ts
@@ -4,34 +4,34 @@
 import {VERSION_SIZE} from './fake_engine';
 import {createSteppedAgent, type OrderFate} from './stepped_agent';
 import {
-  PEACE,
+  NO_FAULTS,
   VERSIONS,
   type Step,
   lag,
-  createWorld,
-  take,
+  startSimulation,
+  applyStep,
   settle,
-  worlds,
+  engineMemories,
   steps,
   versionsWanted,
-} from './reconciler_world';
+} from './reconciler_simulation';
 
 describe('the reconciler of a target', () => {
   // An earlier agent wakes and unloads what its successor counts as serving:
   // nothing differed, so the successor had never told the engine its number.
   test('tells a target that checks its number though nothing differs', () => {
-    const world = createWorld(undefined);
-    const next = createSteppedAgent(world.engine, world.verified, {
+    const run = startSimulation(undefined);
+    const next = createSteppedAgent(run.engine, run.verified, {
       fencing: 8,
       checkLease: undefined,
       engineMemory: undefined,
     });
-    next.wanted = world.agent.wanted;
+    next.wanted = run.agent.wanted;
     next.observe(0);
     next.pass();
-    for (const each of PEACE) next.hop(world.now, each, 0);
-    expect(next.reconciler.isFenced(world.now)).toBe(true);
-    const refused = world.engine.order(
+    for (const each of NO_FAULTS) next.advance(run.now, each, 0);
+    expect(next.reconciler.isFenced(run.now)).toBe(true);
+    const refused = run.engine.order(
       {kind: 'unload', versionDigest: 'notes-1'},
       7,
     );
@@ -43,9 +43,9 @@
   // on the word of a late report, or a version was loaded before it was whole.
   test('never cuts a request, loads a partial version or empties unpermitted', () => {
     fc.assert(
-      fc.property(worlds, steps, (engineMemory, taken) => {
-        const world = createWorld(engineMemory);
-        for (const next of taken) take(world, next);
+      fc.property(engineMemories, steps, (engineMemory, taken) => {
+        const run = startSimulation(engineMemory);
+        for (const next of taken) applyStep(run, next);
       }),
       propertySettings(1_500),
     );
@@ -54,20 +54,20 @@
   // A request begins on a version at the moment its unload is on the way, and
   // its answer breaks off.
   test('keeps a version closed from the plan of its unload until it is gone', () => {
-    const world = createWorld(4 * VERSION_SIZE);
-    const mayStart = (): boolean => world.agent.reconciler.mayStart('notes-1');
+    const run = startSimulation(4 * VERSION_SIZE);
+    const mayStart = (): boolean => run.agent.reconciler.mayStart('notes-1');
     const round = (count: number): void => {
-      take(world, {kind: 'round', lag: 0, fates: PEACE.slice(0, count)});
+      applyStep(run, {kind: 'round', lag: 0, fates: NO_FAULTS.slice(0, count)});
     };
-    take(world, {kind: 'want', notes: 'notes-2', quotes: true});
+    applyStep(run, {kind: 'want', notes: 'notes-2', quotes: true});
     round(12);
-    take(world, {kind: 'finishLoads'});
+    applyStep(run, {kind: 'finishLoads'});
     expect(mayStart()).toBe(true);
     round(0);
     expect(mayStart()).toBe(false);
     round(1);
-    expect(world.agent.nextEffect()?.kind).toBe('sendOrder');
-    take(world, {kind: 'want', notes: 'notes-1', quotes: true});
+    expect(run.agent.nextEffect()?.kind).toBe('sendOrder');
+    applyStep(run, {kind: 'want', notes: 'notes-1', quotes: true});
     round(0);
     expect(mayStart()).toBe(false);
   });
@@ -106,8 +106,8 @@
     );
     fc.assert(
       fc.property(fc.array(turn, {minLength: 20, maxLength: 60}), taken => {
-        const world = createWorld(4 * VERSION_SIZE);
-        for (const next of taken) take(world, next);
+        const run = startSimulation(4 * VERSION_SIZE);
+        for (const next of taken) applyStep(run, next);
       }),
       propertySettings(1_000),
     );
@@ -117,17 +117,17 @@
   // lost, the engine restarted, and nothing compared the two again.
   test('brings the engine to the wanted state once faults end', () => {
     fc.assert(
-      fc.property(worlds, steps, (engineMemory, taken) => {
-        const world = createWorld(engineMemory);
-        for (const next of taken) take(world, next);
-        take(world, {kind: 'want', notes: 'notes-2', quotes: true});
-        settle(world);
-        const loaded = world.engine.loaded().map(each => each.versionDigest);
+      fc.property(engineMemories, steps, (engineMemory, taken) => {
+        const run = startSimulation(engineMemory);
+        for (const next of taken) applyStep(run, next);
+        applyStep(run, {kind: 'want', notes: 'notes-2', quotes: true});
+        settle(run);
+        const loaded = run.engine.loaded().map(each => each.versionDigest);
         expect([...loaded].sort()).toEqual(
-          [...versionsWanted(world.agent.wanted)].sort(),
+          [...versionsWanted(run.agent.wanted)].sort(),
         );
-        expect(world.agent.permits.size).toBe(0);
-        expect(world.agent.reconciler.isFenced(world.now)).toBe(true);
+        expect(run.agent.permits.size).toBe(0);
+        expect(run.agent.reconciler.isFenced(run.now)).toBe(true);
       }),
       propertySettings(400),
     );
@@ -137,9 +137,9 @@
   // orders, one of them in the middle of a round that had begun before.
   test('gives no order to what the older system owns', () => {
     fc.assert(
-      fc.property(worlds, steps, (engineMemory, taken) => {
-        const world = createWorld(engineMemory);
-        for (const next of taken) take(world, next);
+      fc.property(engineMemories, steps, (engineMemory, taken) => {
+        const run = startSimulation(engineMemory);
+        for (const next of taken) applyStep(run, next);
       }),
       propertySettings(500),
     );
@@ -147,18 +147,18 @@
 
   test('routes only to versions that the engine has reported', () => {
     fc.assert(
-      fc.property(worlds, steps, (engineMemory, taken) => {
-        const world = createWorld(engineMemory);
+      fc.property(engineMemories, steps, (engineMemory, taken) => {
+        const run = startSimulation(engineMemory);
         const reported = new Set(
-          world.engine.loaded().map(each => each.versionDigest),
+          run.engine.loaded().map(each => each.versionDigest),
         );
         for (const next of taken) {
-          take(world, next);
-          for (const each of world.engine.loaded()) {
+          applyStep(run, next);
+          for (const each of run.engine.loaded()) {
             reported.add(each.versionDigest);
           }
           for (const versionDigest of VERSIONS.keys()) {
-            if (!world.agent.reconciler.mayStart(versionDigest)) continue;
+            if (!run.agent.reconciler.mayStart(versionDigest)) continue;
             expect(reported.has(versionDigest)).toBe(true);
           }
         }
--- a/test/orders/reconciler_world.ts
+++ b/test/orders/reconciler_simulation.ts
@@ -21,7 +21,7 @@
 } from './stepped_agent';
 
 /** Orders and replies that all go through. */
-export const PEACE: readonly OrderFate[] = new Array<OrderFate>(12).fill(
+export const NO_FAULTS: readonly OrderFate[] = new Array<OrderFate>(12).fill(
   'none',
 );
 
@@ -136,7 +136,7 @@
   };
 }
 
-interface World {
+interface SimulationRun {
   readonly engine: FakeEngine;
   readonly agent: SteppedAgent;
   readonly verified: Map<VersionDigest, Manifest>;
@@ -148,7 +148,9 @@
 }
 
 /** An engine and its agent; the engine's memory bounds what it holds. */
-export function createWorld(engineMemory: number | undefined): World {
+export function startSimulation(
+  engineMemory: number | undefined,
+): SimulationRun {
   const verified = new Map<VersionDigest, Manifest>();
   const engine: FakeEngine = createFakeEngine({
     fencing: 'checked',
@@ -167,7 +169,7 @@
     engineMemory,
   });
   engine.snapshot(0);
-  const world: World = {
+  const run: SimulationRun = {
     engine,
     agent,
     verified,
@@ -180,37 +182,37 @@
   for (const [version, manifest] of VERSIONS) {
     if (version !== 'notes-3') verified.set(version, manifest);
   }
-  take(world, {kind: 'want', notes: 'notes-1', quotes: true});
+  applyStep(run, {kind: 'want', notes: 'notes-1', quotes: true});
   for (let round = 0; round < 2; round += 1) {
-    take(world, {kind: 'round', lag: 0, fates: PEACE});
-    take(world, {kind: 'finishLoads'});
+    applyStep(run, {kind: 'round', lag: 0, fates: NO_FAULTS});
+    applyStep(run, {kind: 'finishLoads'});
   }
-  return world;
+  return run;
 }
 
 /** An order to a target of the older system must not go out. */
-function noteEffect(world: World): void {
-  const effect = world.agent.nextEffect();
-  const isNew = effect !== world.effect;
-  world.effect = effect;
-  if (isNew && effect?.kind === 'sendOrder' && world.olderOwns) {
+function checkEffect(run: SimulationRun): void {
+  const effect = run.agent.nextEffect();
+  const isNew = effect !== run.effect;
+  run.effect = effect;
+  if (isNew && effect?.kind === 'sendOrder' && run.olderOwns) {
     throw new Error('order to a target of the older system');
   }
 }
 
 /** Takes one step. */
-export function take(world: World, next: Step): void {
-  const {engine, agent, verified} = world;
-  world.now += 1;
+export function applyStep(run: SimulationRun, next: Step): void {
+  const {engine, agent, verified} = run;
+  run.now += 1;
   switch (next.kind) {
     case 'want': {
-      world.olderOwns = false;
+      run.olderOwns = false;
       const site = configurationOf(next.notes, next.quotes, 'hibiscusbeam');
       agent.wanted = wantedState(site, 'engine-1');
       break;
     }
     case 'older': {
-      world.olderOwns = true;
+      run.olderOwns = true;
       const site = configurationOf('notes-1', true, 'older-system');
       agent.wanted = wantedState(site, 'engine-1');
       break;
@@ -222,17 +224,17 @@
     }
     case 'round':
       agent.observe(next.lag);
-      world.needsPermit = agent.pass().needsPermit;
+      run.needsPermit = agent.pass().needsPermit;
       for (const each of next.fates) {
-        world.now += 1;
-        agent.hop(world.now, each, next.lag);
-        noteEffect(world);
-        engine.snapshot(world.now);
+        run.now += 1;
+        agent.advance(run.now, each, next.lag);
+        checkEffect(run);
+        engine.snapshot(run.now);
       }
       break;
     case 'permit':
-      for (const model of world.needsPermit) agent.permits.add(model);
-      world.needsPermit = [];
+      for (const model of run.needsPermit) agent.permits.add(model);
+      run.needsPermit = [];
       break;
     case 'finishLoads':
       engine.finishLoads();
@@ -250,24 +252,24 @@
       engine.finish();
       break;
   }
-  engine.snapshot(world.now);
+  engine.snapshot(run.now);
 }
 
 /** Lets all orders land, without faults. */
-export function settle(world: World): void {
+export function settle(run: SimulationRun): void {
   for (const version of VERSIONS.keys()) {
-    take(world, {kind: 'verify', version});
+    applyStep(run, {kind: 'verify', version});
   }
   for (let round = 0; round < 12; round += 1) {
-    for (let count = 0; count < 6; count += 1) take(world, {kind: 'finish'});
-    take(world, {kind: 'round', lag: 0, fates: PEACE});
-    take(world, {kind: 'permit'});
-    take(world, {kind: 'finishLoads'});
+    for (let count = 0; count < 6; count += 1) applyStep(run, {kind: 'finish'});
+    applyStep(run, {kind: 'round', lag: 0, fates: NO_FAULTS});
+    applyStep(run, {kind: 'permit'});
+    applyStep(run, {kind: 'finishLoads'});
   }
 }
 
 /** Memories of engines to run with. */
-export const worlds = fc.constantFrom(
+export const engineMemories = fc.constantFrom(
   undefined,
   2 * VERSION_SIZE,
   4 * VERSION_SIZE,
--- a/test/orders/stepped_agent.ts
+++ b/test/orders/stepped_agent.ts
@@ -24,7 +24,7 @@
   readonly permits: Set<ModelName>;
   /** Plans, and begins a round of orders if none is under way. */
   readonly pass: () => ReconcilePlan;
-  readonly hop: (now: number, fate: OrderFate, lag: number) => void;
+  readonly advance: (now: number, fate: OrderFate, lag: number) => void;
   readonly observe: (lag: number) => void;
   readonly lastRound: () => OrderRound | undefined;
   readonly nextEffect: () => OrderEffect | undefined;
@@ -42,7 +42,7 @@
   let effect: OrderEffect | undefined;
   let round: OrderRound | undefined;
 
-  function note(report: ObservedReport | undefined): void {
+  function recordReport(report: ObservedReport | undefined): void {
     if (report === undefined) return;
     if (observed === undefined || report.takenAt > observed.takenAt) {
       observed = report;
@@ -75,14 +75,14 @@
       take(flow.next());
       return plan;
     },
-    hop: (now, fate, lag) => {
+    advance: (now, fate, lag) => {
       if (flow === undefined || effect === undefined) return;
       switch (effect.kind) {
         case 'readClock':
           return take(flow.next({kind: 'clock', now}));
         case 'readReport': {
           const report = engine.report(lag);
-          note(report);
+          recordReport(report);
           return take(flow.next({kind: 'report', observed: report}));
         }
         case 'sendOrder': {
@@ -97,7 +97,7 @@
         }
       }
     },
-    observe: lag => note(engine.report(lag)),
+    observe: lag => recordReport(engine.report(lag)),
     lastRound: () => round,
     nextEffect: () => effect,
   };
--- a/test/ownership/moving.test.ts
+++ b/test/ownership/moving.test.ts
@@ -1,5 +1,5 @@
 import {
-  findAwaited,
+  findAwaitedProcesses,
   mayOrder,
   mayServe,
   type Owner,
@@ -45,7 +45,7 @@
   named(16, 'run', fc.tuple(mover, tableFault), (site, [number, fault]) =>
     site.stepMover(number, fault),
   ),
-  named(6, 'carry', mover, carry),
+  named(6, 'carry', mover, runRound),
   named(6, 'adopt', fc.tuple(anyProcess, fc.nat(12)), (site, [one, two]) =>
     site.adopt(one, two),
   ),
@@ -61,7 +61,7 @@
 );
 
 /** Lets a mover go on without faults for one whole round. */
-function carry(site: MovingSite, number: number): void {
+function runRound(site: MovingSite, number: number): void {
   for (let steps = 0; steps < 16; steps += 1) site.stepMover(number, 'none');
 }
 
@@ -106,11 +106,11 @@
       site.own(side);
       expect(site.openMoves()).toHaveLength(1);
       site.startMover(0, 'forward');
-      carry(site, 0);
+      runRound(site, 0);
       expect(site.openMoves()).toHaveLength(1);
       adoptAll(site);
-      carry(site, 0);
-      carry(site, 0);
+      runRound(site, 0);
+      runRound(site, 0);
       expect(site.openMoves()).toEqual([]);
       adoptAll(site);
       expect(site.sidesServing()).toEqual([side]);
@@ -130,8 +130,8 @@
     }
     expect(site.openMoves()).toHaveLength(1);
     site.startMover(1, 'forward');
-    carry(site, 1);
-    carry(site, 0);
+    runRound(site, 1);
+    runRound(site, 0);
     adoptAll(site);
     expect(site.openMoves()).toEqual([]);
     expect(site.sidesServing()).toEqual(['older-system']);
@@ -147,11 +147,11 @@
     // Row of the move, four reports and the reports' end: then it freezes.
     for (let steps = 0; steps < 6; steps += 1) site.stepMover(0, 'none');
     site.startMover(1, 'back');
-    carry(site, 1);
+    runRound(site, 1);
     adoptAll(site);
     expect(site.sidesServing()).toEqual(['hibiscusbeam']);
     const generation = site.generation();
-    carry(site, 0);
+    runRound(site, 0);
     expect(site.generation()).toBe(generation);
   });
 });
@@ -180,18 +180,18 @@
   // "behind"; opening our side would leave it serving.
   test('the older system must have reported', () => {
     const ours = reports('entry-1', 'hibiscusbeam');
-    expect(findAwaited(5, [workspace], [ours])).toEqual([
+    expect(findAwaitedProcesses(5, [workspace], [ours])).toEqual([
       {process: 'older-system', reason: 'noWordFromOlderSystem'},
     ]);
     const older = reports('older-1', 'older-system');
-    expect(findAwaited(5, [workspace], [ours, older])).toEqual([]);
+    expect(findAwaitedProcesses(5, [workspace], [ours, older])).toEqual([]);
   });
 
   test('a target with orders in progress is busy', () => {
     const older = reports('older-1', 'older-system');
     const target = {...workspace, kind: 'target' as const, name: TARGET};
     const busy = {...reports('a', 'hibiscusbeam'), busyTargets: [TARGET]};
-    expect(findAwaited(5, [target], [busy, older])).toEqual([
+    expect(findAwaitedProcesses(5, [target], [busy, older])).toEqual([
       {process: 'a', reason: 'busy'},
     ]);
   });
--- a/test/placement/allowance.test.ts
+++ b/test/placement/allowance.test.ts
@@ -1,4 +1,8 @@
-import {allowance, sharePlace, type SendingEntry} from '@hibiscusbeam/core';
+import {
+  slotAllowance,
+  slotShareOf,
+  type SendingEntry,
+} from '@hibiscusbeam/core';
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
 import {propertyRuns} from '../forwarding/property_runs';
@@ -33,7 +37,11 @@
         const near = entries.filter(entry => entry.zone === zone);
         fc.pre(near.length > 0);
         const given = near.map(entry =>
-          allowance(free, sharePlace(entry, entries, zone), report(sequence)),
+          slotAllowance(
+            free,
+            slotShareOf(entry, entries, zone),
+            report(sequence),
+          ),
         );
         const sum = given.reduce((total, slots) => total + slots, 0);
         expect(sum).toBe(Math.min(3, Math.max(0, free)));
@@ -45,9 +53,9 @@
 
 test('entries of other zones leave slots to near ones', () => {
   const entries = entriesOf(['north', 'south']);
-  const far = sharePlace(entries[1]!, entries, 'north');
-  expect(allowance(3, far, report(0))).toBe(0);
-  expect(allowance(5, far, report(0))).toBe(2);
+  const far = slotShareOf(entries[1]!, entries, 'north');
+  expect(slotAllowance(3, far, report(0))).toBe(0);
+  expect(slotAllowance(5, far, report(0))).toBe(2);
 });
 
 // All engines of a zone are lost. Its callers are served by engines of other
@@ -57,7 +65,7 @@
   const given = entries
     .slice(1)
     .map(entry =>
-      allowance(16, sharePlace(entry, entries, 'north'), report(0)),
+      slotAllowance(16, slotShareOf(entry, entries, 'north'), report(0)),
     );
   expect(given.reduce((sum, slots) => sum + slots, 0)).toBe(2);
 });
@@ -65,7 +73,7 @@
 test('with no entry in an engine’s zone all of them share it', () => {
   const entries = entriesOf(['north', 'south']);
   const given = entries.map(entry =>
-    allowance(2, sharePlace(entry, entries, 'west'), report(0)),
+    slotAllowance(2, slotShareOf(entry, entries, 'west'), report(0)),
   );
   expect(given).toEqual([1, 1]);
 });
@@ -82,10 +90,10 @@
       (size, step, first) => {
         const entries = entriesOf(Array<string>(size).fill('north'));
         const given = entries.map(entry => {
-          const place = sharePlace(entry, entries, 'north');
+          const place = slotShareOf(entry, entries, 'north');
           let slots = 0;
           for (let count = 0; count < reports; count += 1) {
-            slots += allowance(1, place, report(first + count * step));
+            slots += slotAllowance(1, place, report(first + count * step));
           }
           return slots;
         });
@@ -104,10 +112,12 @@
 // alone an entry has its turn at all engines in one report, and at none in others.
 test('engines whose reports are counted alike give turns to different entries', () => {
   const entries = entriesOf(Array<string>(15).fill('north'));
-  const place = sharePlace(entries[0]!, entries, 'north');
+  const place = slotShareOf(entries[0]!, entries, 'north');
   const engines = Array.from({length: 12}, (_, index) => `engine-${index}:1`);
   const withoutTurn = Array.from({length: 500}, (_, sequence) =>
-    engines.every(engine => allowance(8, place, report(sequence, engine)) < 1),
+    engines.every(
+      engine => slotAllowance(8, place, report(sequence, engine)) < 1,
+    ),
   ).filter(isWithout => isWithout).length;
   // 0.8 to the power of 12 is 0.07.
   expect(withoutTurn / 500).toBeLessThan(0.12);
--- a/test/placement/cold_targets.test.ts
+++ b/test/placement/cold_targets.test.ts
@@ -1,8 +1,8 @@
 import {
   createColdTargets,
-  createPacedSends,
-  createTargetBook,
-  nameOfLife,
+  createSendPacer,
+  createTargetRegistry,
+  targetIncarnationKey,
   type ColdStart,
 } from '@hibiscusbeam/core';
 import {expect, test} from 'vitest';
@@ -49,21 +49,21 @@
   cold.list([at(5_000)], 0);
   cold.report({address: 'engine:1', born: 200}, 0);
   expect(cold.all(0)).toEqual([]);
-  expect(cold.rateOf(nameOfLife(at(0)), 0)).toBeUndefined();
+  expect(cold.rateOf(targetIncarnationKey(at(0)), 0)).toBeUndefined();
 });
 
 test('the rate of a target that becomes warm grows from that of a cold one', () => {
   const cold = createColdTargets(() => START);
   cold.list([at(1_000)], 0);
   const rates = [999, 1_000, 1_500, 2_000, 2_990].map(now =>
-    cold.rateOf(nameOfLife(at(0)), now),
+    cold.rateOf(targetIncarnationKey(at(0)), now),
   );
   expect(rates.slice(0, 2)).toEqual([14, 14]);
   for (const [index, rate = 0] of rates.entries()) {
     expect(rate).toBeGreaterThanOrEqual(rates[index - 1] ?? 0);
     expect(rate).toBeLessThanOrEqual(2.9 * (rates[index - 1] ?? 14));
   }
-  expect(cold.rateOf(nameOfLife(at(0)), 3_000)).toBeUndefined();
+  expect(cold.rateOf(targetIncarnationKey(at(0)), 3_000)).toBeUndefined();
 });
 
 // A whole zone returns cold under full load; each entry hears of it at another
@@ -78,10 +78,10 @@
     let now = 0;
     const site = entries.map((self, index) => {
       const cold = createColdTargets(() => START);
-      const paced = createPacedSends({
+      const paced = createSendPacer({
         self,
         rateOf: life => cold.rateOf(life, now),
-        knownPart: () => 1,
+        knownShare: () => 1,
       });
       paced.setSenders(entries);
       return {cold, paced, hearsAt: (index * 340) % HEARTBEAT};
@@ -93,7 +93,7 @@
         const beats = Math.floor((now - hearsAt) / HEARTBEAT);
         cold.list([at(START.duration - beats * HEARTBEAT)], now);
         while (paced.maySend(at(0), now)) {
-          paced.noteSend(at(0), now);
+          paced.recordSend(at(0), now);
           times.push(now);
         }
       }
@@ -108,14 +108,14 @@
 );
 
 test('cold targets are left to short prompts while others have room', () => {
-  const book = createTargetBook(
+  const book = createTargetRegistry(
     {instance: 'entry', zone: 'north'},
     () => true,
     () => true,
     {isCold: ({instance}) => instance === 'cold'},
   );
   book.list([engineTarget('cold'), engineTarget('warm', {slots: 20})], 0);
-  const sent = {promptTime: 50, onLifeEnded: () => undefined};
+  const sent = {promptTime: 50, onIncarnationEnded: () => undefined};
   for (let count = 0; count < 4; count += 1) {
     book.begin(engineTarget('warm'), sent);
   }
--- a/test/placement/engine_turns.test.ts
+++ b/test/placement/engine_turns.test.ts
@@ -1,4 +1,4 @@
-import {createTargetBook} from '@hibiscusbeam/core';
+import {createTargetRegistry} from '@hibiscusbeam/core';
 import {expect, test} from 'vitest';
 import {engineLoad, engineNeed, engineTarget} from '../fixtures/placement';
 
@@ -11,7 +11,7 @@
 function booksOfIdleEngine(slots: number) {
   const target = engineTarget('engine', {slots});
   return ENTRIES.map(entry => {
-    const book = createTargetBook(entry);
+    const book = createTargetRegistry(entry);
     book.setEntries(ENTRIES);
     book.list([target], 0);
     book.report(engineLoad('engine', {held: target.held ?? []}), 0);
@@ -19,7 +19,7 @@
   });
 }
 
-const mayStart = (book: ReturnType<typeof createTargetBook>, now: number) =>
+const mayStart = (book: ReturnType<typeof createTargetRegistry>, now: number) =>
   book.choose(engineNeed({now})).kind === 'chosen';
 
 // An idle engine is reported on each 500 ms. Three of 14 entries have a turn at a
@@ -37,6 +37,6 @@
 test('an entry fills no more than its part before the next report', () => {
   const [book] = booksOfIdleEngine(12).filter(each => mayStart(each, 0));
   const target = engineTarget('engine', {slots: 12});
-  book!.begin(target, {promptTime: 1, onLifeEnded: () => undefined});
+  book!.begin(target, {promptTime: 1, onIncarnationEnded: () => undefined});
   expect([0, 150, 250, 350].some(now => mayStart(book!, now))).toBe(false);
 });
--- a/test/placement/evacuated_zones.test.ts
+++ b/test/placement/evacuated_zones.test.ts
@@ -1,6 +1,6 @@
 import {
   createEvacuations,
-  createTargetBook,
+  createTargetRegistry,
   type EvacuationChange,
 } from '@hibiscusbeam/core';
 import fc from 'fast-check';
@@ -10,7 +10,7 @@
 
 function siteWith(...evacuated: string[]) {
   const zones = new Set(evacuated);
-  const book = createTargetBook(
+  const book = createTargetRegistry(
     {instance: 'entry', zone: 'north'},
     () => true,
     () => true,
--- a/test/placement/named_versions.test.ts
+++ b/test/placement/named_versions.test.ts
@@ -7,9 +7,9 @@
   const versions = createNamedVersions(8_000);
   versions.name('model', 2, 0);
   versions.name('model', 3, 4_000);
-  expect(versions.least('model', 7_999, 0)).toBeUndefined();
-  expect(versions.least('model', 8_000, 0)).toBe(2);
-  expect(versions.least('model', 12_000, 0)).toBe(3);
+  expect(versions.oldestAllowed('model', 7_999, 0)).toBeUndefined();
+  expect(versions.oldestAllowed('model', 8_000, 0)).toBe(2);
+  expect(versions.oldestAllowed('model', 12_000, 0)).toBe(3);
 });
 
 // An entry starts anew six seconds after a version was named. Counted from its
@@ -20,8 +20,8 @@
   expect(versions.name('model', 2, -1_000)).toBe(false);
   expect(versions.name('model', 3, 1_000)).toBe(false);
   versions.name('model', 3, 5_000);
-  expect(versions.least('model', 7_000, 0)).toBe(2);
-  expect(versions.least('model', 9_000, 0)).toBe(3);
+  expect(versions.oldestAllowed('model', 7_000, 0)).toBe(2);
+  expect(versions.oldestAllowed('model', 9_000, 0)).toBe(3);
   const [two, three] = versions.recent();
   expect(two).toMatchObject({version: 2, knownSince: -1_000});
   expect(three).toMatchObject({version: 3, knownSince: 1_000});
--- a/test/placement/rate_limits.test.ts
+++ b/test/placement/rate_limits.test.ts
@@ -6,7 +6,7 @@
   let now = 0;
   const limits = createRateLimits(() => now);
   const answer = (rate: number | undefined, sentAt: number): boolean =>
-    limits.noteAnswer({life: 'engine', rate, sentAt});
+    limits.recordAnswer({life: 'engine', rate, sentAt});
   return {
     limits,
     answer,
--- a/test/placement/residency.test.ts
+++ b/test/placement/residency.test.ts
@@ -1,9 +1,9 @@
 import {
   ANYWHERE,
   chooseEntries,
-  createTargetBook,
+  createTargetRegistry,
   destinationsOf,
-  type PlaceNeed,
+  type PlacementRequest,
 } from '@hibiscusbeam/core';
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
@@ -20,7 +20,7 @@
 const ZONES = [...REGIONS.keys(), 'unknown'];
 
 function createBook(evacuated: ReadonlySet<string> = new Set()) {
-  const book = createTargetBook(
+  const book = createTargetRegistry(
     {instance: 'entry', zone: 'north'},
     () => true,
     () => true,
@@ -36,7 +36,7 @@
   return book;
 }
 
-const within = (...regions: string[]): Partial<PlaceNeed> => ({
+const within = (...regions: string[]): Partial<PlacementRequest> => ({
   destinations: {kind: 'regions', regions: new Set(regions)},
 });
 
@@ -119,7 +119,7 @@
             break;
           case 'fail': {
             const failed = plainTarget(`${one.zone}-1`, {zone: one.zone});
-            book.noteRefusedConnection(failed, 0);
+            book.recordRefusedConnection(failed, 0);
             break;
           }
           case 'choose': {
