--- a/test/placement/paced_sends.test.ts
+++ b/test/placement/send_pacer.test.ts
@@ -1,4 +1,4 @@
-import {createPacedSends, type PacedSends} from '@hibiscusbeam/core';
+import {createSendPacer, type SendPacer} from '@hibiscusbeam/core';
 import {expect, test} from 'vitest';
 
 const STEP = 20;
@@ -16,10 +16,10 @@
 
 function startPacing(self: Entry, known: readonly Entry[], rate: number) {
   const site = {part: 1};
-  const paced = createPacedSends({
+  const paced = createSendPacer({
     self,
     rateOf: () => rate,
-    knownPart: () => site.part,
+    knownShare: () => site.part,
   });
   paced.setSenders(known);
   return {paced, site};
@@ -27,7 +27,7 @@
 
 /** Times of all sends, each entry having more requests than it may send. */
 function sendAll(
-  entries: readonly PacedSends[],
+  entries: readonly SendPacer[],
   from: number,
   until: number,
 ): number[] {
@@ -35,7 +35,7 @@
   for (let now = from; now < until; now += STEP) {
     for (const paced of entries) {
       while (paced.maySend(target, now)) {
-        paced.noteSend(target, now);
+        paced.recordSend(target, now);
         times.push(now);
       }
     }
@@ -103,10 +103,10 @@
 
 test('a target that names no limit is not held back', () => {
   const [self] = entriesOf(1);
-  const paced = createPacedSends({
+  const paced = createSendPacer({
     self: self!,
     rateOf: () => undefined,
-    knownPart: () => 0,
+    knownShare: () => 0,
   });
   const sends = Array.from({length: 50}, () => paced.maySend(target, 0));
   expect(sends).not.toContain(false);
--- a/test/placement/spreading_load.test.ts
+++ b/test/placement/spreading_load.test.ts
@@ -1,8 +1,8 @@
 import {
-  createTargetBook,
+  createTargetRegistry,
   hash32,
   type ListedTarget,
-  type RequestInHand,
+  type InFlightRequest,
   type SendingEntry,
 } from '@hibiscusbeam/core';
 import {expect, test} from 'vitest';
@@ -57,7 +57,7 @@
     (_, index) => ({instance: `entry-${index}`, zone: 'north'}),
   );
   const books = entries.map(entry => {
-    const book = createTargetBook(entry);
+    const book = createTargetRegistry(entry);
     book.list(
       engines.map(({target}) => target),
       0,
@@ -88,14 +88,14 @@
     const {target} = choice;
     const inHand = book.begin(target, {
       promptTime: prompt,
-      onLifeEnded: () => undefined,
+      onIncarnationEnded: () => undefined,
     });
     serve(
       engines.find(engine => engine.target === target)!,
       inHand,
     );
 
-    function serve(engine: Engine, request: RequestInHand): void {
+    function serve(engine: Engine, request: InFlightRequest): void {
       engine.running += 1;
       engine.readUntil = Math.max(engine.readUntil, now) + prompt;
       const firstAt = engine.readUntil + PASS * next();
--- a/test/placement/target_lives.test.ts
+++ b/test/placement/target_incarnations.test.ts
@@ -1,4 +1,4 @@
-import {createTargetBook} from '@hibiscusbeam/core';
+import {createTargetRegistry} from '@hibiscusbeam/core';
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
 import {propertySettings} from '../fixtures/property_settings';
@@ -18,7 +18,7 @@
 const need = (now: number) => engineNeed({now});
 
 function createBook() {
-  return createTargetBook({instance: 'entry', zone: 'north'});
+  return createTargetRegistry({instance: 'entry', zone: 'north'});
 }
 
 // An engine starts again under its id and holds nothing. Its agent reports so
@@ -58,7 +58,7 @@
   const other = {...line(undefined), instance: 'other', address: 'other:1'};
   const far = {...other, zone: 'south'};
   book.list([line(100), far], 0);
-  for (let count = 0; count < 4; count += 1) book.noteFailure(line(100), 10);
+  for (let count = 0; count < 4; count += 1) book.recordFailure(line(100), 10);
   expect(book.choose(need(20))).toMatchObject({target: {instance: 'other'}});
   book.list([line(200), far], 30);
   expect(book.choose(need(40))).toMatchObject({target: {instance: 'engine'}});
@@ -70,10 +70,13 @@
   const book = createBook();
   book.list([line(100)], 0);
   let ended = 0;
-  book.begin(line(100), {promptTime: 0, onLifeEnded: () => (ended += 1)});
+  book.begin(line(100), {
+    promptTime: 0,
+    onIncarnationEnded: () => (ended += 1),
+  });
   const inHand = book.begin(line(100), {
     promptTime: 0,
-    onLifeEnded: () => (ended += 10),
+    onIncarnationEnded: () => (ended += 10),
   });
   inHand.end();
   book.report(word(200, []), 10);
@@ -89,7 +92,10 @@
   const plain = (born: number) => ({...line(born), held: undefined});
   book.list([plain(100)], 0);
   let ended = 0;
-  book.begin(plain(100), {promptTime: 0, onLifeEnded: () => (ended += 1)});
+  book.begin(plain(100), {
+    promptTime: 0,
+    onIncarnationEnded: () => (ended += 1),
+  });
   book.list([plain(200)], 10);
   expect(ended).toBe(0);
 });
@@ -110,7 +116,7 @@
 test('what a target denies is not believed until there is news of it', () => {
   const book = createBook();
   book.list([line(100)], 0);
-  book.noteMisdirected(line(100), 10);
+  book.recordMisdirected(line(100), 10);
   book.list([line(100)], 20);
   expect(book.choose(need(30))).toEqual({kind: 'none'});
   book.report(word(100), 40);
@@ -120,7 +126,7 @@
 test('a line that changes is believed again', () => {
   const book = createBook();
   book.list([line(100, [])], 0);
-  book.noteMisdirected(line(100, []), 10);
+  book.recordMisdirected(line(100, []), 10);
   book.list([line(100)], 20);
   expect(book.choose(need(30))).toMatchObject({kind: 'chosen'});
 });
--- a/test/placement/target_book.test.ts
+++ b/test/placement/target_registry.test.ts
@@ -1,4 +1,4 @@
-import {createTargetBook, type ListedTarget} from '@hibiscusbeam/core';
+import {createTargetRegistry, type ListedTarget} from '@hibiscusbeam/core';
 import {expect, test} from 'vitest';
 import {
   engineLoad as load,
@@ -12,7 +12,7 @@
   engineTarget(instance, {zone});
 
 function bookOf(...targets: ListedTarget[]) {
-  const book = createTargetBook(self);
+  const book = createTargetRegistry(self);
   book.list(targets, 0);
   return book;
 }
@@ -33,7 +33,10 @@
   for (;;) {
     const choice = book.choose(need());
     if (choice.kind !== 'chosen') break;
-    book.begin(choice.target, {promptTime: 0, onLifeEnded: () => undefined});
+    book.begin(choice.target, {
+      promptTime: 0,
+      onIncarnationEnded: () => undefined,
+    });
     sent += 1;
   }
   expect(sent).toBe(3);
@@ -57,7 +60,7 @@
 test('sends nothing to an engine with an older version than may start', () => {
   const book = bookOf(engine('one'), engine('two'));
   book.report(load('two', {held: [{model: 'model', version: 2}]}), 0);
-  const choice = book.choose(need({leastVersion: 2}));
+  const choice = book.choose(need({minVersion: 2}));
   expect(choice).toMatchObject({target: {instance: 'two'}});
   const {target} = choice as {readonly target: ListedTarget};
   expect(book.heldVersion(target, 'model', 0)).toBe(2);
@@ -84,13 +87,16 @@
 test('a target that fails twice is left alone for a while', () => {
   const book = bookOf(engine('one'), engine('two'));
   const one = engine('one');
-  book.noteFailure(one, 0);
-  book.noteFailure(one, 0);
+  book.recordFailure(one, 0);
+  book.recordFailure(one, 0);
   for (let count = 0; count < 4; count += 1) {
     const choice = book.choose(need({now: 100}));
     expect(choice).toMatchObject({target: {instance: 'two'}});
     if (choice.kind === 'chosen') {
-      book.begin(choice.target, {promptTime: 0, onLifeEnded: () => undefined});
+      book.begin(choice.target, {
+        promptTime: 0,
+        onIncarnationEnded: () => undefined,
+      });
     }
   }
 });
@@ -100,6 +106,6 @@
 test('an engine in another zone starts nothing older before its bound', () => {
   const book = bookOf(engine('one', 'south'));
   book.report(load('one'), 0);
-  expect(book.choose(need({leastFarVersion: 2}))).toEqual({kind: 'none'});
+  expect(book.choose(need({minFarVersion: 2}))).toEqual({kind: 'none'});
   expect(book.choose(need())).toMatchObject({kind: 'chosen'});
 });
--- a/test/quarantine/quarantine.test.ts
+++ b/test/quarantine/quarantine.test.ts
@@ -10,7 +10,7 @@
   lives: readonly string[],
 ): void {
   for (const life of lives) {
-    quarantine.noteEnding(fingerprint, {life, endedAt: 1});
+    quarantine.recordEnding(fingerprint, {life, endedAt: 1});
   }
 }
 
@@ -31,11 +31,11 @@
 test('a whole answer resets the endings before it', () => {
   const quarantine = createQuarantine();
   endAll(quarantine, 'request', ['one', 'two', 'three']);
-  expect(quarantine.noteCompletion('request', 2)).toBe(true);
+  expect(quarantine.recordCompletion('request', 2)).toBe(true);
   expect(quarantine.isQuarantined('request')).toBe(false);
   endAll(quarantine, 'request', ['late word of four']);
-  quarantine.noteEnding('request', {life: 'five', endedAt: 3});
-  quarantine.noteEnding('request', {life: 'six', endedAt: 3});
+  quarantine.recordEnding('request', {life: 'five', endedAt: 3});
+  quarantine.recordEnding('request', {life: 'six', endedAt: 3});
   expect(quarantine.isQuarantined('request')).toBe(false);
 });
 
@@ -66,9 +66,9 @@
 
 test('what the site has stored counts without endings seen here', () => {
   const quarantine = createQuarantine();
-  quarantine.noteStored('request', true);
+  quarantine.recordStored('request', true);
   expect(quarantine.isQuarantined('request')).toBe(true);
-  quarantine.noteStored('request', false);
+  quarantine.recordStored('request', false);
   expect(quarantine.isQuarantined('request')).toBe(false);
 });
 
--- a/test/relays/entry_states.test.ts
+++ b/test/relays/entry_states.test.ts
@@ -9,10 +9,16 @@
 test('the newest word of an entry counts, whoever passes it on', () => {
   const states = createEntryStates();
   states.setMembers(members, 0);
-  expect(states.note({instance: 'one', ready: false, heardAt: 200})).toBe(true);
-  expect(states.note({instance: 'one', ready: true, heardAt: 100})).toBe(false);
+  expect(states.record({instance: 'one', ready: false, observedAt: 200})).toBe(
+    true,
+  );
+  expect(states.record({instance: 'one', ready: true, observedAt: 100})).toBe(
+    false,
+  );
   expect(states.isUsable('one', 300)).toBe(false);
-  expect(states.note({instance: 'one', ready: true, heardAt: 300})).toBe(true);
+  expect(states.record({instance: 'one', ready: true, observedAt: 300})).toBe(
+    true,
+  );
   expect(states.isUsable('one', 300)).toBe(true);
 });
 
@@ -21,10 +27,10 @@
 test('an entry that nobody hears of any more is not usable', () => {
   const states = createEntryStates();
   states.setMembers(members, 0);
-  states.note({instance: 'one', ready: true, heardAt: 1_000});
+  states.record({instance: 'one', ready: true, observedAt: 1_000});
   expect(states.isUsable('one', 5_999)).toBe(true);
   expect(states.isUsable('one', 6_000)).toBe(false);
-  expect(states.heard(6_000)).toEqual([]);
+  expect(states.recentStates(6_000)).toEqual([]);
 });
 
 test('a new member counts as ready until its first word is due', () => {
@@ -39,7 +45,7 @@
 test('a new life starts unheard', () => {
   const states = createEntryStates();
   states.setMembers(members, 0);
-  states.note({instance: 'one', ready: false, heardAt: 1_000});
+  states.record({instance: 'one', ready: false, observedAt: 1_000});
   states.setMembers([{instance: 'one', life: 'one-2'}], 2_000);
   expect(states.isUsable('one', 2_100)).toBe(true);
   expect(states.isUsable('two', 2_100)).toBe(false);
--- a/test/relays/relay_choice.test.ts
+++ b/test/relays/relay_choice.test.ts
@@ -94,7 +94,7 @@
 
 test('a process that fell silent is asked again after five seconds', () => {
   const silent = createSilentPeers();
-  silent.note('life', 1_000);
+  silent.record('life', 1_000);
   expect(silent.isSilent('life', 5_999)).toBe(true);
   expect(silent.isSilent('life', 6_000)).toBe(false);
   expect(silent.isSilent('other', 1_000)).toBe(false);
--- a/test/relays/report_need.test.ts
+++ b/test/relays/report_due.test.ts
@@ -1,5 +1,5 @@
 import {
-  createReportOrder,
+  createStaleReportFilter,
   isReportDue,
   reportChange,
   type ReportedState,
@@ -75,17 +75,17 @@
 });
 
 test('of two relays that pass on the same engine, the older report is dropped', () => {
-  const order = createReportOrder();
-  expect(order.takes('one', 5, 0)).toBe(true);
-  expect(order.takes('one', 5, 10)).toBe(false);
-  expect(order.takes('one', 4, 10)).toBe(false);
-  expect(order.takes('other', 4, 10)).toBe(true);
-  expect(order.takes('one', 6, 20)).toBe(true);
+  const order = createStaleReportFilter();
+  expect(order.accepts('one', 5, 0)).toBe(true);
+  expect(order.accepts('one', 5, 10)).toBe(false);
+  expect(order.accepts('one', 4, 10)).toBe(false);
+  expect(order.accepts('other', 4, 10)).toBe(true);
+  expect(order.accepts('one', 6, 20)).toBe(true);
 });
 
 test('an agent that starts anew with a lower sequence is heard after 2 s', () => {
-  const order = createReportOrder();
-  order.takes('one', 500, 0);
-  expect(order.takes('one', 1, 1_999)).toBe(false);
-  expect(order.takes('one', 1, 2_000)).toBe(true);
+  const order = createStaleReportFilter();
+  order.accepts('one', 500, 0);
+  expect(order.accepts('one', 1, 1_999)).toBe(false);
+  expect(order.accepts('one', 1, 2_000)).toBe(true);
 });
--- a/test/relays/table_reader.test.ts
+++ b/test/relays/table_reader.test.ts
@@ -1,4 +1,4 @@
-import {leavesReadingTo, type TableReader} from '@hibiscusbeam/core';
+import {defersReadingTo, type TableReader} from '@hibiscusbeam/core';
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
 import {propertySettings} from '../fixtures/property_settings';
@@ -17,7 +17,7 @@
   fc.assert(
     fc.property(relays, ([one, other]) => {
       const both =
-        leavesReadingTo(one!, other!) && leavesReadingTo(other!, one!);
+        defersReadingTo(one!, other!) && defersReadingTo(other!, one!);
       expect(both).toBe(false);
     }),
     propertySettings(500),
@@ -28,8 +28,8 @@
   const near: TableReader = {instance: 'z', storeDistance: 4.3};
   const alsoNear: TableReader = {instance: 'y', storeDistance: 4.6};
   const far: TableReader = {instance: 'a', storeDistance: 6.3};
-  expect(leavesReadingTo(far, near)).toBe(true);
-  expect(leavesReadingTo(near, far)).toBe(false);
-  expect(leavesReadingTo(near, alsoNear)).toBe(true);
-  expect(leavesReadingTo(alsoNear, near)).toBe(false);
+  expect(defersReadingTo(far, near)).toBe(true);
+  expect(defersReadingTo(near, far)).toBe(false);
+  expect(defersReadingTo(near, alsoNear)).toBe(true);
+  expect(defersReadingTo(alsoNear, near)).toBe(false);
 });
--- a/test/requests/at_most_once.test.ts
+++ b/test/requests/at_most_once.test.ts
@@ -2,7 +2,11 @@
 import {describe, expect, test} from 'vitest';
 import {propertySettings} from '../fixtures/property_settings';
 import {answerTo} from './fake_agent';
-import {runWorld, type Call, type WorldReport} from './world';
+import {
+  runSimulation,
+  type Call,
+  type SimulationReport,
+} from './request_simulation';
 
 const choices = fc.array(
   fc.record({which: fc.nat(10_000), how: fc.nat(10_000)}),
@@ -17,10 +21,10 @@
 
 const RUNS = 1500;
 
-function everyWorld(check: (report: WorldReport) => void): void {
+function checkEverySimulation(check: (report: SimulationReport) => void): void {
   fc.assert(
     fc.property(choices, bounds, (chosen, bound) => {
-      check(runWorld(chosen, bound));
+      check(runSimulation(chosen, bound));
     }),
     propertySettings(RUNS),
   );
@@ -42,11 +46,11 @@
 // later, or the answer to another notice, are as bad.
 describe('a call that may not be repeated', () => {
   test('runs at most once per key', () => {
-    everyWorld(({runs}) => expect(runs).toBeLessThanOrEqual(1));
+    checkEverySimulation(({runs}) => expect(runs).toBeLessThanOrEqual(1));
   });
 
   test('never runs after it was reported as not run', () => {
-    everyWorld(({calls, runsOf}) => {
+    checkEverySimulation(({calls, runsOf}) => {
       for (const {result, attempts} of calls) {
         if (result?.outcome.kind !== 'notRun') continue;
         expect(attempts.map(runsOf).filter(count => count > 0)).toEqual([]);
@@ -55,7 +59,7 @@
   });
 
   test('gets exactly its own whole answer or none', () => {
-    everyWorld(({calls}) => {
+    checkEverySimulation(({calls}) => {
       for (const call of calls.filter(isAnswered)) {
         const {attempt} = call.result!.answer!;
         const whole = answerTo(attempt, call.body);
@@ -65,7 +69,7 @@
   });
 
   test('always ends', () => {
-    everyWorld(({calls, waiting}) => {
+    checkEverySimulation(({calls, waiting}) => {
       expect(waiting).toBe(0);
       const open = calls.filter(({killed, result}) => !killed && !result);
       expect(open).toEqual([]);
@@ -73,7 +77,7 @@
   });
 
   test('is answered the same once its answer is recorded', () => {
-    everyWorld(({calls, recorded, lastRetry}) => {
+    checkEverySimulation(({calls, recorded, lastRetry}) => {
       expect(new Set(recorded).size).toBeLessThanOrEqual(1);
       const answers = calls.filter(isAnswered).map(textsOf);
       for (const answer of answers) expect(answer).toEqual(answers[0]);
@@ -86,7 +90,7 @@
   const seen = new Map<string, number>();
   fc.assert(
     fc.property(choices, bounds, (chosen, bound) => {
-      for (const {result} of runWorld(chosen, bound).calls) {
+      for (const {result} of runSimulation(chosen, bound).calls) {
         const outcome = result?.outcome;
         const kind =
           outcome?.kind === 'notRun'
--- a/test/requests/attempt_registry.test.ts
+++ b/test/requests/attempt_registry.test.ts
@@ -17,7 +17,7 @@
   maximumRecords: fc.integer({min: 1, max: 4}),
   maximumSenders: fc.integer({min: 1, max: 3}),
   answerBytes: fc.constantFrom(0, 1000, 5000),
-  answersKeptFor: fc.constant(50),
+  answerRetention: fc.constant(50),
   retryAfter: fc.constant(10),
 });
 const step = fc.record({
@@ -36,21 +36,21 @@
       fc.property(bounds, fc.array(step, {maxLength: 60}), (options, steps) => {
         const registry = createAttemptRegistry(options);
         const started = new Set<string>();
-        const disclaimed = new Set<string>();
+        const reportedNotRun = new Set<string>();
         steps.forEach((chosen, now) => {
           const {sender, sequence, incarnation} = chosen;
           const attempt = formatAttempt({sender: `entry-${sender}`, sequence});
           switch (chosen.kind) {
             case 'start': {
               const decision = registry.start(attempt, incarnation, now);
-              if (decision.kind === 'refused') disclaimed.add(attempt);
+              if (decision.kind === 'refused') reportedNotRun.add(attempt);
               if (decision.kind === 'refused') {
                 expect(started).not.toContain(attempt);
               }
               if (decision.kind !== 'start') break;
               expect(incarnation).toBe(INCARNATION);
               expect(started).not.toContain(attempt);
-              expect(disclaimed).not.toContain(attempt);
+              expect(reportedNotRun).not.toContain(attempt);
               started.add(attempt);
               break;
             }
@@ -58,7 +58,7 @@
               const {state} = registry.tombstone(attempt, incarnation);
               if (state !== 'tombstoned') break;
               expect(started).not.toContain(attempt);
-              disclaimed.add(attempt);
+              reportedNotRun.add(attempt);
               break;
             }
             case 'finish': {
@@ -73,10 +73,10 @@
           }
           if (chosen.kind === 'start' && chosen.answered) {
             // The target itself refused: it never did any of the work.
-            const away = registry.turnedAway(attempt, 'queueFull');
+            const away = registry.recordTargetRefusal(attempt, 'queueFull');
             if (away !== undefined) {
               started.delete(attempt);
-              disclaimed.add(attempt);
+              reportedNotRun.add(attempt);
             }
           }
           const {running, records, senders, answerBytes} = registry.sizes();
@@ -97,7 +97,7 @@
       maximumRecords: 9,
       maximumSenders: 9,
       answerBytes: 5000,
-      answersKeptFor: 50,
+      answerRetention: 50,
       retryAfter: 10,
     });
     expect(registry.start('entry#1', INCARNATION, 0).kind).toBe('start');
--- a/test/requests/evidence.test.ts
+++ b/test/requests/evidence.test.ts
@@ -5,7 +5,7 @@
   createOwnAttempt,
   DEFAULT_AT_MOST_ONCE_LIMITS,
   readClaim,
-  tombstoned,
+  evidenceOfTombstone,
   writeClaim,
   type AttemptEvent,
   type RequestReply,
@@ -61,12 +61,16 @@
       incarnation: 4,
       state: 'tombstoned',
     } as const;
-    expect(tombstoned(address, answer)).toBeDefined();
-    expect(tombstoned(address, {...answer, incarnation: 5})).toBeUndefined();
+    expect(evidenceOfTombstone(address, answer)).toBeDefined();
     expect(
-      tombstoned(address, {...answer, attempt: 'entry#2'}),
+      evidenceOfTombstone(address, {...answer, incarnation: 5}),
+    ).toBeUndefined();
+    expect(
+      evidenceOfTombstone(address, {...answer, attempt: 'entry#2'}),
+    ).toBeUndefined();
+    expect(
+      evidenceOfTombstone(address, {...answer, state: 'started'}),
     ).toBeUndefined();
-    expect(tombstoned(address, {...answer, state: 'started'})).toBeUndefined();
   });
 
   test('is built in one file only', () => {
@@ -150,7 +154,7 @@
     createDigester: createSha256Digester,
     limits: DEFAULT_AT_MOST_ONCE_LIMITS,
   });
-  const standing = row && {
+  const existingRow = row && {
     key: 'claims/w/k',
     version: 3,
     value: writeClaim(row),
@@ -161,9 +165,9 @@
         return {kind: 'choice', choice: {kind: 'target', ...destination}};
       case 'commit': {
         now += commitTime;
-        const failed = [{key: 'claims/w/k', row: standing}];
+        const failed = [{key: 'claims/w/k', row: existingRow}];
         const result = Ok(
-          standing
+          existingRow
             ? ({kind: 'conditionFailed', failed} as const)
             : ({kind: 'committed'} as const),
         );
--- a/test/requests/fake_agent.ts
+++ b/test/requests/fake_agent.ts
@@ -80,23 +80,23 @@
   onIncarnation: (incarnation: number) => void,
 ): FakeAgent {
   let incarnation = 1;
-  let lives = [createLife()];
+  let registries = [createRegistry()];
   let runs: readonly Run[] = [];
   let leaving = false;
   onIncarnation(incarnation);
 
-  function createLife(): AttemptRegistry {
+  function createRegistry(): AttemptRegistry {
     return createAttemptRegistry({
       incarnation,
       maximumSenders: 100,
-      answersKeptFor: 10_000,
+      answerRetention: 10_000,
       retryAfter: 10,
       ...bounds,
     });
   }
 
   function life(old: boolean): AttemptRegistry {
-    const found = old ? lives[0] : lives.at(-1);
+    const found = old ? registries[0] : registries.at(-1);
     if (found === undefined) throw new Error('no life');
     return found;
   }
@@ -135,13 +135,14 @@
     restart(oldLife) {
       incarnation += 1;
       const old = life(false);
-      lives = oldLife === 'paused' ? [old, createLife()] : [createLife()];
-      runs = runs.filter(run => lives.includes(run.life));
+      registries =
+        oldLife === 'paused' ? [old, createRegistry()] : [createRegistry()];
+      runs = runs.filter(run => registries.includes(run.life));
       onIncarnation(incarnation);
     },
     toggleLeaving() {
       leaving = !leaving;
-      for (const registry of lives) registry.setLeaving(leaving);
+      for (const registry of registries) registry.setLeaving(leaving);
     },
     finish(run, how) {
       runs = runs.filter(other => other !== run);
--- a/test/requests/group_commit.test.ts
+++ b/test/requests/group_commit.test.ts
@@ -10,7 +10,7 @@
 import {propertySettings} from '../fixtures/property_settings';
 import {createFakeTable} from './fake_table';
 
-const MAXIMUM_ROWS = 5;
+const MAX_ROWS = 5;
 const WINDOW = 5;
 const LOST = Err({kind: 'replyLost', detail: ''} as const);
 const DOWN = Err({kind: 'unavailable', detail: ''} as const);
@@ -48,7 +48,7 @@
         (chosen, failing, inFlight) => {
           const table = createFakeTable();
           const group = createGroupCommit({
-            maximumRows: MAXIMUM_ROWS,
+            maximumRows: MAX_ROWS,
             window: WINDOW,
             maximumInFlight: inFlight,
           });
@@ -77,9 +77,7 @@
               );
             });
             for (const {batch, transaction} of group.takeDue(now)) {
-              expect(transaction.writes.length).toBeLessThanOrEqual(
-                MAXIMUM_ROWS,
-              );
+              expect(transaction.writes.length).toBeLessThanOrEqual(MAX_ROWS);
               const written = transaction.writes.map(({key}) => key);
               expect(new Set(written).size).toBe(written.length);
               const reply = apply(transaction);
@@ -114,7 +112,7 @@
 
   test('lets nobody wait for a batch whose failure names no member', () => {
     const group = createGroupCommit({
-      maximumRows: MAXIMUM_ROWS,
+      maximumRows: MAX_ROWS,
       window: 0,
       maximumInFlight: 1,
     });
--- a/test/requests/repeatable.test.ts
+++ b/test/requests/repeatable.test.ts
@@ -15,7 +15,7 @@
 
 const DEADLINE = 1000;
 const SILENCE = 100;
-const TRIES = 4;
+const MAX_ATTEMPTS = 4;
 
 type Damage =
   | {readonly kind: 'lost' | 'doubled' | 'crossed'; readonly at: number}
@@ -39,10 +39,10 @@
   readonly endedAt: number;
 }
 
-const LENGTH = 4;
+const ANSWER_FRAMES = 4;
 
 function textFor(version: string, wording: string): readonly Uint8Array[] {
-  return Array.from({length: LENGTH}, (_value, position) =>
+  return Array.from({length: ANSWER_FRAMES}, (_value, position) =>
     // Two versions often begin alike.
     bytesOf(position === 0 ? 'alike' : `${version}/${wording}/${position}`),
   );
@@ -72,7 +72,7 @@
       (content, sequence) =>
         ({kind: 'data', attempt, sequence, content}) as const,
     ),
-    {kind: 'end', attempt, frameCount: LENGTH, digest: digestOf(frames)},
+    {kind: 'end', attempt, frameCount: ANSWER_FRAMES, digest: digestOf(frames)},
   ];
   return script.damage.reduce(damageStream, events);
 }
@@ -118,7 +118,12 @@
     now: () => now,
     createAttempt: createAttemptSource('entry.1'),
     createDigester: createSha256Digester,
-    limits: {answerBytes: 1000, tries: TRIES, silence: SILENCE, retryAfter: 9},
+    limits: {
+      answerBytes: 1000,
+      maxAttempts: MAX_ATTEMPTS,
+      silence: SILENCE,
+      retryAfter: 9,
+    },
     spendRetry() {
       if (retries >= retryBudget) return false;
       retries += 1;
@@ -248,7 +253,7 @@
       expect(possible).toContainEqual(contents);
       expect(frames.at(-1)).toEqual({
         kind: 'end',
-        frameCount: LENGTH,
+        frameCount: ANSWER_FRAMES,
         digest: digestOf(contents),
       });
     });
@@ -277,7 +282,7 @@
   test('keeps to its tries, its retry budget and its deadline', () => {
     everyCase(({dispatched, retries, endedAt}) => {
       expect(dispatched.length).toBeLessThanOrEqual(
-        Math.min(TRIES, retries + 1),
+        Math.min(MAX_ATTEMPTS, retries + 1),
       );
       expect(endedAt).toBeLessThanOrEqual(DEADLINE + 10);
       const attempts = dispatched.map(({attempt}) => attempt);
@@ -307,7 +312,12 @@
     now: () => now,
     createAttempt: createAttemptSource('entry.1'),
     createDigester: createSha256Digester,
-    limits: {answerBytes: 1000, tries: 1, silence: SILENCE, retryAfter: 9},
+    limits: {
+      answerBytes: 1000,
+      maxAttempts: 1,
+      silence: SILENCE,
+      retryAfter: 9,
+    },
     spendRetry: () => true,
   });
   const foreign = {kind: 'failed', attempt: 'another#1', detail: ''} as const;
--- a/test/requests/world.ts
+++ b/test/requests/request_simulation.ts
@@ -20,10 +20,10 @@
 import {createSha256Digester} from './sha256_digester';
 
 const DEADLINE = 1000;
-const MOST_CALLS = 6;
+const MAX_CALLS = 6;
 // A benign run takes some 30 steps; this leaves room for every bounded retry.
-const MOST_STEPS_OF_ONE_CALL = 400;
-const BENIGN = 15;
+const MAX_STEPS_PER_CALL = 400;
+const NO_FAULT = 15;
 const FOREIGN = answerTo('another#1', 'another call');
 // Made once: each Err records its stack, which takes most of a step.
 const UNAVAILABLE = Err({kind: 'unavailable', detail: ''} as const);
@@ -48,7 +48,7 @@
 }
 
 /** What a world's checks look at. */
-export interface WorldReport {
+export interface SimulationReport {
   readonly calls: readonly Call[];
   readonly runsOf: (attempt: AttemptId) => number;
   /** Runs of the one key that all calls share. */
@@ -83,10 +83,10 @@
  * choice steps one of them, or makes something fail. After the choices the
  * world heals and runs to its end, late messages included.
  */
-export function runWorld(
+export function runSimulation(
   choices: readonly Choice[],
   bounds: FakeAgentBounds & {readonly inlineAnswerBytes: number},
-): WorldReport {
+): SimulationReport {
   let now = 0;
   let outageSteps = 0;
   /** An agent that takes everything and answers nothing until the end. */
@@ -145,8 +145,8 @@
       limits: {
         answerBytes: 10_000,
         inlineAnswerBytes: bounds.inlineAnswerBytes,
-        targetTries: 3,
-        writeTries: 3,
+        maxTargets: 3,
+        maxWriteAttempts: 3,
         tombstoneTimeout: 50,
         pollInterval: 20,
         retryAfter: 10,
@@ -346,19 +346,19 @@
       () => (now += how % 2 === 0 ? 30 : 2 * DEADLINE),
     ];
     const body = how % 8 === 0 ? 'other' : 'body';
-    const start = () => calls.length < MOST_CALLS && startCall(how % 2, body);
+    const start = () => calls.length < MAX_CALLS && startCall(how % 2, body);
     return [...steps, ...messages, ...ends, start, start, ...disturbances];
   }
 
-  function heal(): void {
+  function endWithoutFaults(): void {
     outageSteps = 0;
-    for (let round = 0; round < MOST_STEPS_OF_ONE_CALL; round += 1) {
+    for (let round = 0; round < MAX_STEPS_PER_CALL; round += 1) {
       while (late.length > 0) deliverLate(0, false);
       for (const agent of agents) {
         if (agent.instance === frozen) continue;
         for (const run of agent.runs()) agent.finish(run, 'answered');
       }
-      const moved = live().filter(call => advance(call, BENIGN));
+      const moved = live().filter(call => advance(call, NO_FAULT));
       if (live().length === 0 && late.length === 0) return;
       if (moved.length === 0) now += 10;
     }
@@ -370,15 +370,15 @@
     possible[which % possible.length]!();
     outageSteps -= 1;
   }
-  heal();
+  endWithoutFaults();
   const standing = table.read(key)?.value as {fingerprint?: string} | undefined;
   const lastRetry = startCall(1, standing?.fingerprint ?? 'body');
-  heal();
+  endWithoutFaults();
   const waiting = live().length;
   // The frozen agent wakes last of all, with everything that was sent to it.
   frozen = undefined;
   late.push(...held);
-  heal();
+  endWithoutFaults();
   const runs = [...runsByAttempt.values()].reduce((sum, one) => sum + one, 0);
   return {
     calls,
--- a/test/routing/ejection.test.ts
+++ b/test/routing/ejection.test.ts
@@ -32,7 +32,7 @@
       if (now % tokenTime !== 0) continue;
       router.record({kind: 'token', attempt, tokens: 1, now});
     }
-    if (now % 100 === 0) router.judge(now);
+    if (now % 100 === 0) router.evaluate(now);
   }
 }
 
@@ -83,7 +83,7 @@
       router.record({kind: 'dispatched', attempt, target, now: 10});
       router.record({kind: 'failed', attempt, now: 20});
     }
-    router.judge(100);
+    router.evaluate(100);
     expect(healthOf(router, 'engine-3', 100)).toBe('ejected');
   });
 
@@ -116,7 +116,7 @@
             now += pause;
             router.record({kind: 'dispatched', attempt, target, now});
             if (ends !== 'silent') router.record({kind: ends, attempt, now});
-            router.judge(now);
+            router.evaluate(now);
             const {targets} = router.dump(now);
             const out = targets.filter(dumped => dumped.health !== 'healthy');
             expect(out.length).toBeLessThanOrEqual(TARGETS.length / 2);
@@ -137,7 +137,7 @@
       router.record({kind: 'dispatched', attempt, target, now: 10});
       router.record({kind: 'failed', attempt, now: 20});
     }
-    router.judge(100);
+    router.evaluate(100);
     for (const target of TARGETS.slice(1)) {
       const report = idleReport(target, {leaving: true});
       router.record({kind: 'reportReceived', report, now: 150});
@@ -148,7 +148,7 @@
   test('probes an ejected target with one request at a time', () => {
     const router = routerWith(TARGETS);
     ejectByFailures(router, 'engine-0');
-    router.judge(6_000);
+    router.evaluate(6_000);
     const probe = router.chooseTarget(modelRequest(6_000)).unwrap();
     expect(probe).toMatchObject({target: 'engine-0', probe: true});
     const {target} = probe;
@@ -162,7 +162,7 @@
         const router = routerWith(TARGETS);
         ejectByFailures(router, ejected);
         let now = 6_000;
-        router.judge(now);
+        router.evaluate(now);
         for (const attempt of ['p1', 'p2']) {
           const target = chosenTarget(router, modelRequest(now));
           expect(target).toBe(ejected);
@@ -170,7 +170,7 @@
           now += 100;
           router.record({kind: 'firstToken', attempt, now});
           router.record({kind: 'finished', attempt, now});
-          router.judge(now);
+          router.evaluate(now);
         }
         expect(healthOf(router, ejected, now)).toBe('healthy');
       }),
@@ -181,14 +181,14 @@
   test('waits longer before each next probe of a target that stays bad', () => {
     const router = routerWith(TARGETS);
     ejectByFailures(router, 'engine-0');
-    router.judge(6_000);
+    router.evaluate(6_000);
     const target = 'engine-0';
     router.record({kind: 'dispatched', attempt: 'p1', target, now: 6_000});
     router.record({kind: 'failed', attempt: 'p1', now: 6_010});
-    router.judge(6_100);
-    router.judge(15_000);
+    router.evaluate(6_100);
+    router.evaluate(15_000);
     expect(healthOf(router, target, 15_000)).toBe('ejected');
-    router.judge(16_200);
+    router.evaluate(16_200);
     expect(healthOf(router, target, 16_200)).toBe('probing');
   });
 });
@@ -198,5 +198,5 @@
     router.record({kind: 'dispatched', attempt, target, now: 10});
     router.record({kind: 'failed', attempt, now: 20});
   }
-  router.judge(100);
+  router.evaluate(100);
 }
--- a/test/routing/fair_queue.test.ts
+++ b/test/routing/fair_queue.test.ts
@@ -1,4 +1,4 @@
-import type {QueuePlace} from '@hibiscusbeam/core';
+import type {QueueClass} from '@hibiscusbeam/core';
 import {createFairQueue} from '@hibiscusbeam/core';
 import * as fc from 'fast-check';
 import {describe, expect, test} from 'vitest';
@@ -10,7 +10,7 @@
 });
 
 function placesOf(weights: readonly number[], priority = 0) {
-  return weights.map((weight, position): QueuePlace => ({
+  return weights.map((weight, position): QueueClass => ({
     workspace: `workspace-${position}`,
     priority,
     weight,
--- a/test/routing/router.test.ts
+++ b/test/routing/router.test.ts
@@ -65,7 +65,7 @@
           const latest = new Map<string, RoutingEvent>();
           for (const event of history) {
             router.record(event);
-            router.judge(event.now);
+            router.evaluate(event.now);
             if (event.kind === 'reportReceived') {
               latest.set(event.report.target, event);
             }
@@ -103,7 +103,7 @@
         const router = createRouter();
         for (const event of history) {
           router.record(event);
-          router.judge(event.now);
+          router.evaluate(event.now);
           const dump = router.dump(event.now);
           const own = dump.targets.map(target => target.ownInFlight);
           expect(own.reduce((sum, count) => sum + count, 0)).toBe(
--- a/test/routing/breaking_off.test.ts
+++ b/test/routing/stalled_attempts.test.ts
@@ -52,7 +52,7 @@
     router.record({kind: 'dispatched', attempt, target, now: 0});
     router.record({kind: 'failed', attempt, now: 1});
   }
-  router.judge(2);
+  router.evaluate(2);
 }
 
 describe('an answer in progress', () => {
@@ -70,7 +70,7 @@
         const router = routerWithTwoTargets();
         stream(router, 'engine-1', left);
         stream(router, 'engine-2', right);
-        router.judge(Math.max(sum(left), sum(right)) + 1);
+        router.evaluate(Math.max(sum(left), sum(right)) + 1);
         expect(router.stalledAttempts()).toEqual([]);
       }),
       propertySettings(500),
@@ -112,7 +112,7 @@
     expect(chosen.unwrap().target).toBe('engine-2');
     const attempt = 'last-resort#1';
     router.record({kind: 'dispatched', attempt, target: 'engine-2', now: 3});
-    router.judge(4);
+    router.evaluate(4);
     expect(router.stalledAttempts()).toEqual([]);
   });
 });
