--- a/packages/fleet/src/agent/agent.ts
+++ b/packages/fleet/src/agent/agent.ts
@@ -27,9 +27,9 @@
   VersionOrigin,
 } from '../ports';
 import type {FleetAgentSettings} from '../settings';
-import {createEngineKeeper, type EngineKeeper} from './engine_keeper';
+import {createEngineManager, type EngineManager} from './engine_manager';
 import {createEngineReports} from './engine_reports';
-import {createOperatorWatch} from './operator_watch';
+import {createOperatorMonitor} from './operator_monitor';
 import {createOriginReader} from './origin_reader';
 import {createPeerAgents} from './peer_agents';
 import {createStagedChunks} from './staged_chunks';
@@ -61,7 +61,7 @@
     ...named,
     name: (...naming) => {
       const isNew = named.name(...naming);
-      if (isNew) keeper.lookNow();
+      if (isNew) engineManager.checkNow();
       return isNew;
     },
   };
@@ -71,7 +71,7 @@
     monotonicClock,
     configurationLog,
   );
-  const operator = createOperatorWatch(
+  const operator = createOperatorMonitor(
     ports.operator,
     versions,
     monotonicClock,
@@ -88,7 +88,7 @@
   const originReader = createOriginReader({
     origin: ports.origin,
     operator,
-    wanted: () => keeper.fetching().map(({content}) => content),
+    wanted: () => engineManager.fetching().map(({content}) => content),
     log: transferLog,
   });
   const swarm: SwarmDriver = createSwarmDriver({
@@ -100,7 +100,9 @@
     ...AGENT_TRANSFER_POLICY,
     linkBytesPerSecond: bytesPerSecond(settings.linkMegabits),
     linkShare: () =>
-      keeper.needsWholeLink() ? 1 : AGENT_TRANSFER_POLICY.shareBesideLive,
+      engineManager.needsWholeLink()
+        ? 1
+        : AGENT_TRANSFER_POLICY.shareBesideLive,
     fetchChunk: (address, digest, signal) =>
       fetchChunkOver(
         peers.channels.at(address),
@@ -133,14 +135,14 @@
   const reports = createEngineReports({
     engineAddress: settings.engine.address,
     zone: settings.zone,
-    namings: namings.tell,
+    namings: namings.list,
     clock: monotonicClock,
     onReply: reply => {
-      namings.take(reply.namings);
-      operator.noteEntry(reply.servicesDigest);
+      namings.merge(reply.namings);
+      operator.recordEntryDigest(reply.servicesDigest);
     },
   });
-  const keeper: EngineKeeper = createEngineKeeper({
+  const engineManager: EngineManager = createEngineManager({
     service: settings.engine.service,
     engine: ports.engine,
     origin: ports.origin,
@@ -157,7 +159,7 @@
     versionBound: settings.bounds.version,
     clock: monotonicClock,
     log: logs('target'),
-    onStanding: reports.offer,
+    onStatus: reports.offer,
   });
 
   const server = await openPeerServer(settings.peerAddress, {
@@ -169,16 +171,16 @@
   });
   operator.start(stopped.signal);
   members.start(stopped.signal);
-  keeper.start(stopped.signal);
+  engineManager.start(stopped.signal);
   void swarm.start();
-  const stopSigns = peers.start();
+  const stopHeartbeats = peers.start();
 
   let finish = (): void => undefined;
   const ended = new Promise<void>(resolve => (finish = resolve));
   const stop = async (): Promise<void> => {
     if (stopped.signal.aborted) return ended;
     stopped.abort();
-    stopSigns();
+    stopHeartbeats();
     swarm.stop();
     await members.leave();
     server.close();
--- a/packages/fleet/src/agent/announcement_link.ts
+++ b/packages/fleet/src/agent/announcement_link.ts
@@ -19,7 +19,7 @@
 const ANSWER_PERIOD: Milliseconds = 200;
 
 /** What the sender does not set itself. */
-export type AnnouncementWords = Omit<Announcement, 'wantsAnswer'>;
+export type AnnouncementContent = Omit<Announcement, 'wantsAnswer'>;
 
 /** What telling a neighbour needs. */
 export interface AnnouncementLinkOptions {
@@ -34,7 +34,7 @@
 
 /** A stream of announcements to one neighbour, opened on first use. */
 export interface AnnouncementLink {
-  readonly send: (announcement: AnnouncementWords) => void;
+  readonly send: (announcement: AnnouncementContent) => void;
   /** Ends the stream by plan. */
   readonly end: () => void;
 }
@@ -52,7 +52,7 @@
   const {address, channels, clock} = options;
   let call: ClientDuplexStream<Announcement, AnnouncementReply> | undefined;
   let answeredAt: MonotonicInstant = -Infinity;
-  let waiting: AnswerTimer | undefined;
+  let answerTimer: AnswerTimer | undefined;
 
   function open(): NonNullable<typeof call> {
     const opened = channels.at(address).announce();
@@ -62,32 +62,32 @@
       answeredAt = clock();
       options.onAnswer(answer);
     });
-    opened.on('error', () => lose(opened));
-    opened.on('end', () => lose(opened));
+    opened.on('error', () => handleLoss(opened));
+    opened.on('end', () => handleLoss(opened));
     return opened;
   }
 
-  function send(announcement: AnnouncementWords): void {
+  function send(announcement: AnnouncementContent): void {
     call ??= open();
-    const isAsking = announcement.asksHeld || announcement.versionDigest === '';
+    const isQuery = announcement.asksHeld || announcement.versionDigest === '';
     const isDue = clock() - answeredAt >= ANSWER_PERIOD;
-    const wantsAnswer = isAsking || (isDue && waiting === undefined);
+    const wantsAnswer = isQuery || (isDue && answerTimer === undefined);
     call.write({...announcement, wantsAnswer});
     if (wantsAnswer) waitFor(call);
   }
 
   function waitFor(asked: NonNullable<typeof call>): void {
-    waiting ??= startAnswerTimer(ANSWER_TIMEOUT, () => lose(asked));
+    answerTimer ??= startAnswerTimer(ANSWER_TIMEOUT, () => handleLoss(asked));
   }
 
   function stopWaiting(): void {
-    waiting?.stop();
-    waiting = undefined;
+    answerTimer?.stop();
+    answerTimer = undefined;
   }
 
   // Failure: an open connection falls silent for good, though new ones work.
   // Guard: the next announcement opens a new one.
-  function lose(lost: NonNullable<typeof call>): void {
+  function handleLoss(lost: NonNullable<typeof call>): void {
     if (lost !== call) return;
     end();
     channels.drop(address);
--- a/packages/fleet/src/agent/content_reader.ts
+++ b/packages/fleet/src/agent/content_reader.ts
@@ -4,7 +4,7 @@
 import type {WantedModel} from './wanted_version';
 
 /** Pause before the origin is asked again for a version's content. */
-const CONTENT_RETRY: Milliseconds = 200;
+const CONTENT_RETRY_DELAY: Milliseconds = 200;
 
 /** Reads from the origin what a version consists of. */
 export interface ContentReader {
@@ -30,12 +30,12 @@
   options: ContentReaderOptions,
 ): ContentReader {
   const {origin, clock, log} = options;
-  let askedAt = -Infinity;
-  let isAsking = false;
+  let requestedAt = -Infinity;
+  let isReading = false;
   let isLost = false;
 
   /** One line when the content can't be read, and one when it can again. */
-  function note(
+  function logChange(
     error: EngineError | undefined,
     model: WantedModel,
     version: number | undefined,
@@ -50,12 +50,14 @@
 
   return {
     read: async (model, version) => {
-      if (isAsking || clock() - askedAt < CONTENT_RETRY) return undefined;
-      isAsking = true;
-      askedAt = clock();
+      if (isReading || clock() - requestedAt < CONTENT_RETRY_DELAY) {
+        return undefined;
+      }
+      isReading = true;
+      requestedAt = clock();
       const reply = await origin.content(model.origin, model.name, version);
-      isAsking = false;
-      note(reply.ok ? undefined : reply.val, model, version);
+      isReading = false;
+      logChange(reply.ok ? undefined : reply.val, model, version);
       return reply.ok ? reply.val : undefined;
     },
   };
--- a/packages/fleet/src/agent/engine_keeper.ts
+++ b/packages/fleet/src/agent/engine_manager.ts
@@ -19,47 +19,47 @@
 } from '@hibiscusbeam/daemon';
 import type {
   EngineControl,
-  EngineStanding,
+  EngineStatus,
   VersionContent,
   VersionOrigin,
 } from '../ports';
 import {createWakeablePause} from '../link/wakeable_pause';
 import {createContentReader} from './content_reader';
 import {createEngineOrders} from './engine_orders';
-import type {OperatorWatch} from './operator_watch';
+import type {OperatorMonitor} from './operator_monitor';
 import {
   findWantedModel,
-  identify,
+  identifyVersion,
   type FetchedVersion,
   type WantedModel,
 } from './wanted_version';
-import {canBeKept, type StagedChunks} from './staged_chunks';
+import {fitsInMemory, type StagedChunks} from './staged_chunks';
 
 /** Period of looks at the own engine while it runs something or a load is due. */
-const LOOK_PERIOD: Milliseconds = 100;
+const POLL_PERIOD: Milliseconds = 100;
 
 /**
  * The same while nothing runs and nothing is due. Looks are most of what an idle
  * agent does; entries that send know of their own requests by themselves.
  */
-const IDLE_LOOK_PERIOD: Milliseconds = 250;
+const IDLE_POLL_PERIOD: Milliseconds = 250;
 
 /** Longest wait for the engine's word. */
-const LOOK_TIMEOUT: Milliseconds = 500;
+const STATUS_TIMEOUT: Milliseconds = 500;
 
 /**
  * Least time between the word to the entries that an engine takes nothing more
  * and the order to load. Requests that were sent before it arrive meanwhile: one
  * way takes some ms, and an entry under load some ten.
  */
-const CLOSED_BEFORE_LOAD: Milliseconds = 80;
+const DRAIN_BEFORE_LOAD: Milliseconds = 80;
 
 /** What keeping an engine needs. */
-export interface EngineKeeperOptions {
+export interface EngineManagerOptions {
   readonly service: string;
   readonly engine: EngineControl;
   readonly origin: VersionOrigin;
-  readonly operator: OperatorWatch;
+  readonly operator: OperatorMonitor;
   readonly versions: NamedVersions;
   readonly staged: StagedChunks;
   readonly swarm: SwarmDriver;
@@ -72,17 +72,17 @@
   readonly clock: Clock;
   readonly log: Log;
   /** Told of each look, and of the time until a load if one is near. */
-  readonly onStanding: (
-    standing: EngineStanding,
+  readonly onStatus: (
+    standing: EngineStatus,
     loadsIn: Milliseconds | undefined,
   ) => void;
 }
 
 /** Keeps an engine at the newest version. */
-export interface EngineKeeper {
+export interface EngineManager {
   readonly start: (signal: AbortSignal) => void;
   /** Looks at the engine at once, since a version was named. */
-  readonly lookNow: () => void;
+  readonly checkNow: () => void;
   /** The versions that are being fetched or are there. */
   readonly fetching: () => readonly FetchedVersion[];
   /** Whether transfers may take the whole link of the machine. */
@@ -90,7 +90,9 @@
 }
 
 /** Creates the keeper of the engine beside this agent. */
-export function createEngineKeeper(options: EngineKeeperOptions): EngineKeeper {
+export function createEngineManager(
+  options: EngineManagerOptions,
+): EngineManager {
   const {engine, operator, staged, swarm, clock, log} = options;
   const contents = createContentReader(options);
   const orders = createEngineOrders(options);
@@ -100,7 +102,7 @@
     isIndependentOfOrigin: ({identified}) =>
       swarm.isWithinReach(identified.versionDigest),
     fitsOutsideStaging: ({identified: {manifest}}) =>
-      canBeKept(manifest.chunks.length, manifest.chunks[0]?.size ?? 0),
+      fitsInMemory(manifest.chunks.length, manifest.chunks[0]?.size ?? 0),
   });
   let life: IncarnationStamp = {born: undefined};
   let lastState = '';
@@ -112,16 +114,16 @@
 
   async function run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const askedAt = clock();
-      const standing = await engine.standing(LOOK_TIMEOUT);
-      noteReachable(standing.ok);
-      if (standing.ok) orders.noteAnswer(askedAt);
-      if (standing.ok) take(standing.val);
+      const requestedAt = clock();
+      const standing = await engine.standing(STATUS_TIMEOUT);
+      updateReachable(standing.ok);
+      if (standing.ok) orders.recordAnswer(requestedAt);
+      if (standing.ok) applyStatus(standing.val);
       else logUnreachable(standing.val);
       fetchNewest();
       if (standing.ok) loadIfDue(standing.val);
-      const isCalm = standing.ok && isIdle(standing.val) && isNothingDue();
-      await pause.sleep(isCalm ? IDLE_LOOK_PERIOD : LOOK_PERIOD, signal);
+      const isSettled = standing.ok && isIdle(standing.val) && isNothingDue();
+      await pause.sleep(isSettled ? IDLE_POLL_PERIOD : POLL_PERIOD, signal);
     }
   }
 
@@ -133,23 +135,23 @@
     return plan.isServed() && plan.newest() >= wanted && closedAt === undefined;
   }
 
-  function take(standing: EngineStanding): void {
-    noteLife(standing);
+  function applyStatus(standing: EngineStatus): void {
+    updateIncarnation(standing);
     isServing = standing.held.length > 0;
     const {ordering: isLoading} = standing;
     const served = servedVersion(standing);
-    carryOut(plan.observe({served, isLoading}, clock()));
+    applyStep(plan.observe({served, isLoading}, clock()));
     report(standing);
     logState(standing);
   }
 
-  function report(standing: EngineStanding): void {
+  function report(standing: EngineStatus): void {
     const ordering = standing.ordering || closedAt !== undefined;
-    options.onStanding({...standing, ordering}, plan.loadsIn(clock()));
+    options.onStatus({...standing, ordering}, plan.loadsIn(clock()));
   }
 
   /** What lies staged is read once the engine answers. */
-  function noteReachable(isReachableNow: boolean): void {
+  function updateReachable(isReachableNow: boolean): void {
     if (isReachable === isReachableNow) return;
     isReachable = isReachableNow;
     staged.setReachable(isReachable);
@@ -161,16 +163,16 @@
    * load waits for a pause that belongs to the former life. What lies staged is
    * read again before the order in any case.
    */
-  function noteLife(standing: EngineStanding): void {
+  function updateIncarnation(standing: EngineStatus): void {
     if (standing.born === undefined || life.born === standing.born) return;
     const isFirst = life.born === undefined;
     life = {born: standing.born};
     if (isFirst) return;
     log.info('engine has started anew', {born: standing.born});
-    orders.startAnew();
+    orders.reset();
   }
 
-  function servedVersion({held}: EngineStanding): number | undefined {
+  function servedVersion({held}: EngineStatus): number | undefined {
     const model = plan.current()?.content.model;
     return held.find(entry => model === undefined || entry.model === model)
       ?.version;
@@ -185,20 +187,20 @@
     const wanted = options.versions.newest(model.name);
     const newest = plan.newest();
     const isNewest = newest > 0 && newest >= (wanted ?? 0);
-    if (!isNewest && mayFetch(model)) void askContent(model, wanted);
+    if (!isNewest && mayFetch(model)) void fetchContent(model, wanted);
   }
 
-  function loadIfDue(standing: EngineStanding): void {
-    const due = loadThatIsDue();
+  function loadIfDue(standing: EngineStatus): void {
+    const due = findDueLoad();
     if (due === undefined) {
       closedAt = undefined;
       return;
     }
     if (!mayOrder(standing)) return;
-    void orders.give(due);
+    void orders.orderLoad(due);
   }
 
-  function loadThatIsDue(): FetchedVersion | undefined {
+  function findDueLoad(): FetchedVersion | undefined {
     const inHand = plan.current();
     if (inHand === undefined || plan.isServed()) return undefined;
     if (!isReady(inHand.identified.versionDigest)) return undefined;
@@ -212,18 +214,18 @@
    * just loaded after the bound of the next one. Guard: entries send nothing more
    * before the order is given.
    */
-  function mayOrder(standing: EngineStanding): boolean {
+  function mayOrder(standing: EngineStatus): boolean {
     if (!isServing) return true;
     if (closedAt === undefined) {
       closedAt = clock();
       report(standing);
     }
-    return clock() - closedAt >= CLOSED_BEFORE_LOAD;
+    return clock() - closedAt >= DRAIN_BEFORE_LOAD;
   }
 
   /** A version too large for the memory waits until it can be staged at once. */
   function mayFetch({chunkSize, chunks}: WantedModel): boolean {
-    if (canBeKept(chunks, chunkSize)) return true;
+    if (fitsInMemory(chunks, chunkSize)) return true;
     return isReachable && !plan.occupiesStaging(clock());
   }
 
@@ -233,12 +235,12 @@
       .some(entry => entry.versionDigest === versionDigest && entry.ready);
   }
 
-  async function askContent(
+  async function fetchContent(
     model: WantedModel,
     version: number | undefined,
   ): Promise<void> {
     const content = await contents.read(model, version);
-    if (content !== undefined) adopt(content, model);
+    if (content !== undefined) startVersion(content, model);
   }
 
   /**
@@ -256,9 +258,9 @@
       ?.knownSince;
   }
 
-  function adopt(content: VersionContent, model: WantedModel): void {
+  function startVersion(content: VersionContent, model: WantedModel): void {
     if (content.version <= plan.newest()) return;
-    const identified = identify(content, model.chunkSize);
+    const identified = identifyVersion(content, model.chunkSize);
     const checked = checkManifest(
       identified.versionDigest,
       identified.manifest,
@@ -278,7 +280,7 @@
       version,
       after: step?.kind === 'prepare' ? before : undefined,
     });
-    carryOut(step);
+    applyStep(step);
     fetch(next, model);
   }
 
@@ -288,14 +290,14 @@
    * anything, and callers are refused for seconds. Guard: its chunks are moved
    * meanwhile and wait in memory.
    */
-  function carryOut(step: PlanStep<FetchedVersion> | undefined): void {
+  function applyStep(step: PlanStep<FetchedVersion> | undefined): void {
     if (step === undefined) return;
     for (const {identified} of step.replacedVersions) {
       swarm.abandon(identified.versionDigest);
     }
     switch (step.kind) {
       case 'stage':
-        staged.aim(step.version.content);
+        staged.setStagedVersion(step.version.content);
         return;
       case 'prepare':
         staged.prepare(step.version.content);
@@ -316,7 +318,7 @@
     );
   }
 
-  function logState({held, ordering: busy}: EngineStanding): void {
+  function logState({held, ordering: busy}: EngineStatus): void {
     const state = JSON.stringify({held, busy});
     if (state === lastState) return;
     lastState = state;
@@ -331,12 +333,12 @@
 
   return {
     start: signal => void run(signal),
-    lookNow: pause.wake,
+    checkNow: pause.wake,
     fetching: plan.wanted,
     needsWholeLink: () => !isServing || plan.isBehindSchedule(clock()),
   };
 }
 
-function isIdle({running, waiting, ordering}: EngineStanding): boolean {
+function isIdle({running, waiting, ordering}: EngineStatus): boolean {
   return running === 0 && waiting === 0 && !ordering;
 }
--- a/packages/fleet/src/agent/engine_orders.ts
+++ b/packages/fleet/src/agent/engine_orders.ts
@@ -5,7 +5,7 @@
 import type {FetchedVersion} from './wanted_version';
 
 /** Pause before an order is given again. */
-const ORDER_RETRY: Milliseconds = 300;
+const ORDER_RETRY_DELAY: Milliseconds = 300;
 
 /** What giving orders needs. */
 export interface EngineOrdersOptions {
@@ -19,11 +19,11 @@
 /** Gives the engine its orders, one at a time. */
 export interface EngineOrders {
   /** Orders the engine to load a version, unless one was ordered just now. */
-  readonly give: (version: FetchedVersion) => Promise<void>;
+  readonly orderLoad: (version: FetchedVersion) => Promise<void>;
   /** Notes that the engine has answered what was asked at `askedAt`. */
-  readonly noteAnswer: (askedAt: MonotonicInstant) => void;
+  readonly recordAnswer: (requestedAt: MonotonicInstant) => void;
   /** Forgets what was ordered of the engine's former life. */
-  readonly startAnew: () => void;
+  readonly reset: () => void;
 }
 
 /** Creates the giver of orders. */
@@ -36,13 +36,16 @@
   /** When the engine first answered something after that. */
   let answersSince: MonotonicInstant | undefined;
 
-  async function give({content, identified}: FetchedVersion): Promise<void> {
+  async function orderLoad({
+    content,
+    identified,
+  }: FetchedVersion): Promise<void> {
     if (ordering || unansweredAt !== undefined) return;
-    if (clock() - orderedAt < ORDER_RETRY) return;
+    if (clock() - orderedAt < ORDER_RETRY_DELAY) return;
     ordering = true;
     // Failure: staged bytes turn bad between their arrival and the order, and
     // the engine makes tokens with them. So they are read right before it.
-    const reply = await staged.withWhole(content, () => load(content));
+    const reply = await staged.withVerified(content, () => load(content));
     ordering = false;
     orderedAt = clock();
     const {model, version} = content;
@@ -80,14 +83,14 @@
   }
 
   return {
-    give,
-    noteAnswer: askedAt => {
-      if (askedAt <= (unansweredAt ?? Infinity)) return;
+    orderLoad,
+    recordAnswer: requestedAt => {
+      if (requestedAt <= (unansweredAt ?? Infinity)) return;
       answersSince ??= clock();
       // What waited on another connection may be read after the first answer.
-      if (askedAt > answersSince) endWait();
+      if (requestedAt > answersSince) endWait();
     },
-    startAnew: () => {
+    reset: () => {
       orderedAt = -Infinity;
       endWait();
     },
--- a/packages/fleet/src/agent/engine_reports.ts
+++ b/packages/fleet/src/agent/engine_reports.ts
@@ -14,16 +14,16 @@
   VersionNaming,
 } from '@hibiscusbeam/wire';
 import {createEntryChannels} from '../link/channels';
-import type {EngineStanding, MemberDescription} from '../ports';
+import type {EngineStatus, MemberDescription} from '../ports';
 
 /** Period in which the sequence grows, whether or not a report is written. */
 const SEQUENCE_PERIOD: Milliseconds = 100;
 
 /** Sequences are told in 32 bits. */
-const SEQUENCES = 2 ** 32;
+const SEQUENCE_MODULUS = 2 ** 32;
 
 /** Time without a reply after which a stream counts as silent. */
-const LONGEST_SILENCE: Milliseconds = 2_200;
+const MAX_SILENCE: Milliseconds = 2_200;
 
 /** Pause before a broken stream is opened again. */
 const REOPEN_PAUSE: Milliseconds = 300;
@@ -32,14 +32,14 @@
  * Period in which the receivers are chosen anew: one that fell silent is replaced
  * within it, of the 2 s that a report may be old.
  */
-const CHOOSE_PERIOD: Milliseconds = 500;
+const RECEIVER_CHOICE_PERIOD: Milliseconds = 500;
 
 /** Sends the engine's standing to the entries. */
 export interface EngineReports {
   readonly setMembers: (members: readonly MemberDescription[]) => void;
   /** Takes the newest standing; sends it where it is time or it matters. */
   readonly offer: (
-    standing: EngineStanding,
+    standing: EngineStatus,
     loadsIn: Milliseconds | undefined,
   ) => void;
 }
@@ -57,7 +57,7 @@
 
 type ReportStream = ClientDuplexStream<EngineReport, EngineReportReply>;
 
-interface ReportedEntry {
+interface ReportReceiverState {
   readonly life: string;
   readonly address: string;
   getsAll: boolean;
@@ -77,10 +77,11 @@
   const channels = createEntryChannels();
   const silent = createSilentPeers();
   let members: readonly MemberDescription[] = [];
-  let entries = new Map<string, ReportedEntry>();
+  let entries = new Map<string, ReportReceiverState>();
   const startedAt = clock();
   // By the time of day, so that an agent that starts anew goes on from where it was.
-  const firstSequence = Math.floor(Date.now() / SEQUENCE_PERIOD) % SEQUENCES;
+  const firstSequence =
+    Math.floor(Date.now() / SEQUENCE_PERIOD) % SEQUENCE_MODULUS;
   let sequence = 0;
   let chosenAt = -Infinity;
 
@@ -92,13 +93,13 @@
   function chooseReceivers(): void {
     const now = clock();
     chosenAt = now;
-    const next = new Map<string, ReportedEntry>();
+    const next = new Map<string, ReportReceiverState>();
     const receivers = reportReceivers(members, options.zone, ({life}) =>
       silent.isSilent(life, now),
     );
     for (const {entry: member, getsAll} of receivers) {
       const {life} = member;
-      const reported = entries.get(life) ?? createReported(member);
+      const reported = entries.get(life) ?? createReceiver(member);
       reported.getsAll = getsAll;
       next.set(life, reported);
     }
@@ -106,10 +107,13 @@
       if (!next.has(life)) entry.stream?.end();
     }
     entries = next;
-    channels.keep(new Set([...next.values()].map(({address}) => address)));
+    channels.retain(new Set([...next.values()].map(({address}) => address)));
   }
 
-  function createReported({life, address}: MemberDescription): ReportedEntry {
+  function createReceiver({
+    life,
+    address,
+  }: MemberDescription): ReportReceiverState {
     return {
       life,
       address,
@@ -125,25 +129,25 @@
   /** Grows with the time too, so that entries agree on turns between reports. */
   function nextSequence(now: MonotonicInstant): number {
     const passed = Math.floor((now - startedAt) / SEQUENCE_PERIOD);
-    return Math.max(sequence + 1, (firstSequence + passed) % SEQUENCES);
+    return Math.max(sequence + 1, (firstSequence + passed) % SEQUENCE_MODULUS);
   }
 
   function offer(
-    standing: EngineStanding,
+    standing: EngineStatus,
     loadsIn: Milliseconds | undefined,
   ): void {
     const now = clock();
     sequence = nextSequence(now);
-    if (now - chosenAt >= CHOOSE_PERIOD) chooseReceivers();
+    if (now - chosenAt >= RECEIVER_CHOICE_PERIOD) chooseReceivers();
     const loadsAt = loadsIn === undefined ? undefined : now + loadsIn;
     const next: ReportedState = {...standing, loadsAt};
     let report: EngineReport | undefined;
     for (const entry of entries.values()) {
-      giveUpSilent(entry, now);
+      closeSilentStream(entry, now);
       const {getsAll, sent: before, sentAt} = entry;
       const since = now - sentAt;
       if (!isReportDue({getsAll, before, next, since})) continue;
-      report ??= reportOf(standing, loadsIn);
+      report ??= createReport(standing, loadsIn);
       send(entry, report, next, now);
     }
   }
@@ -152,15 +156,18 @@
    * Failure: an open connection falls silent for good, and entries go by an old
    * standing. Guard: replies come each 1.5 s; without them it is opened anew.
    */
-  function giveUpSilent(entry: ReportedEntry, now: MonotonicInstant): void {
-    if (entry.stream && now - entry.repliedAt > LONGEST_SILENCE) {
-      lose(entry);
+  function closeSilentStream(
+    entry: ReportReceiverState,
+    now: MonotonicInstant,
+  ): void {
+    if (entry.stream && now - entry.repliedAt > MAX_SILENCE) {
+      handleLoss(entry);
       channels.drop(entry.address);
     }
   }
 
-  function reportOf(
-    standing: EngineStanding,
+  function createReport(
+    standing: EngineStatus,
     loadsIn: Milliseconds | undefined,
   ): EngineReport {
     const {held, ordering, running, waiting, pace, born, memoryShare} =
@@ -182,7 +189,7 @@
   }
 
   function send(
-    entry: ReportedEntry,
+    entry: ReportReceiverState,
     report: EngineReport,
     state: ReportedState,
     now: MonotonicInstant,
@@ -198,7 +205,7 @@
     entry.stream.write({...report, namings});
   }
 
-  function open(entry: ReportedEntry): ReportStream | undefined {
+  function open(entry: ReportReceiverState): ReportStream | undefined {
     if (clock() - entry.brokenAt < REOPEN_PAUSE) return undefined;
     const stream = channels.at(entry.address).reportEngine();
     entry.repliedAt = clock();
@@ -208,15 +215,15 @@
       options.onReply(reply);
     });
     stream.on('error', () => {
-      if (entry.stream === stream) lose(entry);
+      if (entry.stream === stream) handleLoss(entry);
     });
     stream.on('end', () => {
-      if (entry.stream === stream) lose(entry);
+      if (entry.stream === stream) handleLoss(entry);
     });
     return stream;
   }
 
-  function lose(entry: ReportedEntry): void {
+  function handleLoss(entry: ReportReceiverState): void {
     entry.stream?.cancel();
     entry.stream = undefined;
     entry.sent = undefined;
--- a/packages/fleet/src/agent/operator_watch.ts
+++ b/packages/fleet/src/agent/operator_monitor.ts
@@ -10,7 +10,7 @@
 import type {OperatorFeed, OperatorReading} from '../ports';
 
 /** How long one question waits for a change; each question costs a call. */
-const WAIT_FOR_CHANGE: Milliseconds = 6_000;
+const LONG_POLL_WAIT: Milliseconds = 6_000;
 
 /**
  * Silence of all entries after which the store is asked. Entries tell agents
@@ -20,7 +20,7 @@
  * agent too. The links between regions are choked for seconds, and requests
  * reach their targets two seconds late.
  */
-const ENTRIES_SILENT: Milliseconds = 2_500;
+const ENTRY_SILENCE: Milliseconds = 2_500;
 
 /** Time beyond the wait after which a question counts as lost. */
 const ANSWER_SLACK: Milliseconds = 800;
@@ -29,30 +29,30 @@
 const PAUSE_AFTER_FAILURE: Milliseconds = 400;
 
 /** What an agent knows of the operator's writing. */
-export interface OperatorWatch {
+export interface OperatorMonitor {
   readonly start: (signal: AbortSignal) => void;
   /** The services of the newest configuration; none before the first. */
   readonly services: () => readonly ServiceDescription[];
   /** Notes a word of an entry, with the digest of the services it knows. */
-  readonly noteEntry: (digest: number) => void;
+  readonly recordEntryDigest: (digest: number) => void;
 }
 
 /** Creates the watch. */
-export function createOperatorWatch(
+export function createOperatorMonitor(
   feed: OperatorFeed,
   versions: NamedVersions,
   clock: Clock,
   log: Log,
-): OperatorWatch {
+): OperatorMonitor {
   let services: readonly ServiceDescription[] = [];
   let digest = servicesDigest(services);
   /** Version of the configuration that the services are of. */
   let held = -Infinity;
   let entryDigest = digest;
-  let entrySpokeAt = -Infinity;
+  let entryReportedAt = -Infinity;
   const pause = createWakeablePause();
 
-  function take({configuration, namedVersions}: OperatorReading): void {
+  function applyReading({configuration, namedVersions}: OperatorReading): void {
     // A restored store may have an older one than entries go by.
     if (configuration !== undefined && configuration.version > held) {
       held = configuration.version;
@@ -65,13 +65,13 @@
     }
   }
 
-  function mustAsk(): boolean {
-    return clock() - entrySpokeAt >= ENTRIES_SILENT || entryDigest !== digest;
+  function mustPoll(): boolean {
+    return clock() - entryReportedAt >= ENTRY_SILENCE || entryDigest !== digest;
   }
 
-  async function untilMustAsk(signal: AbortSignal): Promise<void> {
-    while (!mustAsk() && !signal.aborted) {
-      const silentIn = entrySpokeAt + ENTRIES_SILENT - clock();
+  async function waitUntilPollNeeded(signal: AbortSignal): Promise<void> {
+    while (!mustPoll() && !signal.aborted) {
+      const silentIn = entryReportedAt + ENTRY_SILENCE - clock();
       await pause.sleep(silentIn, signal);
     }
   }
@@ -84,22 +84,22 @@
           log,
           readAll: () => feed.readAll(ANSWER_SLACK),
           follow: async after => {
-            await untilMustAsk(signal);
+            await waitUntilPollNeeded(signal);
             return feed.follow(
               after,
-              WAIT_FOR_CHANGE,
-              WAIT_FOR_CHANGE + ANSWER_SLACK,
+              LONG_POLL_WAIT,
+              LONG_POLL_WAIT + ANSWER_SLACK,
             );
           },
-          take,
+          onReading: applyReading,
           pause: (_, aborted) => sleep(PAUSE_AFTER_FAILURE, aborted),
         },
         signal,
       ),
     services: () => services,
-    noteEntry: heard => {
+    recordEntryDigest: heard => {
       entryDigest = heard;
-      entrySpokeAt = clock();
+      entryReportedAt = clock();
       if (heard !== digest) pause.wake();
     },
   };
--- a/packages/fleet/src/agent/origin_reader.ts
+++ b/packages/fleet/src/agent/origin_reader.ts
@@ -2,12 +2,12 @@
 import type {Log} from '@hibiscusbeam/daemon';
 import {Err, type Result} from 'ts-results';
 import type {EngineError, VersionContent, VersionOrigin} from '../ports';
-import type {OperatorWatch} from './operator_watch';
+import type {OperatorMonitor} from './operator_monitor';
 
 /** What reading from the origin needs. */
 export interface OriginReaderOptions {
   readonly origin: VersionOrigin;
-  readonly operator: OperatorWatch;
+  readonly operator: OperatorMonitor;
   /** The versions whose chunks may be asked for. */
   readonly wanted: () => readonly VersionContent[];
   readonly log: Log;
@@ -41,8 +41,8 @@
     const position = content.digests.indexOf(digest);
     const pieces = options.origin.chunk(address, content, position, signal);
     for await (const piece of pieces) {
-      if (piece.ok) noteAnswer(address);
-      else if (!signal.aborted) noteFailure(address, piece.val);
+      if (piece.ok) recordAnswer(address);
+      else if (!signal.aborted) recordFailure(address, piece.val);
       yield piece.mapErr(toPlatformError);
     }
   }
@@ -55,12 +55,12 @@
     return undefined;
   }
 
-  function noteFailure(address: string, error: EngineError): void {
+  function recordFailure(address: string, error: EngineError): void {
     failures += 1;
     if (failures === 1) log.warn('origin of weights lost', {address, error});
   }
 
-  function noteAnswer(address: string): void {
+  function recordAnswer(address: string): void {
     if (failures === 0) return;
     log.info('origin of weights regained', {address, failures});
     failures = 0;
--- a/packages/fleet/src/agent/peer_agents.ts
+++ b/packages/fleet/src/agent/peer_agents.ts
@@ -15,7 +15,7 @@
 } from './announcement_link';
 
 /** Period of signs of life between neighbours. */
-const SIGN_PERIOD: Milliseconds = 1_000;
+const HEARTBEAT_PERIOD: Milliseconds = 1_000;
 
 /** A neighbour's stream of announcements, with answers in the other direction. */
 export type AnnounceCall = ServerDuplexStream<Announcement, AnnouncementReply>;
@@ -37,7 +37,9 @@
     versionDigest: string,
     gained: readonly number[],
   ) => void;
-  readonly take: (announcement: Announcement) => AnnouncementReply;
+  readonly handleAnnouncement: (
+    announcement: Announcement,
+  ) => AnnouncementReply;
   /** Takes a neighbour's stream of announcements. */
   readonly answer: (call: AnnounceCall) => void;
   readonly start: () => () => void;
@@ -47,7 +49,7 @@
   member: MemberDescription;
   readonly link: AnnouncementLink;
   /** The life that last spoke to us; undefined before. */
-  spokenLife: string | undefined;
+  reportedIncarnation: string | undefined;
   connected: boolean;
 }
 
@@ -62,7 +64,10 @@
     const next = new Map<string, Peer>();
     for (const member of agents) {
       const known = peers.get(member.instance);
-      next.set(member.instance, known ? renew(known, member) : meet(member));
+      next.set(
+        member.instance,
+        known ? updatePeer(known, member) : createPeer(member),
+      );
     }
     for (const [instance, peer] of peers) {
       if (next.get(instance) === peer) continue;
@@ -70,7 +75,7 @@
       peer.link.end();
     }
     peers = next;
-    channels.keep(new Set(agents.map(({address}) => address)));
+    channels.retain(new Set(agents.map(({address}) => address)));
     swarm().setPeers(
       agents.map(({instance, zone, address}) => ({
         instance,
@@ -79,20 +84,20 @@
         incarnation: 0,
       })),
     );
-    signAll();
+    sendHeartbeats();
   }
 
-  function meet(member: MemberDescription): Peer {
+  function createPeer(member: MemberDescription): Peer {
     const peer: Peer = {
       member,
       link: createAnnouncementLink({
         address: member.address,
         channels,
         clock: options.clock,
-        onAnswer: answer => takeAnswer(peer, answer),
+        onAnswer: answer => handleAnswer(peer, answer),
         onLost: () => disconnect(peer),
       }),
-      spokenLife: undefined,
+      reportedIncarnation: undefined,
       connected: false,
     };
     return peer;
@@ -104,23 +109,25 @@
    * others have told it since, and waits a second for it to be told again. Guard:
    * what a process says of its own life counts for more than its line.
    */
-  function renew(peer: Peer, member: MemberDescription): Peer {
+  function updatePeer(peer: Peer, member: MemberDescription): Peer {
     const isSame =
-      peer.member.life === member.life || peer.spokenLife === member.life;
+      peer.member.life === member.life ||
+      peer.reportedIncarnation === member.life;
     if (!isSame) {
       disconnect(peer);
-      return meet(member);
+      return createPeer(member);
     }
     peer.member = member;
     return peer;
   }
 
   /** A life that speaks for the first time knows nothing of the one before. */
-  function noteLife(peer: Peer, life: string): void {
+  function updateIncarnation(peer: Peer, life: string): void {
     const hasStartedAnew =
-      peer.spokenLife !== undefined && peer.spokenLife !== life;
+      peer.reportedIncarnation !== undefined &&
+      peer.reportedIncarnation !== life;
     if (hasStartedAnew) disconnect(peer);
-    peer.spokenLife = life;
+    peer.reportedIncarnation = life;
     connect(peer);
   }
 
@@ -130,7 +137,7 @@
    * neighbours give one another signs of life; others are met when they become
    * neighbours by a version.
    */
-  function signAll(): void {
+  function sendHeartbeats(): void {
     for (const instance of swarm().neighbours()) {
       const peer = peers.get(instance);
       if (peer !== undefined) send(peer, '', []);
@@ -151,11 +158,11 @@
     });
   }
 
-  function takeAnswer(
+  function handleAnswer(
     peer: Peer,
     {life, held, versionDigest}: AnnouncementReply,
   ): void {
-    noteLife(peer, life);
+    updateIncarnation(peer, life);
     if (held.length === 0) return;
     swarm().onHaveDelta(peer.member.instance, {versionDigest, gained: held});
   }
@@ -181,10 +188,10 @@
    * what a neighbour holds that sees no reason to tell it again. Guard: it asks,
    * and the answer itself says it.
    */
-  function take(announcement: Announcement): AnnouncementReply {
+  function handleAnnouncement(announcement: Announcement): AnnouncementReply {
     const {instance, life, versionDigest, gained, asksHeld} = announcement;
     const peer = peers.get(instance);
-    if (peer !== undefined) noteLife(peer, life);
+    if (peer !== undefined) updateIncarnation(peer, life);
     if (versionDigest === '') return {life: self.life, held: [], versionDigest};
     swarm().onHaveDelta(instance, {versionDigest, gained});
     const held = asksHeld ? [...swarm().heldPositions(versionDigest)] : [];
@@ -193,7 +200,7 @@
 
   function answer(call: AnnounceCall): void {
     call.on('data', (announcement: Announcement) => {
-      const reply = take(announcement);
+      const reply = handleAnnouncement(announcement);
       if (announcement.wantsAnswer && call.writable) call.write(reply);
     });
     call.on('end', () => call.end());
@@ -208,8 +215,8 @@
       const peer = peers.get(instance);
       if (peer !== undefined) send(peer, versionDigest, gained);
     },
-    take,
+    handleAnnouncement,
     answer,
-    start: () => every(SIGN_PERIOD, signAll),
+    start: () => every(HEARTBEAT_PERIOD, sendHeartbeats),
   };
 }
--- a/packages/fleet/src/agent/staged_chunks.ts
+++ b/packages/fleet/src/agent/staged_chunks.ts
@@ -26,7 +26,7 @@
    * Sets the version whose chunks are staged from now on; stages those of it
    * that were kept in memory.
    */
-  readonly aim: (content: VersionContent) => void;
+  readonly setStagedVersion: (content: VersionContent) => void;
   /** Sets the version whose chunks are kept in memory until it is aimed at. */
   readonly prepare: (content: VersionContent) => void;
   /**
@@ -48,52 +48,52 @@
    * runs `whenWhole` with nothing staged in between. Returns undefined if a
    * chunk is still missing or bad.
    */
-  readonly withWhole: <Outcome>(
+  readonly withVerified: <Outcome>(
     content: VersionContent,
     whenWhole: () => Promise<Outcome>,
   ) => Promise<Outcome | undefined>;
 }
 
 /** Largest version whose chunks are kept in memory. */
-const LARGEST_KEPT: Bytes = 32 * 1024 * 1024;
+const MAX_KEPT_BYTES: Bytes = 32 * 1024 * 1024;
 
 /** Whether the chunks of such a version can be kept in memory. */
-export function canBeKept(chunks: number, chunkSize: Bytes): boolean {
-  return chunks * chunkSize <= LARGEST_KEPT;
+export function fitsInMemory(chunks: number, chunkSize: Bytes): boolean {
+  return chunks * chunkSize <= MAX_KEPT_BYTES;
 }
 
 /** Name of the only life that the staging area has. */
-const LIFE = 'staged';
+const STAGING_INCARNATION = 'staged';
 
 /** Creates the store over the engine's staging area. */
 export function createStagedChunks(
   engine: EngineControl,
   log: Log,
 ): StagedChunks {
-  let aim: VersionContent | undefined;
-  let prepared: VersionContent | undefined;
-  const kept = new Map<Digest, Buffer>();
+  let stagedVersion: VersionContent | undefined;
+  let preparedVersion: VersionContent | undefined;
+  const memoryCopies = new Map<Digest, Buffer>();
   /** Digest that was last seen or put at each position. */
-  const lying = new Map<number, Digest>();
+  const stagedDigests = new Map<number, Digest>();
   let isRead = false;
   let isReachable = true;
   /** The version whose order has had no answer. */
-  let unanswered: VersionContent | undefined;
-  let frozen: Promise<unknown> = Promise.resolve();
+  let unansweredOrder: VersionContent | undefined;
+  let lastOperation: Promise<unknown> = Promise.resolve();
 
   async function put(
     digest: Digest,
     pieces: readonly Uint8Array[],
   ): Promise<Result<void, ChunkStoreError>> {
-    await frozen;
+    await lastOperation;
     const bytes = Buffer.concat(pieces);
-    const position = aim?.digests.indexOf(digest) ?? -1;
-    const isPrepared = prepared?.digests.includes(digest) === true;
-    if (isPrepared || position !== -1) keep(digest, bytes);
-    if (!isReachable && kept.has(digest)) return Ok.EMPTY;
-    if (aim !== undefined && position !== -1) {
-      if (isHeldBack(aim)) return heldBack(digest);
-      return stageOrKeep(aim, position, digest, bytes);
+    const position = stagedVersion?.digests.indexOf(digest) ?? -1;
+    const isPrepared = preparedVersion?.digests.includes(digest) === true;
+    if (isPrepared || position !== -1) keepInMemory(digest, bytes);
+    if (!isReachable && memoryCopies.has(digest)) return Ok.EMPTY;
+    if (stagedVersion !== undefined && position !== -1) {
+      if (isBlockedByOrder(stagedVersion)) return blockedResult(digest);
+      return stageOrKeep(stagedVersion, position, digest, bytes);
     }
     if (isPrepared) return Ok.EMPTY;
     return Err({kind: 'refused', detail: 'the chunk is of another version'});
@@ -105,34 +105,34 @@
    * has, the chunk is asked of the origin anew after seconds of patience.
    * Guard: a verified copy stays in memory for the others and to mend the own.
    */
-  function keep(digest: Digest, bytes: Buffer): void {
+  function keepInMemory(digest: Digest, bytes: Buffer): void {
     const chunks = Math.max(
-      aim?.digests.length ?? 0,
-      prepared?.digests.length ?? 0,
+      stagedVersion?.digests.length ?? 0,
+      preparedVersion?.digests.length ?? 0,
     );
-    if (canBeKept(chunks, bytes.length)) kept.set(digest, bytes);
+    if (fitsInMemory(chunks, bytes.length)) memoryCopies.set(digest, bytes);
   }
 
   /** An engine may yet accept the order, and load whatever lies staged then. */
-  function isHeldBack({version}: VersionContent): boolean {
-    return unanswered !== undefined && unanswered.version !== version;
+  function isBlockedByOrder({version}: VersionContent): boolean {
+    return unansweredOrder !== undefined && unansweredOrder.version !== version;
   }
 
-  function heldBack(digest: Digest): Result<void, ChunkStoreError> {
-    if (kept.has(digest)) return Ok.EMPTY;
+  function blockedResult(digest: Digest): Result<void, ChunkStoreError> {
+    if (memoryCopies.has(digest)) return Ok.EMPTY;
     return Err({kind: 'unavailable', detail: 'an order has no answer yet'});
   }
 
   function release(): void {
-    if (unanswered === undefined) return;
-    unanswered = undefined;
+    if (unansweredOrder === undefined) return;
+    unansweredOrder = undefined;
     stageKeptLater();
   }
 
   function stageKeptLater(): void {
-    if (aim === undefined || kept.size === 0) return;
-    const content = aim;
-    frozen = frozen.then(() => stageKept(content));
+    if (stagedVersion === undefined || memoryCopies.size === 0) return;
+    const content = stagedVersion;
+    lastOperation = lastOperation.then(() => stageKept(content));
   }
 
   /** What a silent engine doesn't take is staged from memory before the order. */
@@ -144,7 +144,7 @@
   ): Promise<Result<void, ChunkStoreError>> {
     const stored = await stage(content, position, digest, bytes);
     if (stored.ok || stored.val.kind !== 'unavailable') return stored;
-    if (!kept.has(digest)) return stored;
+    if (!memoryCopies.has(digest)) return stored;
     log.info('chunk waits in memory', {position, error: stored.val});
     return Ok.EMPTY;
   }
@@ -155,29 +155,32 @@
     digest: Digest,
     bytes: Buffer,
   ): Promise<Result<void, ChunkStoreError>> {
-    lying.delete(position);
+    stagedDigests.delete(position);
     const stored = await engine.stage(model, position, bytes);
     if (stored.err) return stored.mapErr(toStoreError);
-    lying.set(position, digest);
+    stagedDigests.set(position, digest);
     return Ok.EMPTY;
   }
 
-  function aimAt(content: VersionContent): void {
-    aim = content;
-    prepared = undefined;
+  function setStagedVersion(content: VersionContent): void {
+    stagedVersion = content;
+    preparedVersion = undefined;
     dropUnwanted();
     stageKeptLater();
   }
 
   function prepare(content: VersionContent): void {
-    prepared = content;
+    preparedVersion = content;
     dropUnwanted();
   }
 
   function dropUnwanted(): void {
-    const wanted = [...(aim?.digests ?? []), ...(prepared?.digests ?? [])];
-    for (const digest of kept.keys()) {
-      if (!wanted.includes(digest)) kept.delete(digest);
+    const wanted = [
+      ...(stagedVersion?.digests ?? []),
+      ...(preparedVersion?.digests ?? []),
+    ];
+    for (const digest of memoryCopies.keys()) {
+      if (!wanted.includes(digest)) memoryCopies.delete(digest);
     }
   }
 
@@ -188,28 +191,42 @@
 
   function forget(content: VersionContent): void {
     for (const digest of content.digests) {
-      if (prepared?.digests.includes(digest) !== true) kept.delete(digest);
+      if (preparedVersion?.digests.includes(digest) !== true) {
+        memoryCopies.delete(digest);
+      }
     }
   }
 
   /** Stages kept chunks that don't lie there whole. */
   async function stageKept(content: VersionContent): Promise<void> {
     for (const [position, digest] of content.digests.entries()) {
-      const bytes = kept.get(digest);
-      if (bytes === undefined || lying.get(position) === digest) continue;
-      if (aim?.version !== content.version || isHeldBack(content)) return;
+      const bytes = memoryCopies.get(digest);
+      if (bytes === undefined || stagedDigests.get(position) === digest) {
+        continue;
+      }
+      if (
+        stagedVersion?.version !== content.version ||
+        isBlockedByOrder(content)
+      ) {
+        return;
+      }
       await stage(content, position, digest, bytes);
     }
   }
 
   async function list() {
-    if (aim === undefined) return Ok({life: LIFE, digests: []});
+    if (stagedVersion === undefined) {
+      return Ok({life: STAGING_INCARNATION, digests: []});
+    }
     // Reading all again takes 100 ms; it is done right before an order anyway.
     if (!isRead && isReachable) {
-      const read = await readAll(aim);
+      const read = await readAll(stagedVersion);
       if (read.err) return read.mapErr(toStoreError);
     }
-    return Ok({life: LIFE, digests: [...lying.values(), ...kept.keys()]});
+    return Ok({
+      life: STAGING_INCARNATION,
+      digests: [...stagedDigests.values(), ...memoryCopies.keys()],
+    });
   }
 
   /**
@@ -222,14 +239,14 @@
     const staged = await engine.staged(content.model);
     if (staged.err) return staged;
     const positions = new Set(staged.val);
-    for (const position of [...lying.keys()]) {
-      if (!positions.has(position)) lying.delete(position);
+    for (const position of [...stagedDigests.keys()]) {
+      if (!positions.has(position)) stagedDigests.delete(position);
     }
     for (const position of positions) {
       const read = await engine.readStaged(content.model, position);
-      if (read.ok) lying.set(position, digestBytes(read.val));
+      if (read.ok) stagedDigests.set(position, digestBytes(read.val));
       else if (read.val.kind === 'unreachable') return read;
-      else lying.delete(position);
+      else stagedDigests.delete(position);
     }
     isRead = true;
     return Ok.EMPTY;
@@ -238,21 +255,21 @@
   async function* get(
     digest: Digest,
   ): AsyncGenerator<Result<Uint8Array, ChunkStoreError>> {
-    const inMemory = kept.get(digest);
+    const inMemory = memoryCopies.get(digest);
     if (inMemory !== undefined) {
-      yield* inParts(inMemory);
+      yield* splitIntoPieces(inMemory);
       return;
     }
     const position = positionOf(digest);
-    if (aim === undefined || position === undefined) {
+    if (stagedVersion === undefined || position === undefined) {
       yield Err({kind: 'notHeld', detail: 'not staged'});
       return;
     }
-    const read = await engine.readStaged(aim.model, position);
+    const read = await engine.readStaged(stagedVersion.model, position);
     // Failure: a chunk that turned bad here is passed on, and the reader cuts
     // this agent off as a sender of bad chunks.
     if (read.ok && digestBytes(read.val) !== digest) {
-      lying.delete(position);
+      stagedDigests.delete(position);
       yield Err({kind: 'notHeld', detail: 'the staged chunk has turned bad'});
       return;
     }
@@ -260,46 +277,46 @@
       yield read.mapErr(toStoreError);
       return;
     }
-    yield* inParts(read.val);
+    yield* splitIntoPieces(read.val);
   }
 
   function positionOf(digest: Digest): number | undefined {
-    for (const [position, held] of lying) {
+    for (const [position, held] of stagedDigests) {
       if (held === digest) return position;
     }
     return undefined;
   }
 
-  async function withWhole<Outcome>(
+  async function withVerified<Outcome>(
     content: VersionContent,
-    whenWhole: () => Promise<Outcome>,
+    whenVerified: () => Promise<Outcome>,
   ): Promise<Outcome | undefined> {
-    const run = frozen.then(async () => {
+    const run = lastOperation.then(async () => {
       const read = await readAll(content);
       if (read.err) return undefined;
       await stageKept(content);
       const isWhole = content.digests.every(
-        (digest, position) => lying.get(position) === digest,
+        (digest, position) => stagedDigests.get(position) === digest,
       );
-      return isWhole ? whenWhole() : undefined;
+      return isWhole ? whenVerified() : undefined;
     });
-    frozen = run.catch(() => undefined);
+    lastOperation = run.catch(() => undefined);
     return run;
   }
 
   return {
     store: {put, list, get},
-    aim: aimAt,
+    setStagedVersion,
     prepare,
     setReachable,
-    hold: content => void (unanswered = content),
+    hold: content => void (unansweredOrder = content),
     release,
     forget,
-    withWhole,
+    withVerified,
   };
 }
 
-function* inParts(bytes: Buffer): Generator<Result<Uint8Array, never>> {
+function* splitIntoPieces(bytes: Buffer): Generator<Result<Uint8Array, never>> {
   const {pieceSize} = AGENT_TRANSFER_POLICY;
   for (let at = 0; at < bytes.length; at += pieceSize) {
     yield Ok(bytes.subarray(at, at + pieceSize));
--- a/packages/fleet/src/agent/wanted_version.ts
+++ b/packages/fleet/src/agent/wanted_version.ts
@@ -41,7 +41,7 @@
 }
 
 /** The content as the swarm names it. */
-export function identify(
+export function identifyVersion(
   content: VersionContent,
   chunkSize: number,
 ): IdentifiedManifest {
--- a/packages/fleet/src/entry/admission_watch.ts
+++ b/packages/fleet/src/entry/admission_monitor.ts
@@ -9,14 +9,14 @@
 import type {FleetMetrics} from './fleet_metrics';
 
 /** Least time between two log lines about the level of a service. */
-const LOG_PERIOD: Milliseconds = 1_000;
+const MIN_LOG_PERIOD: Milliseconds = 1_000;
 
 /** Change of a share that is logged. */
-const LOGGED_CHANGE = 0.2;
+const MIN_LOGGED_CHANGE = 0.2;
 
 /** Lets operators see the level. */
-export interface AdmissionWatch {
-  readonly noteLevel: (
+export interface AdmissionMonitor {
+  readonly recordLevel: (
     service: ServiceName,
     level: AdmissionLevel,
     now: MonotonicInstant,
@@ -29,23 +29,23 @@
 }
 
 /** Creates what writes levels to the metrics and, when they change, to the log. */
-export function createAdmissionWatch(
+export function createAdmissionMonitor(
   metrics: FleetMetrics,
   log: Log,
-): AdmissionWatch {
+): AdmissionMonitor {
   const logged = new Map<ServiceName, LoggedLevel>();
   const seen = new Map<ServiceName, AdmissionLevel>();
 
   return {
-    noteLevel: (service, level, now) => {
+    recordLevel: (service, level, now) => {
       if (seen.get(service) === level) return;
       seen.set(service, level);
       for (const {priority, share} of level.shares) {
         metrics.setAdmissionShare(service, priority, share);
       }
       const last = logged.get(service);
-      if (last !== undefined && now - last.at < LOG_PERIOD) return;
-      if (!differs(level, last?.level)) return;
+      if (last !== undefined && now - last.at < MIN_LOG_PERIOD) return;
+      if (!isWorthLogging(level, last?.level)) return;
       logged.set(service, {level, at: now});
       log.info('admission level changed', {service, ...describe(level)});
     },
@@ -53,7 +53,7 @@
 }
 
 /** All are admitted as long as nothing has been logged. */
-function differs(
+function isWorthLogging(
   {shares}: AdmissionLevel,
   before: AdmissionLevel | undefined,
 ): boolean {
@@ -61,7 +61,7 @@
     const known = before?.shares.find(other => other.priority === priority);
     const change = Math.abs(share - (known?.share ?? 1));
     // The end of an overload is logged, however small its last step is.
-    return change >= LOGGED_CHANGE || (share === 1 && change > 0);
+    return change >= MIN_LOGGED_CHANGE || (share === 1 && change > 0);
   });
 }
 
--- a/packages/fleet/src/entry/attempt.ts
+++ b/packages/fleet/src/entry/attempt.ts
@@ -13,12 +13,12 @@
   type ExchangeFailure,
   type IncomingAnswer,
 } from './exchange';
-import type {HeldStream} from './sends_under_way';
-import {startSilenceWatch, type SilenceWatch} from './silence_watch';
+import type {ForwardedStream} from './attempts_in_flight';
+import {startSilenceMonitor, type SilenceMonitor} from './silence_monitor';
 import {relayStream, type StreamProgress} from './stream_relay';
 
 /** Largest answer that is held whole before it is passed on, in bytes. */
-const LARGEST_WHOLE_ANSWER = 8 * 1024 * 1024;
+const MAX_WHOLE_ANSWER_BYTES = 8 * 1024 * 1024;
 
 /** A whole answer of a target, ready to be passed on. */
 export interface WholeAnswer {
@@ -44,17 +44,17 @@
   readonly now: () => MonotonicInstant;
   readonly ownLines: () => readonly string[];
   /** Longest time without a byte before the target is suspected. */
-  readonly longestSilence: Milliseconds;
+  readonly maxSilence: Milliseconds;
   /** Is told of a silence, and how late the loop of this process noticed it. */
-  readonly onSilence: (noticedLateBy: Milliseconds) => void;
+  readonly onSilence: (detectionDelay: Milliseconds) => void;
   /** Is told when bytes come again after a silence. */
-  readonly onGoesOn: () => void;
+  readonly onResumed: () => void;
   /** Whether the target may still be sent the request. */
   readonly mayBegin: () => boolean;
   /** Takes the stream once it is passed on. */
-  readonly onStream: (stream: HeldStream) => void;
+  readonly onStream: (stream: ForwardedStream) => void;
   /** Is told before anything of this send goes to the caller. */
-  readonly onPassOn: () => void;
+  readonly onForward: () => void;
   /** Aborts when nothing more is wanted or to be had of this send. */
   readonly signal: AbortSignal;
   /** Is told of the header of an answer to this request. */
@@ -70,7 +70,7 @@
 }
 
 /** Sends a request to a target once; says how that ended. */
-export async function attempt(
+export async function runAttempt(
   options: AttemptOptions,
 ): Promise<ForwardAttemptEnd> {
   const exchange = openExchange(
@@ -80,11 +80,11 @@
   const abort = (): void => exchange.abort();
   options.signal.addEventListener('abort', abort, {once: true});
   if (options.signal.aborted) abort();
-  const silence = startSilenceWatch(options);
+  const silence = startSilenceMonitor(options);
   try {
     const received = await exchange.answer;
     if (received.err) return failed(received.val, options);
-    silence.noteBytes();
+    silence.recordBytes();
     return await takeAnswer(received.val, {...options, silence});
   } finally {
     silence.stop();
@@ -110,7 +110,7 @@
 
 async function takeAnswer(
   answer: IncomingAnswer,
-  options: AttemptOptions & {readonly silence: SilenceWatch},
+  options: AttemptOptions & {readonly silence: SilenceMonitor},
 ): Promise<ForwardAttemptEnd> {
   const {header, status} = answer;
   // Failure: a target sends an answer that belongs to another request, and the
@@ -147,18 +147,18 @@
     silence,
     buffers,
   }: Pick<AttemptOptions, 'buffers'> & {
-    readonly silence: SilenceWatch;
+    readonly silence: SilenceMonitor;
   },
 ): Promise<Buffer | undefined> {
   return new Promise(resolve => {
     const parts: Buffer[] = [];
     let size = 0;
     body.on('data', (part: Buffer) => {
-      silence.noteBytes();
+      silence.recordBytes();
       size += part.length;
       parts.push(part);
       buffers.hold(part.length);
-      if (size > LARGEST_WHOLE_ANSWER) body.destroy();
+      if (size > MAX_WHOLE_ANSWER_BYTES) body.destroy();
     });
     const cut = (): void => {
       buffers.hold(-size);
--- a/packages/fleet/src/entry/target_notes.ts
+++ b/packages/fleet/src/entry/attempt_recorder.ts
@@ -1,73 +1,73 @@
 import {unreachable, type ForwardAttemptEnd} from '@hibiscusbeam/core';
 import type {AcceptedRequest} from './request_acceptance';
-import type {RequestRunOptions, TakenPlace} from './request_context';
+import type {RequestRunOptions, TakenSlot} from './request_context';
 
 /** One send, as far as it says something of its target. */
-export interface NotedSend {
+export interface RecordedAttempt {
   readonly accepted: AcceptedRequest;
-  readonly place: TakenPlace;
+  readonly place: TakenSlot;
   /** Aborted once nothing listens at the target's address any more. */
   readonly foundClosed: AbortController;
 }
 
 /** Notes what one send says of its target. */
-export interface TargetNotes {
-  readonly noteSilence: () => void;
-  readonly noteEnd: (end: ForwardAttemptEnd) => void;
+export interface AttemptRecorder {
+  readonly recordSilence: () => void;
+  readonly recordEnd: (end: ForwardAttemptEnd) => void;
 }
 
 /** Creates the notes of one send; it counts as one failure at most. */
-export function createTargetNotes(
+export function createAttemptRecorder(
   options: RequestRunOptions,
-  {accepted, place, foundClosed}: NotedSend,
-): TargetNotes {
-  const {book, clock, crashWatch, metrics} = options;
+  {accepted, place, foundClosed}: RecordedAttempt,
+): AttemptRecorder {
+  const {registry, clock, crashMonitor, metrics} = options;
   const {fingerprint, route} = accepted;
   const {target} = place;
   let hasFailed = false;
 
-  function noteFailure(): void {
-    if (!hasFailed) book.recordFailure(target, clock());
+  function recordFailure(): void {
+    if (!hasFailed) registry.recordFailure(target, clock());
     hasFailed = true;
   }
 
-  function noteTarget(end: ForwardAttemptEnd): void {
+  function recordTarget(end: ForwardAttemptEnd): void {
     switch (end.kind) {
       case 'unknown':
       case 'broken':
-        return noteFailure();
+        return recordFailure();
       case 'notRun':
         // Nothing was asked of the target.
         if (end.cause === 'outdated') return;
         if (end.cause === 'connectionRefused') {
-          return book.recordRefusedConnection(target, clock());
+          return registry.recordRefusedConnection(target, clock());
         }
         if (end.cause === 'misdirected') {
-          book.recordMisdirected(target, clock());
+          registry.recordMisdirected(target, clock());
         }
-        return noteFailure();
+        return recordFailure();
       case 'timedOut':
       case 'callerGone':
         return;
       case 'answered':
       case 'streamed':
-        return book.recordSuccess(target);
+        return registry.recordSuccess(target);
       default:
         return unreachable(end);
     }
   }
 
-  function noteCrash(end: ForwardAttemptEnd): void {
+  function recordCrash(end: ForwardAttemptEnd): void {
     switch (end.kind) {
       case 'unknown':
       case 'broken':
         if (place.lifeEnded.aborted || foundClosed.signal.aborted) {
-          return crashWatch.noteEnded(fingerprint, target);
+          return crashMonitor.recordEnded(fingerprint, target);
         }
-        return void crashWatch.noteLost(fingerprint, target);
+        return void crashMonitor.recordLostConnection(fingerprint, target);
       case 'answered':
       case 'streamed':
-        return crashWatch.noteCompleted(fingerprint);
+        return crashMonitor.recordCompleted(fingerprint);
       case 'notRun':
       case 'timedOut':
       case 'callerGone':
@@ -78,11 +78,11 @@
   }
 
   return {
-    noteSilence: noteFailure,
-    noteEnd: end => {
-      noteTarget(end);
-      if (isConnectionLost(end)) metrics.countLostSend(route.name);
-      noteCrash(end);
+    recordSilence: recordFailure,
+    recordEnd: end => {
+      recordTarget(end);
+      if (isConnectionLost(end)) metrics.countLostAttempt(route.name);
+      recordCrash(end);
     },
   };
 }
--- a/packages/fleet/src/entry/sends_under_way.ts
+++ b/packages/fleet/src/entry/attempts_in_flight.ts
@@ -5,19 +5,19 @@
 } from '@hibiscusbeam/core';
 
 /** A stream that is passed on, and may be held for a while. */
-export interface HeldStream {
+export interface ForwardedStream {
   readonly hold: () => void;
   readonly release: () => void;
 }
 
 /** One send of a request, until it ends or another one has won. */
-export interface SendUnderWay {
+export interface AttemptInFlight {
   /** Aborts once another send has won or the request has ended. */
   readonly signal: AbortSignal;
   readonly isSilent: () => boolean;
   readonly isAlone: () => boolean;
   /** Takes the stream that the send passes on. */
-  readonly setStream: (stream: HeldStream) => void;
+  readonly setStream: (stream: ForwardedStream) => void;
   readonly report: (
     outcome: Exclude<ForwardAttemptOutcome, ForwardAttemptEnd>,
   ) => void;
@@ -27,9 +27,9 @@
 }
 
 /** The sends of one request, and what they report. */
-export interface SendsUnderWay {
+export interface AttemptsInFlight {
   /** Begins a send; streams that still go on are held until it ends. */
-  readonly begin: () => SendUnderWay;
+  readonly begin: () => AttemptInFlight;
   readonly count: () => number;
   /** Whether sends are under way and nothing comes from any of them. */
   readonly areSilent: () => boolean;
@@ -44,20 +44,20 @@
   readonly abort: () => void;
 }
 
-interface Send {
+interface Attempt {
   readonly abort: AbortController;
   isSilent: boolean;
-  stream: HeldStream | undefined;
+  stream: ForwardedStream | undefined;
 }
 
 interface Report {
-  readonly send: Send;
+  readonly send: Attempt;
   readonly outcome: ForwardAttemptOutcome;
 }
 
 /** Creates the bookkeeping of the sends of one request. */
-export function createSendsUnderWay(): SendsUnderWay {
-  const underWay = new Set<Send>();
+export function createAttemptsInFlight(): AttemptsInFlight {
+  const underWay = new Set<Attempt>();
   let reports: readonly Report[] = [];
   let waiting: readonly (() => void)[] = [];
   let failure: {readonly error: unknown} | undefined;
@@ -68,19 +68,19 @@
     for (const resolve of woken) resolve();
   }
 
-  function report(send: Send, outcome: ForwardAttemptOutcome): void {
+  function report(send: Attempt, outcome: ForwardAttemptOutcome): void {
     if (send.abort.signal.aborted) return;
     reports = [...reports, {send, outcome}];
     wake();
   }
 
-  function abort(send: Send): void {
+  function abort(send: Attempt): void {
     underWay.delete(send);
     reports = reports.filter(report => report.send !== send);
     send.abort.abort();
   }
 
-  function abortOthers(winner: Send): void {
+  function abortOthers(winner: Attempt): void {
     for (const send of [...underWay]) if (send !== winner) abort(send);
   }
 
@@ -92,13 +92,13 @@
     for (const send of underWay) if (!send.isSilent) send.stream?.hold();
   }
 
-  function releaseOthers(of: Send): void {
+  function releaseOthers(of: Attempt): void {
     for (const send of underWay) if (send !== of) send.stream?.release();
   }
 
-  function begin(): SendUnderWay {
+  function begin(): AttemptInFlight {
     holdAll();
-    const send: Send = {
+    const send: Attempt = {
       abort: new AbortController(),
       isSilent: false,
       stream: undefined,
--- a/packages/fleet/src/entry/service_faces.ts
+++ b/packages/fleet/src/entry/auxiliary_servers.ts
@@ -9,12 +9,12 @@
 import type {SiteRegions} from './site_regions';
 
 /** Where a face listens, and how it closes. */
-export interface ServiceFace {
+export interface AuxiliaryServer {
   readonly close: () => Promise<void>;
 }
 
 /** What the directory needs. */
-export interface DirectoryFaceOptions {
+export interface DirectoryServerOptions {
   readonly address: string;
   readonly protocol: DirectoryProtocol;
   /** Entries that callers may be sent to, this one among them. */
@@ -45,13 +45,13 @@
 }
 
 /** Opens the directory: which entries a caller may use. */
-export function openDirectory(
-  options: DirectoryFaceOptions,
-): Promise<ServiceFace> {
+export function openDirectoryServer(
+  options: DirectoryServerOptions,
+): Promise<AuxiliaryServer> {
   const server = openServer();
   const {protocol} = options;
   server.get(protocol.path, async (request, reply) => {
-    const question = protocol.readQuestion(
+    const question = protocol.readRequest(
       request.query as Record<string, string | undefined>,
     );
     const entries = options
@@ -76,11 +76,11 @@
 }
 
 /** Opens the face that says whether this entry takes requests. */
-export function openReadiness(
+export function openReadinessServer(
   address: string,
   protocol: DirectoryProtocol,
   isReady: () => boolean,
-): Promise<ServiceFace> {
+): Promise<AuxiliaryServer> {
   const server = openServer();
   server.get(protocol.readinessPath, (_request, reply) =>
     reply.code(isReady() ? 200 : 503).send(),
@@ -89,10 +89,10 @@
 }
 
 /** Opens the face on which metrics are read. */
-export function openMetricsFace(
+export function openMetricsServer(
   address: string,
   metrics: FleetMetrics,
-): Promise<ServiceFace> {
+): Promise<AuxiliaryServer> {
   const server = openServer();
   server.get('/metrics', async (_request, reply) =>
     reply.type(metrics.contentType).send(await metrics.text()),
@@ -103,7 +103,7 @@
 async function listen(
   server: FastifyInstance,
   address: string,
-): Promise<ServiceFace> {
+): Promise<AuxiliaryServer> {
   const [host, port] = address.split(':');
   await server.listen({host, port: Number(port)});
   return {close: () => server.close()};
--- a/packages/fleet/src/entry/buffered_bytes.ts
+++ b/packages/fleet/src/entry/buffered_bytes.ts
@@ -8,10 +8,10 @@
 import type {Socket} from 'node:net';
 
 /** Period of looks at what is held, while requests run. */
-const LOOK_PERIOD = 100;
+const CHECK_PERIOD_MS = 100;
 
 /** Time in which further bytes are collected before the next look. */
-const COLLECT = 10;
+const CHECK_DELAY_MS = 10;
 
 /** Who reads: a caller its answer, or a target the body of a request. */
 export type ReaderKind = 'caller' | 'target';
@@ -33,7 +33,7 @@
   /** Counts what is sent to a target until its connection closes. */
   readonly watchTarget: (request: ClientRequest) => void;
   /** Releases all whole answers: what is passed on is in the response. */
-  readonly passedOn: () => void;
+  readonly releaseAnswers: () => void;
 }
 
 /** Bounds what an entry buffers for callers and targets that read slowly. */
@@ -73,33 +73,33 @@
 ): BufferedBytes {
   const {bound, clock, log} = options;
   const readers = new Set<Reader>();
-  let soon: NodeJS.Timeout | undefined;
-  let stopLooks: (() => void) | undefined;
+  let pendingCheck: NodeJS.Timeout | undefined;
+  let stopChecks: (() => void) | undefined;
 
-  function watch(
+  function track(
     reader: Omit<Reader, 'takenBefore' | 'movedAt'>,
     closing: ClientRequest | ServerResponse,
   ): void {
     if (closing.destroyed) return;
     const watched = {...reader, takenBefore: 0, movedAt: clock()};
     readers.add(watched);
-    stopLooks ??= every(LOOK_PERIOD, look);
+    stopChecks ??= every(CHECK_PERIOD_MS, check);
     closing.once('close', () => {
       readers.delete(watched);
       if (readers.size > 0) return;
-      stopLooks?.();
-      stopLooks = undefined;
+      stopChecks?.();
+      stopChecks = undefined;
     });
   }
 
   function note(): void {
-    soon ??= setTimeout(() => {
-      soon = undefined;
-      look();
-    }, COLLECT);
+    pendingCheck ??= setTimeout(() => {
+      pendingCheck = undefined;
+      check();
+    }, CHECK_DELAY_MS);
   }
 
-  function look(): void {
+  function check(): void {
     const now = clock();
     const buffered = [...readers].map(reader => {
       const held = reader.held();
@@ -128,24 +128,24 @@
 
   return {
     open: (response, requestId) => {
-      let whole = 0;
+      let wholeAnswerBytes = 0;
       const caller = {
         kind: 'caller',
         requestId,
-        held: () => whole + response.writableLength,
+        held: () => wholeAnswerBytes + response.writableLength,
         isOffered: () => response.writableLength > 0,
         taken: () => takenBy(response.socket),
         drop: () => void response.destroy(),
       } as const;
-      watch(caller, response);
+      track(caller, response);
       return {
         hold: bytes => {
-          whole += bytes;
+          wholeAnswerBytes += bytes;
           note();
         },
         note,
         watchTarget: request =>
-          watch(
+          track(
             {
               kind: 'target',
               requestId,
@@ -156,7 +156,7 @@
             },
             request,
           ),
-        passedOn: () => (whole = 0),
+        releaseAnswers: () => (wholeAnswerBytes = 0),
       };
     },
     held: () => [...readers].reduce((sum, {held}) => sum + held(), 0),
--- a/packages/fleet/src/entry/caller_face.ts
+++ b/packages/fleet/src/entry/caller_server.ts
@@ -5,30 +5,33 @@
 import type {RequestHandler} from './request_handler';
 
 /** Idle time of callers' connections until a configuration names one. */
-const FIRST_IDLE_TIMEOUT: Milliseconds = 15_000;
+const INITIAL_IDLE_TIMEOUT: Milliseconds = 15_000;
 
 /** Connections that wait to be accepted; a burst opens hundreds at once. */
-const BACKLOG = 1_024;
+const ACCEPT_BACKLOG = 1_024;
 
 /** The face for callers. */
-export interface CallerFace {
+export interface CallerServer {
   readonly listen: (address: string) => Promise<void>;
   readonly setIdleTimeout: (timeout: Milliseconds) => void;
   readonly close: () => void;
 }
 
 /** Creates the face that passes requests to `handler`. */
-export function createCallerFace(
+export function createCallerServer(
   handler: RequestHandler,
   clock: Clock,
-): CallerFace {
-  const server: Server = createServer({keepAliveTimeout: FIRST_IDLE_TIMEOUT});
-  const idle = createIdleConnections(() => server.keepAliveTimeout, clock);
+): CallerServer {
+  const server: Server = createServer({keepAliveTimeout: INITIAL_IDLE_TIMEOUT});
+  const idleConnections = createIdleConnections(
+    () => server.keepAliveTimeout,
+    clock,
+  );
   server.on('request', (request, response) => {
-    idle.noteRequest(request, response);
+    idleConnections.recordRequest(request, response);
     handler.handle(request, response);
   });
-  server.on('timeout', idle.noteTimeout);
+  server.on('timeout', idleConnections.handleTimeout);
   // Deadlines of requests are kept by their handler.
   server.requestTimeout = 0;
   return {
@@ -36,7 +39,7 @@
       const [host, port] = address.split(':');
       return new Promise((resolve, reject) => {
         server.once('error', reject);
-        server.listen(Number(port), host, BACKLOG, resolve);
+        server.listen(Number(port), host, ACCEPT_BACKLOG, resolve);
       });
     },
     setIdleTimeout: timeout => {
--- a/packages/fleet/src/entry/cold_watch.ts
+++ b/packages/fleet/src/entry/cold_target_monitor.ts
@@ -12,7 +12,7 @@
 import type {OperatorFollower} from './operator_follower';
 
 /** What the watch needs. */
-export interface ColdWatchOptions {
+export interface ColdTargetMonitorOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Pick<FleetMetrics, 'setColdTargets'>;
@@ -21,7 +21,7 @@
 }
 
 /** Follows which targets are cold, by their own words and by reports. */
-export interface ColdWatch {
+export interface ColdTargetMonitor {
   readonly list: (targets: readonly ListedTarget[]) => void;
   readonly report: (load: EngineLoad) => void;
   readonly isCold: ColdTargets['isCold'];
@@ -30,7 +30,9 @@
 }
 
 /** Creates the watch; it logs each change. */
-export function createColdWatch(options: ColdWatchOptions): ColdWatch {
+export function createColdTargetMonitor(
+  options: ColdTargetMonitorOptions,
+): ColdTargetMonitor {
   const {clock, log, metrics} = options;
   const targets = createColdTargets(service => {
     const described = options.table()?.service(service);
--- a/packages/fleet/src/entry/crash_watch.ts
+++ b/packages/fleet/src/entry/crash_monitor.ts
@@ -13,78 +13,78 @@
 const CONNECT_TIMEOUT: Milliseconds = 400;
 
 /** Tries at an address that gives no answer, and the pause between them. */
-const MOST_TRIES = 4;
-const PAUSE_BETWEEN_TRIES: Milliseconds = 300;
+const MAX_PROBES = 4;
+const PAUSE_BETWEEN_PROBES: Milliseconds = 300;
 
 /** What an address answers to an opening packet. */
 export type AddressState = 'listening' | 'closed' | 'unreachable';
 
 /** What the watch needs. */
-export interface CrashWatchOptions {
+export interface CrashMonitorOptions {
   readonly quarantine: Quarantine;
   readonly clock: Clock;
   readonly log: Log;
-  readonly look?: (address: string) => Promise<AddressState>;
+  readonly probe?: (address: string) => Promise<AddressState>;
   /** Told when something seen here has changed the quarantine. */
   readonly onChange: (fingerprint: RequestFingerprint) => void;
 }
 
 /** Finds out whether targets have ended under requests. */
-export interface CrashWatch {
+export interface CrashMonitor {
   /** Looks whether anything listens at the target's address. */
-  readonly look: (target: ListedTarget) => Promise<AddressState>;
+  readonly probe: (target: ListedTarget) => Promise<AddressState>;
   /** Notes that a request lost its connection to a target that ran it. */
-  readonly noteLost: (
+  readonly recordLostConnection: (
     fingerprint: RequestFingerprint,
     target: ListedTarget,
   ) => Promise<void>;
   /** Notes that the target's life is known to have ended with the request. */
-  readonly noteEnded: (
+  readonly recordEnded: (
     fingerprint: RequestFingerprint,
     target: ListedTarget,
   ) => void;
   /** Notes that a target has answered the request and lives on. */
-  readonly noteCompleted: (fingerprint: RequestFingerprint) => void;
+  readonly recordCompleted: (fingerprint: RequestFingerprint) => void;
 }
 
 /**
  * Creates the watch. A lost connection alone says nothing of the target: links
  * reset too. It has ended if nothing listens at its address any more.
  */
-export function createCrashWatch(options: CrashWatchOptions): CrashWatch {
-  const {quarantine, clock, log, look = lookAt} = options;
-  const looks = new Map<TargetIncarnation, Promise<AddressState>>();
+export function createCrashMonitor(options: CrashMonitorOptions): CrashMonitor {
+  const {quarantine, clock, log, probe: look = probeAddress} = options;
+  const probes = new Map<TargetIncarnation, Promise<AddressState>>();
 
   /** One look serves all requests of a target that want one at that time. */
-  function lookOnce(target: ListedTarget): Promise<AddressState> {
+  function probeOnce(target: ListedTarget): Promise<AddressState> {
     const life = targetIncarnationKey(target);
-    const running = looks.get(life);
+    const running = probes.get(life);
     if (running !== undefined) return running;
-    const started = lookUntilAnswered(target.address).finally(() =>
-      looks.delete(life),
+    const started = probeUntilAnswered(target.address).finally(() =>
+      probes.delete(life),
     );
-    looks.set(life, started);
+    probes.set(life, started);
     return started;
   }
 
-  async function lookUntilAnswered(address: string): Promise<AddressState> {
+  async function probeUntilAnswered(address: string): Promise<AddressState> {
     for (let tries = 1; ; tries += 1) {
       const state = await look(address);
-      if (state !== 'unreachable' || tries >= MOST_TRIES) return state;
-      await sleep(PAUSE_BETWEEN_TRIES);
+      if (state !== 'unreachable' || tries >= MAX_PROBES) return state;
+      await sleep(PAUSE_BETWEEN_PROBES);
     }
   }
 
-  async function noteLost(
+  async function recordLostConnection(
     fingerprint: RequestFingerprint,
     target: ListedTarget,
   ): Promise<void> {
     const endedAt = clock();
-    const state = await lookOnce(target);
-    if (state === 'closed') note(fingerprint, target, endedAt);
+    const state = await probeOnce(target);
+    if (state === 'closed') recordEnding(fingerprint, target, endedAt);
   }
 
-  function note(
+  function recordEnding(
     fingerprint: RequestFingerprint,
     target: ListedTarget,
     endedAt: number,
@@ -102,10 +102,11 @@
   }
 
   return {
-    look: lookOnce,
-    noteLost,
-    noteEnded: (fingerprint, target) => note(fingerprint, target, clock()),
-    noteCompleted: fingerprint => {
+    probe: probeOnce,
+    recordLostConnection,
+    recordEnded: (fingerprint, target) =>
+      recordEnding(fingerprint, target, clock()),
+    recordCompleted: fingerprint => {
       if (!quarantine.recordCompletion(fingerprint, clock())) return;
       log.info('suspicion of a request dropped', {fingerprint});
       options.onChange(fingerprint);
@@ -113,7 +114,7 @@
   };
 }
 
-function lookAt(address: string): Promise<AddressState> {
+function probeAddress(address: string): Promise<AddressState> {
   const [host, port] = address.split(':');
   return new Promise(resolve => {
     const socket = connect({host, port: Number(port)});
--- a/packages/fleet/src/entry/engine_report_stream.ts
+++ b/packages/fleet/src/entry/engine_report_stream.ts
@@ -14,9 +14,9 @@
 
 /** Takes agents' reports, and tells agents what is new. */
 export interface EngineReportStreams {
-  readonly answer: (call: ReportCall) => void;
+  readonly handleStream: (call: ReportCall) => void;
   /** Tells all agents at once. */
-  readonly tellAll: () => void;
+  readonly sendToAll: () => void;
 }
 
 /**
@@ -25,27 +25,27 @@
  */
 export function createEngineReportStreams(
   take: (report: EngineReport) => void,
-  news: () => EngineReportReply,
+  createUpdate: () => EngineReportReply,
   signal: AbortSignal,
 ): EngineReportStreams {
   const calls = new Set<ReportCall>();
-  signal.addEventListener('abort', every(REPLY_PERIOD, tellAll));
+  signal.addEventListener('abort', every(REPLY_PERIOD, sendToAll));
 
-  function tell(call: ReportCall): void {
-    if (call.writable) call.write(news());
+  function sendUpdate(call: ReportCall): void {
+    if (call.writable) call.write(createUpdate());
   }
 
-  function tellAll(): void {
-    for (const call of calls) tell(call);
+  function sendToAll(): void {
+    for (const call of calls) sendUpdate(call);
   }
 
-  function answer(call: ReportCall): void {
+  function handleStream(call: ReportCall): void {
     const forget = (): void => void calls.delete(call);
     call.on('data', (report: EngineReport) => {
       take(report);
       if (calls.has(call)) return;
       calls.add(call);
-      tell(call);
+      sendUpdate(call);
     });
     call.on('end', () => {
       forget();
@@ -56,5 +56,5 @@
     call.on('close', forget);
   }
 
-  return {answer, tellAll};
+  return {handleStream, sendToAll};
 }
--- a/packages/fleet/src/entry/entry.ts
+++ b/packages/fleet/src/entry/entry.ts
@@ -39,28 +39,32 @@
   TargetList,
 } from '../ports';
 import {startMachineClock} from '../runtime/clock';
-import {bufferBound, type FleetEntrySettings} from '../settings';
+import {maxBufferedBytes, type FleetEntrySettings} from '../settings';
 import {createBufferedBytes} from './buffered_bytes';
-import {createCallerFace} from './caller_face';
-import {createColdWatch} from './cold_watch';
+import {createCallerServer} from './caller_server';
+import {createColdTargetMonitor} from './cold_target_monitor';
 import {createEntryAdmission, NO_ADMISSION} from './entry_admission';
-import {createEntryCircle} from './entry_circle';
+import {createEntryPeers} from './entry_peers';
 import {createEntryQuarantine} from './entry_quarantine';
 import {createEngineReportStreams} from './engine_report_stream';
-import {createEvacuationWatch} from './evacuation_watch';
+import {createEvacuationMonitor} from './evacuation_monitor';
 import {createFleetMetrics} from './fleet_metrics';
-import {createHeldReadings, EVACUATION_BOUND} from './held_readings';
-import {createLimitWatch} from './limit_watch';
+import {createHeldReadings, DEFAULT_EVACUATION_BOUND} from './held_readings';
+import {createRateLimitMonitor} from './rate_limit_monitor';
 import {createOperatorFollower} from './operator_follower';
-import {createPlaceQueue} from './place_queue';
-import {createRepeatBudgets} from './repeat_budgets';
+import {createSlotQueue} from './slot_queue';
+import {createRetryBudgets} from './retry_budgets';
 import type {StoppingPhase} from './request_acceptance';
 import {createRequestHandler} from './request_handler';
 import {createSiteRegions} from './site_regions';
-import {openDirectory, openMetricsFace, openReadiness} from './service_faces';
+import {
+  openDirectoryServer,
+  openMetricsServer,
+  openReadinessServer,
+} from './auxiliary_servers';
 import {createStreamHandover} from './stream_handover';
 import {startTargetFollower} from './target_follower';
-import {createTargetStatements} from './target_statements';
+import {createHeaderRecorder} from './header_recorder';
 
 /** What an entry uses of the host platform. */
 export interface EntryPorts {
@@ -81,10 +85,10 @@
  * keep a directory's answer for one or two seconds, and the age grows to two
  * seconds between two answers of a store that is well.
  */
-const TURNED_AWAY_SHARE = 0.75;
+const UNREADY_AGE_SHARE = 0.75;
 
 /** Most of a directory answer's life that is used, so that news spread soon. */
-const LONGEST_DIRECTORY_LIFE: Milliseconds = 2_000;
+const MAX_DIRECTORY_TTL: Milliseconds = 2_000;
 
 /**
  * Share of the grace period after a signal to stop in which new requests are
@@ -93,13 +97,13 @@
 const SERVING_SHARE = 0.45;
 
 /** Share of the grace period after which what still runs is answered. */
-const LAST_ANSWERS_SHARE = 0.9;
+const FINAL_ANSWERS_SHARE = 0.9;
 
 /** Share of the grace period after which the process ends at the latest. */
 const ENDING_SHARE = 0.95;
 
 /** Period of looks at what still runs while stopping. */
-const STOPPING_LOOK: Milliseconds = 50;
+const STOPPING_CHECK_PERIOD: Milliseconds = 50;
 
 function toEngineLoad(report: EngineReport): EngineLoad {
   return {
@@ -117,7 +121,7 @@
 }
 
 /** The smaller of two limits, of which either may be missing. */
-function smaller(
+function minDefined(
   one: number | undefined,
   other: number | undefined,
 ): number | undefined {
@@ -135,13 +139,13 @@
   const metrics = createFleetMetrics();
   const machineClock = startMachineClock(metrics.observeLoopDelay);
   const {bounds} = settings;
-  const evacuation = bounds.evacuation ?? EVACUATION_BOUND;
+  const evacuation = bounds.evacuation ?? DEFAULT_EVACUATION_BOUND;
   const stopped = new AbortController();
   let phase: StoppingPhase = 'serving';
   const storeClock = createStoreClock();
   const storeDistance = createStoreDistance();
   const failurePause = createFailurePause(hash32(settings.instance) / 2 ** 32);
-  const storeContact = createStoreAvailability(failurePause.noteAnswer);
+  const storeContact = createStoreAvailability(failurePause.recordAnswer);
   const confirmation = createConfirmation(storeClock);
   const copies = createConfigurationCopies();
   const spread = hash32(settings.instance) / 2 ** 32;
@@ -155,22 +159,22 @@
   });
   const isReadable = (use: ReadingUse): boolean => use !== 'outdated';
   const life = `${settings.instance}-${randomUUID()}`;
-  const {quarantine, quarantineStore, trials, crashWatch} =
+  const {quarantine, quarantineStore, trials, crashMonitor} =
     createEntryQuarantine({
       table: ports.quarantine,
       holder: life,
       clock,
       log: logs('requests'),
       failurePause,
-      onChange: () => circle.offerRecords(),
+      onChange: () => entryPeers.scheduleRecords(),
     });
   const limits = createRateLimits(clock);
-  const limitWatch = createLimitWatch({
+  const limitMonitor = createRateLimitMonitor({
     limits,
     log: logs('routing'),
-    onChange: () => circle.offerRecords(),
+    onChange: () => entryPeers.scheduleRecords(),
   });
-  const cold = createColdWatch({
+  const coldTargets = createColdTargetMonitor({
     clock,
     log: logs('routing'),
     metrics,
@@ -178,38 +182,40 @@
   });
   const paced = createSendPacer({
     self: {instance: settings.instance, zone: settings.zone},
-    rateOf: life => smaller(limits.rateOf(life), cold.rateOf(life)),
+    rateOf: life => minDefined(limits.rateOf(life), coldTargets.rateOf(life)),
     knownShare: () =>
-      members.isKnown() ? (circle.usable().length + 1) / circle.size() : 0,
+      members.isKnown()
+        ? (entryPeers.usable().length + 1) / entryPeers.size()
+        : 0,
   });
   const regions = createSiteRegions(settings);
-  const evacuations = createEvacuationWatch({
+  const evacuations = createEvacuationMonitor({
     log: logs('configuration'),
     metrics,
     isKnownZone: regions.isKnownZone,
   });
   // An entry that was frozen or is cut off may miss an evacuation or a change of
   // residency, also for requests that it has accepted.
-  const arePlacesKnown = (): boolean =>
+  const areTargetsKnown = (): boolean =>
     isReadable(readings.targets()) &&
     isReadable(readings.evacuations()) &&
     isResidencyKnown();
   const isResidencyKnown = (): boolean =>
     operator.table()?.restrictsRegions !== true ||
     isReadable(readings.configuration());
-  const book = createTargetRegistry(
+  const registry = createTargetRegistry(
     {instance: settings.instance, zone: settings.zone},
-    arePlacesKnown,
+    areTargetsKnown,
     paced.maySend,
     {
       placement: settings.placement,
       isEvacuated: evacuations.isEvacuated,
       regionOf: regions.regionOf,
-      isCold: cold.isCold,
+      isCold: coldTargets.isCold,
     },
   );
-  const places = createPlaceQueue(
-    book,
+  const slotQueue = createSlotQueue(
+    registry,
     clock,
     paced.recordSend,
     settings.admission === 'level' ? createFairOrder() : undefined,
@@ -220,18 +226,18 @@
       : createEntryAdmission({
           instance: settings.instance,
           zone: settings.zone,
-          book,
+          registry,
           metrics,
           log: logs('routing'),
           clock,
-          entries: () => circle.size(),
-          followsRelay: () => !circle.readsTargets(),
-          waitingFor: places.waitingFor,
+          entries: () => entryPeers.size(),
+          followsRelay: () => !entryPeers.readsTargets(),
+          waitingFor: slotQueue.waitingFor,
         });
   const handover = createStreamHandover({
-    book,
+    registry,
     clock,
-    movesLate: settings.placement === 'forecast',
+    movesLateStreams: settings.placement === 'forecast',
   });
   const self: MemberDescription = {
     instance: settings.instance,
@@ -258,24 +264,24 @@
     evacuations,
     log: logs('configuration'),
     // Agents and followers hear of a new version from whoever hears of it first.
-    onNews: () => {
-      reportStreams.tellAll();
-      circle.face.tellStates();
+    onVersionsOrServices: () => {
+      reportStreams.sendToAll();
+      entryPeers.relayServer.sendStates();
     },
     // Both stand in the operator's table.
     bound: Math.min(bounds.configuration, evacuation),
     copies,
-    source: () => circle.operatorSource(),
-    onConfiguration: () => circle.greetRelays(),
-    onMoment: moment => circle.face.offerOperator(moment),
+    source: () => entryPeers.operatorSource(),
+    onConfiguration: () => entryPeers.greetRelays(),
+    onReading: moment => entryPeers.relayServer.setOperator(moment),
     spread,
     onChange: () => {
       const limits = operator.table()?.configuration.limits;
-      if (limits !== undefined) callers.setIdleTimeout(limits.idleTimeout);
-      places.pump();
+      if (limits !== undefined) callerServer.setIdleTimeout(limits.idleTimeout);
+      slotQueue.pump();
     },
   });
-  const longestConfirmationAge = bounds.revocation - REVOCATION_MARGIN;
+  const maxConfirmationAge = bounds.revocation - REVOCATION_MARGIN;
   // Failure: an entry that is cut off from the store refuses every request with
   // a key, and its callers come back to it though the others would serve them.
   // Guard: it counts as unready before that, and directories leave it out.
@@ -287,9 +293,9 @@
     isReadable(readings.targets()) &&
     confirmation.isFresh(
       machineClock(),
-      longestConfirmationAge * TURNED_AWAY_SHARE,
+      maxConfirmationAge * UNREADY_AGE_SHARE,
     );
-  const circle = createEntryCircle({
+  const entryPeers = createEntryPeers({
     self,
     isReady,
     clock,
@@ -298,20 +304,20 @@
     records: createSiteRecords(quarantine, limits),
     demands: admission.exchange,
     storeDistance: storeDistance.min,
-    namings: namings.tell,
-    onNamings: namings.take,
+    namings: namings.list,
+    onNamings: namings.merge,
     onReports: takeReports,
     onTables: news => {
       const {operator: moment, configuration, targets: listing} = news;
       if (moment !== undefined || listing !== undefined) {
-        failurePause.noteAnswer();
+        failurePause.recordAnswer();
       }
-      if (moment !== undefined) operator.hear(moment, configuration);
-      if (listing !== undefined) targets.hear(listing);
+      if (moment !== undefined) operator.receive(moment, configuration);
+      if (listing !== undefined) targets.receive(listing);
     },
     onUsable: () => {
-      const senders = [self, ...circle.usable()];
-      book.setEntries(senders);
+      const senders = [self, ...entryPeers.usable()];
+      registry.setEntries(senders);
       paced.setSenders(senders);
     },
   });
@@ -321,35 +327,35 @@
     clock,
     log: logs('membership'),
     failurePause,
-    onChange: circle.setMembers,
+    onChange: entryPeers.setMembers,
   });
   const handler = createRequestHandler({
     protocol: ports.requests,
     operator,
     readings,
     confirmation,
-    book,
-    places,
+    registry,
+    places: slotQueue,
     admission,
     handover,
-    budgets: createRepeatBudgets({
+    budgets: createRetryBudgets({
       share: bounds.repeats.share,
       slack: bounds.repeats.slack,
-      entries: () => (members.isKnown() ? circle.size() : undefined),
+      entries: () => (members.isKnown() ? entryPeers.size() : undefined),
     }),
     versions,
     quarantine,
-    crashWatch,
-    statements: createTargetStatements({
-      book,
+    crashMonitor,
+    headerRecorder: createHeaderRecorder({
+      registry,
       clock,
-      limitWatch,
+      limitMonitor,
       log: logs('routing'),
       metrics,
     }),
     trials,
     buffers: createBufferedBytes({
-      bound: bufferBound(settings),
+      bound: maxBufferedBytes(settings),
       clock,
       log: logs('requests'),
       onDropped: metrics.countDroppedReader,
@@ -359,20 +365,20 @@
     clock,
     machineClock,
     log: logs('requests'),
-    longestConfirmationAge,
+    maxConfirmationAge,
     listedAt: () => targets.listedAt(),
     stopping: () => phase,
   });
-  const callers = createCallerFace(handler, clock);
+  const callerServer = createCallerServer(handler, clock);
   const usable = (): readonly MemberDescription[] => {
-    const others = circle.usable();
+    const others = entryPeers.usable();
     return isReady() || others.length === 0 ? [self, ...others] : others;
   };
 
   const reportStreams = createEngineReportStreams(
-    circle.takeReport,
+    entryPeers.takeReport,
     () => ({
-      namings: namings.tell(),
+      namings: namings.list(),
       servicesDigest: operator.servicesDigest(),
     }),
     stopped.signal,
@@ -380,13 +386,13 @@
 
   function takeReports(reports: readonly EngineReport[]): void {
     for (const report of reports) {
-      namings.take(report.namings);
+      namings.merge(report.namings);
       const load = toEngineLoad(report);
-      cold.report(load);
-      book.report(load, clock());
+      coldTargets.report(load);
+      registry.report(load, clock());
     }
-    places.pump();
-    handover.look();
+    slotQueue.pump();
+    handover.check();
   }
 
   operator.start(stopped.signal);
@@ -394,20 +400,20 @@
   const targets = startTargetFollower(
     {
       list: ports.targets,
-      book,
+      registry,
       clock,
       machineClock,
       storeClock,
       storeDistance,
       storeContact,
-      readsStore: circle.readsTargets,
-      onListing: circle.face.offerTargets,
+      readsStore: entryPeers.readsTargets,
+      onListing: entryPeers.relayServer.setTargets,
       spread,
       log: logs('routing'),
       draining: bounds.draining,
       heartbeat: settings.store.heartbeat,
-      onTargets: cold.list,
-      onChange: places.pump,
+      onTargets: coldTargets.list,
+      onChange: slotQueue.pump,
       isConfigured: service => {
         const table = operator.table();
         return table && table.service(service) !== undefined;
@@ -419,52 +425,52 @@
     openPeerServer(settings.peerAddress, {
       role: 'entry',
       handlers: {
-        reportEngine: reportStreams.answer,
-        follow: circle.face.answer,
+        reportEngine: reportStreams.handleStream,
+        follow: entryPeers.relayServer.handleStream,
       },
     }),
-    openDirectory({
+    openDirectoryServer({
       address: settings.directoryAddress,
       protocol: ports.directory,
       usable,
       regionOf: regions.regionOf,
       regionsOf: host => operator.table()?.regionsOf(host),
-      keepFor: Math.min(bounds.directoryAnswer, LONGEST_DIRECTORY_LIFE),
+      keepFor: Math.min(bounds.directoryAnswer, MAX_DIRECTORY_TTL),
     }),
-    openReadiness(settings.readinessAddress, ports.directory, isReady),
-    callers.listen(settings.callerAddress),
+    openReadinessServer(settings.readinessAddress, ports.directory, isReady),
+    callerServer.listen(settings.callerAddress),
   ]);
-  const metricsFace =
+  const metricsServer =
     settings.metricsAddress === undefined
       ? undefined
-      : await openMetricsFace(settings.metricsAddress, metrics);
+      : await openMetricsServer(settings.metricsAddress, metrics);
   members.start(stopped.signal);
-  const stopCircle = circle.start();
+  const stopCircle = entryPeers.start();
 
   let finish = (): void => undefined;
   const ended = new Promise<void>(resolve => (finish = resolve));
   const stop = async (): Promise<void> => {
     if (phase !== 'serving') return ended;
-    const signalledAt = clock();
+    const stoppingSince = clock();
     const isPast = (share: number): boolean =>
-      clock() - signalledAt >= bounds.grace * share;
+      clock() - stoppingSince >= bounds.grace * share;
     phase = 'leaving';
-    circle.tellSelf();
+    entryPeers.announceSelf();
     void members.leave();
     await sleep(bounds.grace * SERVING_SHARE);
     phase = 'closing';
     while (handler.running() > 0 && !isPast(ENDING_SHARE)) {
-      if (isPast(LAST_ANSWERS_SHARE)) handler.endAll();
-      await sleep(STOPPING_LOOK);
+      if (isPast(FINAL_ANSWERS_SHARE)) handler.endAll();
+      await sleep(STOPPING_CHECK_PERIOD);
     }
     stopped.abort();
     stopCircle();
-    callers.close();
+    callerServer.close();
     peers.close();
     await Promise.all([
       directory.close(),
       readiness.close(),
-      metricsFace?.close(),
+      metricsServer?.close(),
     ]);
     finish();
   };
--- a/packages/fleet/src/entry/entry_admission.ts
+++ b/packages/fleet/src/entry/entry_admission.ts
@@ -14,19 +14,19 @@
   type ZoneDemand,
 } from '@hibiscusbeam/core';
 import type {Clock, Log} from '@hibiscusbeam/daemon';
-import {createAdmissionWatch} from './admission_watch';
+import {createAdmissionMonitor} from './admission_monitor';
 import type {CountedAdmission, FleetMetrics} from './fleet_metrics';
 import type {AcceptedRequest} from './request_acceptance';
-import {spreadReturn} from './timeliness';
+import {spreadRetryAfter} from './timeliness';
 
 /** The least urgent priority that engines know. */
-const LEAST_URGENT = 9;
+const LEAST_URGENT_PRIORITY = 9;
 
 /** Wait from which a request counts as held. */
-const HELD: Milliseconds = 1;
+const MIN_HELD_WAIT: Milliseconds = 1;
 
 /** Time for which the sums by zone are kept before they are added up anew. */
-const SUMS_LIFE: Milliseconds = 50;
+const MAX_SUMS_AGE: Milliseconds = 50;
 
 /** Exchange of what callers ask for among the entries. */
 export interface DemandExchange {
@@ -34,11 +34,11 @@
   readonly own: () => readonly ServiceDemand[];
   /** Sums by zone, the own one first; empty without admission by level. */
   readonly zones: () => readonly ZoneDemand[];
-  readonly noteFollower: (
+  readonly recordFollower: (
     instance: string,
     demands: readonly ServiceDemand[],
   ) => void;
-  readonly noteZones: (zones: readonly ZoneDemand[]) => void;
+  readonly recordZones: (zones: readonly ZoneDemand[]) => void;
 }
 
 /** Whether a request is admitted on its arrival. */
@@ -57,7 +57,7 @@
   /** Decides on a request that has not waited yet. */
   readonly arrive: (accepted: AcceptedRequest) => ArrivalDecision;
   /** Notes how long an admitted request has waited, and why in vain. */
-  readonly noteWait: (
+  readonly recordWait: (
     accepted: AcceptedRequest,
     waited: Milliseconds,
     refusedFor: string | undefined,
@@ -68,16 +68,16 @@
     least: Milliseconds,
   ) => Milliseconds;
   /** How long a request will probably hold its place. */
-  readonly placeTime: (accepted: AcceptedRequest) => Milliseconds;
+  readonly slotTime: (accepted: AcceptedRequest) => Milliseconds;
   /** Notes how long a request has held its place. */
-  readonly noteHeld: (accepted: AcceptedRequest, held: Milliseconds) => void;
+  readonly recordHeld: (accepted: AcceptedRequest, held: Milliseconds) => void;
 }
 
 /** What admission at an entry goes by. */
 export interface EntryAdmissionOptions {
   readonly instance: string;
   readonly zone: string;
-  readonly book: TargetRegistry;
+  readonly registry: TargetRegistry;
   readonly metrics: FleetMetrics;
   readonly log: Log;
   readonly clock: Clock;
@@ -94,32 +94,32 @@
   exchange: {
     own: () => [],
     zones: () => [],
-    noteFollower: () => undefined,
-    noteZones: () => undefined,
+    recordFollower: () => undefined,
+    recordZones: () => undefined,
   },
   arrive: () => ({kind: 'admitted', by: undefined}),
-  noteWait: () => undefined,
+  recordWait: () => undefined,
   retryAfter: ({header, route}, least) =>
-    spreadReturn(header.requestId, route, least),
-  placeTime: () => 0,
-  noteHeld: () => undefined,
+    spreadRetryAfter(header.requestId, route, least),
+  slotTime: () => 0,
+  recordHeld: () => undefined,
 };
 
 /** Creates admission by level. */
 export function createEntryAdmission(
   options: EntryAdmissionOptions,
 ): EntryAdmission {
-  const {clock, book, entries, waitingFor} = options;
+  const {clock, registry, entries, waitingFor} = options;
   const meter = createDemandMeter();
   const placeTimes = createSlotTimes();
-  const watch = createAdmissionWatch(options.metrics, options.log);
+  const monitor = createAdmissionMonitor(options.metrics, options.log);
   const own = (now: number): readonly ServiceDemand[] =>
     meter.demands(now, waitingFor);
   const site = createSiteDemand({...options, own});
   const levels = createLevelAdmission({
     instance: options.instance,
     demand: site.demandFor,
-    capacity: book.capacity,
+    capacity: registry.capacity,
     entries,
   });
 
@@ -129,7 +129,7 @@
   /** One sum for all followers, which are told one after the other. */
   function zones(): readonly ZoneDemand[] {
     const now = clock();
-    if (now - summedAt < SUMS_LIFE) return sums;
+    if (now - summedAt < MAX_SUMS_AGE) return sums;
     summedAt = now;
     sums = site.zones(now);
     return sums;
@@ -155,7 +155,7 @@
     }
     const decision = levels.decide(request, waitingFor(service), now);
     if (decision.kind !== 'noLevel') {
-      watch.noteLevel(service, decision.level, now);
+      monitor.recordLevel(service, decision.level, now);
       count(accepted, ...countedAs(decision.kind));
     }
     switch (decision.kind) {
@@ -185,14 +185,14 @@
     exchange: {
       own: () => own(clock()),
       zones,
-      noteFollower: (instance, demands) =>
+      recordFollower: (instance, demands) =>
         site.recordFollower(instance, demands, clock()),
-      noteZones: site.recordZones,
+      recordZones: site.recordZones,
     },
     arrive,
-    noteWait: (accepted, waited, refusedFor) => {
-      options.metrics.observePlaceWait(accepted.service, waited);
-      if (waited >= HELD) count(accepted, 'held', 'allFull');
+    recordWait: (accepted, waited, refusedFor) => {
+      options.metrics.observeSlotWait(accepted.service, waited);
+      if (waited >= MIN_HELD_WAIT) count(accepted, 'held', 'allFull');
       if (refusedFor !== undefined) count(accepted, 'refused', refusedFor);
     },
     retryAfter: (accepted, least) => {
@@ -207,11 +207,11 @@
         minDelay: least,
       });
     },
-    placeTime,
-    noteHeld: (accepted, held) => {
+    slotTime: placeTime,
+    recordHeld: (accepted, held) => {
       const {service} = accepted;
       const now = clock();
-      const {places, pacedPlaces} = book.capacity(service, now);
+      const {places, pacedPlaces} = registry.capacity(service, now);
       // Slow engines count in the capacity, so not in the time as well.
       const pace = pacedPlaces > 0 ? places / pacedPlaces : 1;
       const expected = expectedTime(accepted);
@@ -247,8 +247,8 @@
 }
 
 /** The priority as engines are told it: 0 to 9. */
-export function toldPriority(accepted: AcceptedRequest): number {
-  return Math.min(LEAST_URGENT, wirePriority(priorityOf(accepted)));
+export function enginePriority(accepted: AcceptedRequest): number {
+  return Math.min(LEAST_URGENT_PRIORITY, wirePriority(priorityOf(accepted)));
 }
 
 /** The workspace of its caller; undefined for callers without a key. */
--- a/packages/fleet/src/entry/entry_circle.ts
+++ b/packages/fleet/src/entry/entry_peers.ts
@@ -21,28 +21,28 @@
 import type {MemberDescription} from '../ports';
 import {NO_ADMISSION, type DemandExchange} from './entry_admission';
 import type {TableSource} from './operator_follower';
-import {createRelayFace, type RelayFace} from './relay_face';
+import {createRelayServer, type RelayServer} from './relay_server';
 import {openRelayLink, type RelayLink} from './relay_link';
-import type {ToldNews} from './relay_news';
+import type {RelayUpdate} from './relay_updates';
 import {createSiteReader} from './site_reader';
 
 /**
  * Period of looks at the relays. A silent one is given up after four looks: a
  * second, of the 2 s that a report may be old.
  */
-const LOOK_PERIOD: Milliseconds = 250;
+const CHECK_PERIOD: Milliseconds = 250;
 
 /** Looks between two greetings of a relay. */
-const LOOKS_BETWEEN_GREETINGS = 4;
+const CHECKS_BETWEEN_GREETINGS = 4;
 
 /** Time in which the site's records are collected before they go out. */
-const COLLECT_RECORDS: Milliseconds = 10;
+const RECORDS_DELAY: Milliseconds = 10;
 
 /** Age of the last report of an agent after which the relay's are wanted. */
-const REPORTS_MISSED: Milliseconds = 700;
+const MAX_REPORT_AGE: Milliseconds = 700;
 
 /** What an entry's circle needs. */
-export interface EntryCircleOptions {
+export interface EntryPeersOptions {
   readonly self: MemberDescription;
   readonly isReady: () => boolean;
   readonly clock: Clock;
@@ -59,23 +59,23 @@
   /** Takes reports, straight from agents or passed on by the relay. */
   readonly onReports: (reports: readonly EngineReport[]) => void;
   /** Takes what the relay has read of the store's tables. */
-  readonly onTables: (news: ToldNews) => void;
+  readonly onTables: (update: RelayUpdate) => void;
   /** Told when the entries have changed that callers may be sent to. */
   readonly onUsable: () => void;
 }
 
 /** The other entries: who passes news on to whom, and who serves callers. */
-export interface EntryCircle {
+export interface EntryPeers {
   readonly setMembers: (members: readonly MemberDescription[]) => void;
   readonly start: () => () => void;
   /** Answers entries that follow this one. */
-  readonly face: RelayFace;
+  readonly relayServer: RelayServer;
   /** Takes a report that an agent has sent here. */
   readonly takeReport: (report: EngineReport) => void;
   /** Tells at once how this entry stands. */
-  readonly tellSelf: () => void;
+  readonly announceSelf: () => void;
   /** Passes on soon what has changed in the site's records. */
-  readonly offerRecords: () => void;
+  readonly scheduleRecords: () => void;
   /** Tells the relays what is held here. */
   readonly greetRelays: () => void;
   /** Other entries that callers may be sent to. */
@@ -98,7 +98,7 @@
  * that all agree on. The others follow it alone, and it follows the relays of the
  * other zones, so that connections grow with the zones and with a zone's size.
  */
-export function createEntryCircle(options: EntryCircleOptions): EntryCircle {
+export function createEntryPeers(options: EntryPeersOptions): EntryPeers {
   const {self, clock, log, demands = NO_ADMISSION.exchange} = options;
   const channels = createEntryChannels();
   const states = createEntryStates();
@@ -109,7 +109,7 @@
     clock,
     storeDistance: options.storeDistance,
   });
-  const face = createRelayFace({
+  const relayServer = createRelayServer({
     clock,
     states: allStates,
     namings: options.namings,
@@ -119,21 +119,21 @@
     readingDistance: () =>
       operatorSource() === 'store' ? options.storeDistance() : undefined,
     onGreeting: takeGreeting,
-    onFollowerLost: instance => noteState(instance, false, clock()),
+    onFollowerLost: instance => recordState(instance, false, clock()),
   });
   let entries: readonly MemberDescription[] = [];
   let links: readonly RelayLink[] = [];
   let reportedAt = -Infinity;
-  let looks = 0;
-  let toldReady: boolean | undefined;
+  let checks = 0;
+  let announcedReady: boolean | undefined;
   let lastUsable = '';
   let greetingSoon: NodeJS.Timeout | undefined;
 
   function setMembers(members: readonly MemberDescription[]): void {
     entries = members.filter(({role}) => role === 'entry');
     states.setMembers(entries, clock());
-    channels.keep(new Set(entries.map(({address}) => address)));
-    noteUsable();
+    channels.retain(new Set(entries.map(({address}) => address)));
+    reportUsable();
   }
 
   function relayOf(zone: ZoneName): MemberDescription | undefined {
@@ -174,7 +174,7 @@
         ...greetingFor(relay),
         ...writeRecords(clock()),
       }),
-      onNews: takeNews,
+      onUpdate: takeUpdate,
       onLost: loseRelay,
     });
   }
@@ -185,7 +185,7 @@
     const isOwnZone = zone === self.zone;
     return {
       self: ownState(),
-      wantsReports: !isOwnZone || !hearsAgents(),
+      wantsReports: !isOwnZone || !receivesAgentReports(),
       wantsTables: isOwnZone,
       wantsSiteReading: !isOwnZone,
       heldConfiguration: options.copies.newestRevision(),
@@ -195,9 +195,9 @@
   }
 
   /** Whether agents of the zone report all to this entry. */
-  function hearsAgents(): boolean {
+  function receivesAgentReports(): boolean {
     const inZone = entries.filter(({zone}) => zone === self.zone).length + 1;
-    return isSmallZone(inZone) && clock() - reportedAt <= REPORTS_MISSED;
+    return isSmallZone(inZone) && clock() - reportedAt <= MAX_REPORT_AGE;
   }
 
   function loseRelay(relay: MemberDescription): void {
@@ -205,31 +205,31 @@
     silent.record(relay.life, clock());
     siteReader.forget(relay);
     links = links.filter(link => link.relay !== relay);
-    noteState(relay.instance, false, clock());
+    recordState(relay.instance, false, clock());
     followRelays();
   }
 
-  function takeNews(news: ToldNews, relay: MemberDescription): void {
-    options.onNamings(news.namings);
+  function takeUpdate(update: RelayUpdate, relay: MemberDescription): void {
+    options.onNamings(update.namings);
     const now = clock();
-    for (const {instance, ready, ageMilliseconds} of news.entries) {
-      noteState(instance, ready, now - ageMilliseconds);
+    for (const {instance, ready, ageMilliseconds} of update.entries) {
+      recordState(instance, ready, now - ageMilliseconds);
     }
-    takePassedReports(news.reports, relay);
-    takeRecords(news.records);
-    demands.noteZones(news.demands);
-    siteReader.note(news.operator, relay);
-    options.onTables(news);
+    takeRelayedReports(update.reports, relay);
+    takeRecords(update.records);
+    demands.recordZones(update.demands);
+    siteReader.record(update.operator, relay);
+    options.onTables(update);
   }
 
-  function takePassedReports(
+  function takeRelayedReports(
     reports: readonly EngineReport[],
     relay: MemberDescription,
   ): void {
     const fresh = reports.filter(isNewest);
     if (fresh.length === 0) return;
     // What the own zone's relay tells is known to all that follow it.
-    if (relay.zone !== self.zone) face.offerFarReports(fresh);
+    if (relay.zone !== self.zone) relayServer.queueZoneReports(fresh);
     options.onReports(fresh);
   }
 
@@ -243,7 +243,7 @@
 
   function operatorSource(): TableSource {
     if (followsOwnRelay()) return 'zoneRelay';
-    return siteReader.isAnother() ? 'siteReader' : 'store';
+    return siteReader.isDelegated() ? 'siteReader' : 'store';
   }
 
   function takeGreeting(greeting: FollowerGreeting): void {
@@ -251,35 +251,39 @@
     takeRecords(greeting);
     const {self: state} = greeting;
     if (state === undefined) return;
-    noteState(state.instance, state.ready, clock());
+    recordState(state.instance, state.ready, clock());
     // Relays of other zones follow this one, too; they tell their sums as news.
     if (greeting.wantsTables) {
-      demands.noteFollower(state.instance, readDemands(greeting.demands));
+      demands.recordFollower(state.instance, readDemands(greeting.demands));
     }
   }
 
   function takeRecords(message: SiteRecordsMessage): void {
-    if (options.records.take(message, clock())) offerRecords();
+    if (options.records.merge(message, clock())) scheduleRecords();
   }
 
   /** A target that ends brings a record for each request that it ran. */
-  function offerRecords(): void {
-    face.offerRecords();
+  function scheduleRecords(): void {
+    relayServer.scheduleRecords();
     greetingSoon ??= setTimeout(() => {
       greetingSoon = undefined;
       greetRelays();
-    }, COLLECT_RECORDS);
+    }, RECORDS_DELAY);
   }
 
-  function noteState(instance: string, ready: boolean, heardAt: number): void {
+  function recordState(
+    instance: string,
+    ready: boolean,
+    heardAt: number,
+  ): void {
     if (!states.record({instance, ready, observedAt: heardAt})) return;
     log.info(ready ? 'entry is ready' : 'entry is not ready', {instance});
-    noteUsable();
+    reportUsable();
     // What changes here is passed on; relays that know it already stay silent.
-    face.tellStates();
+    relayServer.sendStates();
   }
 
-  function noteUsable(): void {
+  function reportUsable(): void {
     const usableNow = usable()
       .map(({life}) => life)
       .join();
@@ -313,30 +317,30 @@
     return [ownState(), ...heard];
   }
 
-  function look(): void {
-    looks += 1;
-    for (const link of [...links]) link.look();
+  function check(): void {
+    checks += 1;
+    for (const link of [...links]) link.check();
     followRelays();
-    noteUsable();
-    const isChanged = options.isReady() !== toldReady;
-    if (isChanged || looks % LOOKS_BETWEEN_GREETINGS === 0) greetRelays();
-    if (isChanged) face.tellStates();
+    reportUsable();
+    const isChanged = options.isReady() !== announcedReady;
+    if (isChanged || checks % CHECKS_BETWEEN_GREETINGS === 0) greetRelays();
+    if (isChanged) relayServer.sendStates();
   }
 
   function greetRelays(): void {
-    toldReady = options.isReady();
+    announcedReady = options.isReady();
     for (const link of links) link.greet();
   }
 
   return {
     setMembers,
-    face,
+    relayServer,
     start: () => {
-      const stopLooks = every(LOOK_PERIOD, look);
+      const stopChecks = every(CHECK_PERIOD, check);
       return () => {
-        stopLooks();
+        stopChecks();
         clearTimeout(greetingSoon);
-        face.close();
+        relayServer.close();
         for (const link of links) link.end();
         channels.close();
       };
@@ -345,14 +349,14 @@
       reportedAt = clock();
       // Versions are named with the first report on a stream, however old it is.
       if (!isNewest(report)) return options.onNamings(report.namings);
-      face.offerReport(report);
+      relayServer.queueReport(report);
       options.onReports([report]);
     },
-    tellSelf: () => {
+    announceSelf: () => {
       greetRelays();
-      face.tellStates();
+      relayServer.sendStates();
     },
-    offerRecords,
+    scheduleRecords,
     greetRelays,
     usable,
     size: () => entries.length + 1,
--- a/packages/fleet/src/entry/entry_quarantine.ts
+++ b/packages/fleet/src/entry/entry_quarantine.ts
@@ -2,7 +2,7 @@
 import type {Clock, Log} from '@hibiscusbeam/daemon';
 import type {FailurePause} from '../link/failure_pause';
 import type {QuarantineTable} from '../ports';
-import {createCrashWatch, type CrashWatch} from './crash_watch';
+import {createCrashMonitor, type CrashMonitor} from './crash_monitor';
 import {createQuarantineStore, type QuarantineStore} from './quarantine_store';
 import {
   createQuarantineTrials,
@@ -26,7 +26,7 @@
   readonly quarantine: Quarantine;
   readonly quarantineStore: QuarantineStore;
   readonly trials: QuarantineTrials;
-  readonly crashWatch: CrashWatch;
+  readonly crashMonitor: CrashMonitor;
 }
 
 /** Puts the parts together that act on one quarantine. */
@@ -39,11 +39,11 @@
   const quarantineStore = createQuarantineStore({
     table,
     quarantine,
-    onRestore: trials.claimAgain,
+    onRestore: trials.reclaim,
     failurePause: options.failurePause,
     log,
   });
-  const crashWatch = createCrashWatch({
+  const crashMonitor = createCrashMonitor({
     quarantine,
     clock,
     log,
@@ -53,5 +53,5 @@
       if (!quarantine.isQuarantined(fingerprint)) trials.forget(fingerprint);
     },
   });
-  return {quarantine, quarantineStore, trials, crashWatch};
+  return {quarantine, quarantineStore, trials, crashMonitor};
 }
--- a/packages/fleet/src/entry/evacuation_watch.ts
+++ b/packages/fleet/src/entry/evacuation_monitor.ts
@@ -11,7 +11,7 @@
 import type {OperatorMoment} from './operator_follower';
 
 /** What the watch needs. */
-export interface EvacuationWatchOptions {
+export interface EvacuationMonitorOptions {
   readonly log: Log;
   readonly metrics: Pick<FleetMetrics, 'setEvacuatedZones'>;
   /** Whether the settings name a zone. */
@@ -19,20 +19,20 @@
 }
 
 /** Follows the zones that the operator wants evacuated. */
-export interface EvacuationWatch extends Pick<
+export interface EvacuationMonitor extends Pick<
   Evacuations,
   'zones' | 'isEvacuated'
 > {
   /** Takes an own reading of the operator's table. */
   readonly take: (reading: OperatorReading, scope: ReadingScope) => void;
   /** Takes a reading of a relay. */
-  readonly hear: (moment: OperatorMoment) => void;
+  readonly receive: (moment: OperatorMoment) => void;
 }
 
 /** Creates the watch; it logs each change. */
-export function createEvacuationWatch(
-  options: EvacuationWatchOptions,
-): EvacuationWatch {
+export function createEvacuationMonitor(
+  options: EvacuationMonitorOptions,
+): EvacuationMonitor {
   const {log, metrics} = options;
   const evacuations = createEvacuations();
 
@@ -42,12 +42,12 @@
     const after = evacuations.zones();
     const begun = after.filter(({zone}) => !hasZone(before, zone));
     const ended = before.filter(({zone}) => !hasZone(after, zone));
-    begun.forEach(logBegun);
+    begun.forEach(logStarted);
     for (const {zone} of ended) log.info('zone no longer evacuated', {zone});
     if (begun.length + ended.length > 0) metrics.setEvacuatedZones(after);
   }
 
-  function logBegun({zone, revision}: EvacuatedZone): void {
+  function logStarted({zone, revision}: EvacuatedZone): void {
     if (options.isKnownZone(zone)) {
       return log.info('zone evacuated', {zone, revision});
     }
@@ -61,7 +61,7 @@
         const zones = changes.filter(({isEvacuated}) => isEvacuated);
         evacuations.replace(zones, revision);
       }),
-    hear: ({evacuatedZones, revision}) =>
+    receive: ({evacuatedZones, revision}) =>
       update(() => evacuations.replace(evacuatedZones, revision)),
     zones: evacuations.zones,
     isEvacuated: evacuations.isEvacuated,
--- a/packages/fleet/src/entry/expected_run.ts
+++ b/packages/fleet/src/entry/expected_run.ts
@@ -29,7 +29,7 @@
 }
 
 /** A request whose run is to be worked out. */
-export interface RequestToExpect {
+export interface ExpectedRunInput {
   readonly header: CallerHeader;
   readonly table: RouteTable;
   readonly service: ServiceName;
@@ -39,13 +39,16 @@
 
 /** Works out the runs of requests. */
 export interface ExpectedRuns {
-  readonly expect: (request: RequestToExpect) => ExpectedRun;
+  readonly expect: (request: ExpectedRunInput) => ExpectedRun;
   /** Learns from an answer that took so long to write, from its first event. */
-  readonly noteWritten: (request: RequestToExpect, took: Milliseconds) => void;
+  readonly recordWritten: (
+    request: ExpectedRunInput,
+    took: Milliseconds,
+  ) => void;
 }
 
 /** Part of an engine that a request claims at most on a route not seen yet. */
-const UNSEEN_PART = 0.25;
+const MAX_UNSEEN_SHARE = 0.25;
 
 /**
  * Creates the expectations. Answers don't say how many tokens they have; in the
@@ -54,7 +57,7 @@
 export function createExpectedRuns(): ExpectedRuns {
   const written = createRequestSizes();
 
-  function expect({header, table, service, route}: RequestToExpect) {
+  function expect({header, table, service, route}: ExpectedRunInput) {
     const profile = profileOf(table, service);
     if (profile === undefined) {
       return {
@@ -86,14 +89,14 @@
           : memoryNeed(
               memoryTokens,
               prompt,
-              outputToReserve(claims, memoryTokens * UNSEEN_PART),
+              outputToReserve(claims, memoryTokens * MAX_UNSEEN_SHARE),
             ),
     };
   }
 
   return {
     expect,
-    noteWritten: ({header, table, service, route}, took) => {
+    recordWritten: ({header, table, service, route}, took) => {
       const stepTime = profileOf(table, service)?.stepTime ?? 0;
       if (stepTime <= 0) return;
       const most = countOf(header.mostOutputTokens) ?? Infinity;
--- a/packages/fleet/src/entry/fleet_metrics.ts
+++ b/packages/fleet/src/entry/fleet_metrics.ts
@@ -2,16 +2,18 @@
 import {Counter, Gauge, Histogram, Registry} from 'prom-client';
 
 /** Upper bounds of the duration histogram, in milliseconds. */
-const DURATION_BUCKETS = [25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400];
+const DURATION_BUCKETS_MS = [25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400];
 
 /** Upper bounds of the histogram of readings' ages, in milliseconds. */
-const AGE_BUCKETS = [250, 500, 1_000, 1_500, 2_000, 2_500, 3_000, 4_000, 5_000];
+const READING_AGE_BUCKETS_MS = [
+  250, 500, 1_000, 1_500, 2_000, 2_500, 3_000, 4_000, 5_000,
+];
 
 /** Upper bounds of the histogram of the loop's delays, in milliseconds. */
-const DELAY_BUCKETS = [5, 20, 50, 100, 200, 500, 1_000, 2_000];
+const LOOP_DELAY_BUCKETS_MS = [5, 20, 50, 100, 200, 500, 1_000, 2_000];
 
 /** Upper bounds of the histogram of waits for a place, in milliseconds. */
-const WAIT_BUCKETS = [1, 10, 25, 50, 100, 200, 400, 800, 1_600];
+const SLOT_WAIT_BUCKETS_MS = [1, 10, 25, 50, 100, 200, 400, 800, 1_600];
 
 /** What became of a request that asked for a place. */
 export interface CountedAdmission {
@@ -23,7 +25,9 @@
 }
 
 /** Upper bounds of the histogram of forecasts' errors, in milliseconds. */
-const ERROR_BUCKETS = [-200, -100, -50, -20, 0, 20, 50, 100, 200, 400, 800];
+const FORECAST_ERROR_BUCKETS_MS = [
+  -200, -100, -50, -20, 0, 20, 50, 100, 200, 400, 800,
+];
 
 /** Tables of the store whose readings requests are decided by. */
 export type ReadTable = 'configuration' | 'targets';
@@ -35,7 +39,7 @@
   /** Notes how old the reading is that a request is decided by. */
   readonly observeReadingAge: (table: ReadTable, milliseconds: number) => void;
   /** Counts a send whose connection ended before the target's answer did. */
-  readonly countLostSend: (route: string) => void;
+  readonly countLostAttempt: (route: string) => void;
   /** Counts a silence of a target that has a request. */
   readonly countSilence: (route: string) => void;
   /** Notes how late a periodic timer of this process ran. */
@@ -64,7 +68,7 @@
     share: number,
   ) => void;
   /** Notes how long an admitted request has waited for a place. */
-  readonly observePlaceWait: (service: string, milliseconds: number) => void;
+  readonly observeSlotWait: (service: string, milliseconds: number) => void;
   /** Counts a caller or target that was dropped since it read too slowly. */
   readonly countDroppedReader: (kind: string) => void;
   /** All of them as text. */
@@ -85,17 +89,17 @@
     name: 'hibiscusbeam_request_duration_milliseconds',
     help: 'Time from the header of a request to the end of its answer.',
     labelNames: ['route'],
-    buckets: DURATION_BUCKETS,
+    buckets: DURATION_BUCKETS_MS,
     registers: [registry],
   });
   const readingAges = new Histogram({
     name: 'hibiscusbeam_reading_age_milliseconds',
     help: 'Age of the reading of the store that a request was decided by.',
     labelNames: ['table'],
-    buckets: AGE_BUCKETS,
+    buckets: READING_AGE_BUCKETS_MS,
     registers: [registry],
   });
-  const lostSends = new Counter({
+  const lostAttempts = new Counter({
     name: 'hibiscusbeam_lost_sends_total',
     help: 'Sends whose connection ended before the answer of the target.',
     labelNames: ['route'],
@@ -110,14 +114,14 @@
   const loopDelays = new Histogram({
     name: 'hibiscusbeam_loop_delay_milliseconds',
     help: 'How late the loop of the process ran a timer.',
-    buckets: DELAY_BUCKETS,
+    buckets: LOOP_DELAY_BUCKETS_MS,
     registers: [registry],
   });
   const forecastErrors = new Histogram({
     name: 'hibiscusbeam_forecast_error_milliseconds',
     help: 'How much later than forecast the first event of a target came.',
     labelNames: ['service'],
-    buckets: ERROR_BUCKETS,
+    buckets: FORECAST_ERROR_BUCKETS_MS,
     registers: [registry],
   });
   const limitedAnswers = new Counter({
@@ -162,11 +166,11 @@
     labelNames: ['service', 'priority'],
     registers: [registry],
   });
-  const placeWaits = new Histogram({
+  const slotWaits = new Histogram({
     name: 'hibiscusbeam_place_wait_milliseconds',
     help: 'Time for which admitted requests waited for a place.',
     labelNames: ['service'],
-    buckets: WAIT_BUCKETS,
+    buckets: SLOT_WAIT_BUCKETS_MS,
     registers: [registry],
   });
   const droppedReaders = new Counter({
@@ -181,7 +185,7 @@
       durations.observe({route}, milliseconds),
     observeReadingAge: (table, milliseconds) =>
       readingAges.observe({table}, milliseconds),
-    countLostSend: route => lostSends.inc({route}),
+    countLostAttempt: route => lostAttempts.inc({route}),
     countSilence: route => silences.inc({route}),
     observeLoopDelay: milliseconds => loopDelays.observe(milliseconds),
     observeForecastError: (service, milliseconds) =>
@@ -202,8 +206,8 @@
     countAdmission: admission => admissions.inc({...admission}),
     setAdmissionShare: (service, priority, share) =>
       admissionShares.set({service, priority}, share),
-    observePlaceWait: (service, milliseconds) =>
-      placeWaits.observe({service}, milliseconds),
+    observeSlotWait: (service, milliseconds) =>
+      slotWaits.observe({service}, milliseconds),
     countDroppedReader: kind => droppedReaders.inc({kind}),
     text: () => registry.metrics(),
     contentType: registry.contentType,
--- a/packages/fleet/src/entry/target_statements.ts
+++ b/packages/fleet/src/entry/header_recorder.ts
@@ -6,10 +6,10 @@
 import type {Clock, Log} from '@hibiscusbeam/daemon';
 import type {AnswerHeader} from '../ports';
 import type {FleetMetrics} from './fleet_metrics';
-import type {LimitWatch} from './limit_watch';
+import type {RateLimitMonitor} from './rate_limit_monitor';
 
 /** The header of an answer, and the request that it answers. */
-export interface StatedAnswer {
+export interface ReceivedHeader {
   readonly target: ListedTarget;
   readonly header: AnswerHeader;
   /** When the request was sent. */
@@ -17,64 +17,64 @@
 }
 
 /** What taking targets' statements needs. */
-export interface TargetStatementsOptions {
-  readonly book: Pick<TargetRegistry, 'recordLeaving' | 'recordBackoff'>;
+export interface HeaderRecorderOptions {
+  readonly registry: Pick<TargetRegistry, 'recordLeaving' | 'recordBackoff'>;
   readonly clock: Clock;
-  readonly limitWatch: LimitWatch;
+  readonly limitMonitor: RateLimitMonitor;
   readonly log: Log;
   readonly metrics: FleetMetrics;
 }
 
 /** Takes what targets say of themselves in the headers of their answers. */
-export interface TargetStatements {
+export interface HeaderRecorder {
   /** Returns what the header says, for the story of its request. */
-  readonly note: (answer: StatedAnswer) => readonly string[];
+  readonly record: (answer: ReceivedHeader) => readonly string[];
 }
 
 /** Creates the taker of statements. */
-export function createTargetStatements(
-  options: TargetStatementsOptions,
-): TargetStatements {
-  const {book, clock, limitWatch, log, metrics} = options;
+export function createHeaderRecorder(
+  options: HeaderRecorderOptions,
+): HeaderRecorder {
+  const {registry, clock, limitMonitor, log, metrics} = options;
 
-  function noteLimit({target, header, sentAt}: StatedAnswer): string[] {
+  function recordLimit({target, header, sentAt}: ReceivedHeader): string[] {
     const {rateLimit, sealed} = header;
     // A refusal need not name the limit that is still in force.
     if (rateLimit === undefined && !sealed) return [];
-    limitWatch.noteAnswer(target, rateLimit, sentAt);
+    limitMonitor.recordAnswer(target, rateLimit, sentAt);
     if (rateLimit === undefined) return [];
     metrics.countLimitedAnswer(target.service);
     return [`names a limit of ${rateLimit} a second`];
   }
 
-  function noteLeaving({target, header}: StatedAnswer): string[] {
+  function recordLeaving({target, header}: ReceivedHeader): string[] {
     if (!header.leaving) return [];
     metrics.countLeavingAnswer(target.service);
-    if (book.recordLeaving(target)) {
+    if (registry.recordLeaving(target)) {
       const {instance, service} = target;
       log.info('target says that it leaves', {instance, service});
     }
     return ['says that it leaves'];
   }
 
-  function noteBackoff({target, header}: StatedAnswer): string[] {
+  function recordBackoff({target, header}: ReceivedHeader): string[] {
     const {backoff} = header;
     if (backoff === undefined) return [];
     metrics.countBackoffAnswer(target.service);
-    book.recordBackoff(target, clock() + backoff);
+    registry.recordBackoff(target, clock() + backoff);
     const {instance, service} = target;
     log.info('target asks to back off', {instance, service, backoff});
     return [`asks to back off for ${Math.round(backoff)} ms`];
   }
 
   return {
-    note: answer => {
+    record: answer => {
       // Another target, or another life of it, has answered.
       if (answer.header.misdirected) return [];
       return [
-        ...noteLimit(answer),
-        ...noteLeaving(answer),
-        ...noteBackoff(answer),
+        ...recordLimit(answer),
+        ...recordLeaving(answer),
+        ...recordBackoff(answer),
       ];
     },
   };
--- a/packages/fleet/src/entry/held_configuration.ts
+++ b/packages/fleet/src/entry/held_configuration.ts
@@ -11,7 +11,7 @@
 import type {OperatorFeed, OperatorReading, Revision} from '../ports';
 
 /** Conflicts named in one line of the log. */
-const MOST_CONFLICTS_LOGGED = 10;
+const MAX_LOGGED_CONFLICTS = 10;
 
 /** The configuration that an entry goes by. */
 export interface HeldConfiguration {
@@ -22,7 +22,7 @@
   /** Revision of the newest one; 0 if there is none, or it can't be read. */
   readonly revision: () => Revision;
   /** Whether a newer one was written that can't be read. */
-  readonly isNewestLost: () => boolean;
+  readonly isNewestUnreadable: () => boolean;
   readonly takeReading: (reading: OperatorReading) => void;
   /** Takes what another entry has read, if it is newer. */
   readonly takeCopy: (copy: ConfigurationCopy) => void;
@@ -44,17 +44,17 @@
   const {copies, log} = options;
   let table: RouteTable | undefined;
   let digest = servicesDigest([]);
-  let isNewestLost = false;
+  let isNewestUnreadable = false;
 
   function takeReading(reading: OperatorReading): void {
     const {configuration, document, isConfigurationLost} = reading;
-    if (isConfigurationLost) isNewestLost = true;
+    if (isConfigurationLost) isNewestUnreadable = true;
     if (configuration === undefined) return;
-    if (!isConfigurationLost) isNewestLost = false;
+    if (!isConfigurationLost) isNewestUnreadable = false;
     // A store that was restored may have lost the one in force; entries that
     // have started since must not go by the older one.
-    if (isOlder(configuration)) copies.keepAs(reading.revision);
-    else if (document !== undefined) copies.keep(document);
+    if (isOlder(configuration)) copies.addUnchanged(reading.revision);
+    else if (document !== undefined) copies.add(document);
     adopt(configuration);
   }
 
@@ -68,12 +68,12 @@
       return;
     }
     const configuration = options.decode(document.val);
-    isNewestLost = configuration.err;
+    isNewestUnreadable = configuration.err;
     if (configuration.err) {
       log.warn('configuration not usable', {error: configuration.val});
       return;
     }
-    copies.keep(document.val);
+    copies.add(document.val);
     adopt(configuration.val);
   }
 
@@ -101,15 +101,15 @@
     if (conflicts.length === 0) return;
     log.warn('no region is allowed for requests of some workspaces', {
       version: configuration.version,
-      conflicts: conflicts.slice(0, MOST_CONFLICTS_LOGGED),
+      conflicts: conflicts.slice(0, MAX_LOGGED_CONFLICTS),
     });
   }
 
   return {
     table: () => table,
     servicesDigest: () => digest,
-    revision: () => (isNewestLost ? 0 : copies.newestRevision()),
-    isNewestLost: () => isNewestLost,
+    revision: () => (isNewestUnreadable ? 0 : copies.newestRevision()),
+    isNewestUnreadable: () => isNewestUnreadable,
     takeReading,
     takeCopy,
   };
--- a/packages/fleet/src/entry/held_readings.ts
+++ b/packages/fleet/src/entry/held_readings.ts
@@ -9,18 +9,18 @@
 import type {Clock} from '@hibiscusbeam/daemon';
 
 /** Share of the bound of configurations that may pass; the rest is for clocks. */
-const CONFIGURATION_SHARE = 0.95;
+const MAX_CONFIGURATION_AGE_SHARE = 0.95;
 
 /**
  * Share of the bound of evacuations that may pass; the rest is a request's way.
  */
-const EVACUATIONS_SHARE = 0.9;
+const MAX_EVACUATIONS_AGE_SHARE = 0.9;
 
 /** Bound of evacuations where the settings name none. */
-export const EVACUATION_BOUND: Milliseconds = 5_000;
+export const DEFAULT_EVACUATION_BOUND: Milliseconds = 5_000;
 
 /** Share of the draining bound that may pass; the rest is a request's way. */
-const TARGETS_SHARE = 0.9;
+const MAX_TARGETS_AGE_SHARE = 0.9;
 
 /** What judging the held readings needs. */
 export interface HeldReadingsOptions {
@@ -50,7 +50,7 @@
 export function createHeldReadings(options: HeldReadingsOptions): HeldReadings {
   const {confirmation, storeContact, machineClock, bounds} = options;
 
-  function judge(
+  function evaluate(
     bound: Milliseconds,
     readAt: MonotonicInstant = -Infinity,
   ): ReadingUse {
@@ -63,12 +63,16 @@
 
   return {
     configuration: () =>
-      judge(
-        bounds.configuration * CONFIGURATION_SHARE,
+      evaluate(
+        bounds.configuration * MAX_CONFIGURATION_AGE_SHARE,
         confirmation.confirmedAt(),
       ),
     evacuations: () =>
-      judge(bounds.evacuation * EVACUATIONS_SHARE, options.evacuationsReadAt()),
-    targets: () => judge(bounds.draining * TARGETS_SHARE, options.listedAt()),
+      evaluate(
+        bounds.evacuation * MAX_EVACUATIONS_AGE_SHARE,
+        options.evacuationsReadAt(),
+      ),
+    targets: () =>
+      evaluate(bounds.draining * MAX_TARGETS_AGE_SHARE, options.listedAt()),
   };
 }
--- a/packages/fleet/src/entry/idle_connections.ts
+++ b/packages/fleet/src/entry/idle_connections.ts
@@ -4,17 +4,17 @@
 import type {Socket} from 'node:net';
 
 /** Time beyond the idle time for a request that is on its way. */
-const MARGIN: Milliseconds = 1_000;
+const IN_TRANSIT_MARGIN: Milliseconds = 1_000;
 
 /** Callers' connections on which no request is in progress. */
 export interface IdleConnections {
   /** Notes a request, and when it will have been answered. */
-  readonly noteRequest: (
+  readonly recordRequest: (
     request: IncomingMessage,
     response: ServerResponse,
   ) => void;
   /** Closes a connection whose timer ran out, unless it is to be kept. */
-  readonly noteTimeout: (socket: Socket) => void;
+  readonly handleTimeout: (socket: Socket) => void;
 }
 
 interface IdleSince {
@@ -33,8 +33,8 @@
 ): IdleConnections {
   const idle = new WeakMap<Socket, IdleSince>();
 
-  function keptUntil({at, announcedTimeout}: IdleSince): MonotonicInstant {
-    return at + Math.max(announcedTimeout, idleTimeout()) + MARGIN;
+  function expiresAt({at, announcedTimeout}: IdleSince): MonotonicInstant {
+    return at + Math.max(announcedTimeout, idleTimeout()) + IN_TRANSIT_MARGIN;
   }
 
   /** Timers run before sockets are read: a request may lie in the socket. */
@@ -43,12 +43,12 @@
     setImmediate(() => {
       if (idle.get(socket) !== since) return;
       if (socket.bytesRead === bytesRead) socket.destroy();
-      else socket.setTimeout(Math.max(idleTimeout(), MARGIN));
+      else socket.setTimeout(Math.max(idleTimeout(), IN_TRANSIT_MARGIN));
     });
   }
 
   return {
-    noteRequest: ({socket}, response) => {
+    recordRequest: ({socket}, response) => {
       const timeoutAtRequest = idleTimeout();
       idle.delete(socket);
       response.once('finish', () => {
@@ -57,10 +57,10 @@
         idle.set(socket, {at: clock(), announcedTimeout});
       });
     },
-    noteTimeout: socket => {
+    handleTimeout: socket => {
       const since = idle.get(socket);
       if (since === undefined) return;
-      const left = keptUntil(since) - clock();
+      const left = expiresAt(since) - clock();
       if (left > 0) socket.setTimeout(left);
       else closeAfterReading(socket, since);
     },
--- a/packages/fleet/src/entry/own_answers.ts
+++ b/packages/fleet/src/entry/local_answers.ts
@@ -6,7 +6,7 @@
 import type {ServerResponse} from 'node:http';
 
 /** An answer that the entry gives itself. */
-export interface OwnAnswer {
+export interface LocalAnswer {
   readonly status: 400 | 401 | 404 | 413 | 502 | 503 | 504;
   readonly reason: string;
   /** When to come back; only with answers that say "not run". */
@@ -16,10 +16,10 @@
 /** Pause named to callers whose request no target took, in milliseconds. */
 const DEFAULT_RETRY_AFTER: Milliseconds = 250;
 
-const MILLISECONDS = 1_000;
+const MS_PER_SECOND = 1_000;
 
 /** The entry's own answer for a result, if it calls for one. */
-export function ownAnswerFor(result: ForwardResult): OwnAnswer | undefined {
+export function localAnswerFor(result: ForwardResult): LocalAnswer | undefined {
   switch (result.kind) {
     case 'passOn':
     case 'streamed':
@@ -43,14 +43,14 @@
 export function notRun(
   reason: string,
   retryAfter: Milliseconds | undefined,
-): OwnAnswer {
+): LocalAnswer {
   return {status: 503, reason, retryAfter: retryAfter ?? DEFAULT_RETRY_AFTER};
 }
 
 /** Writes an answer of our own. */
-export function writeOwnAnswer(
+export function writeLocalAnswer(
   response: ServerResponse,
-  answer: OwnAnswer,
+  answer: LocalAnswer,
   ownLines: readonly string[],
 ): void {
   const text = `${answer.reason}\n`;
@@ -60,7 +60,7 @@
     ...ownLines,
   ];
   if (answer.retryAfter !== undefined) {
-    const seconds = (answer.retryAfter / MILLISECONDS).toFixed(3);
+    const seconds = (answer.retryAfter / MS_PER_SECOND).toFixed(3);
     lines.push('Retry-After', seconds);
   }
   response.writeHead(answer.status, lines);
--- a/packages/fleet/src/entry/operator_follower.ts
+++ b/packages/fleet/src/entry/operator_follower.ts
@@ -13,9 +13,12 @@
 import type {ConfigurationCopy} from '@hibiscusbeam/wire';
 import type {Result} from 'ts-results';
 import type {ConfigurationCopies} from '../link/configuration_copies';
-import {askWithBackup} from '../link/backup_question';
+import {requestWithHedge} from '../link/hedged_request';
 import {runFeedLoop, type ReadingScope} from '../link/feed_loop';
-import {showsStoreAway, signOf} from '../link/store_sign';
+import {
+  showsStoreUnavailable,
+  storeCallOutcome,
+} from '../link/store_call_outcome';
 import type {
   HostError,
   NamedVersion,
@@ -23,7 +26,7 @@
   OperatorReading,
   Revision,
 } from '../ports';
-import type {EvacuationWatch} from './evacuation_watch';
+import type {EvacuationMonitor} from './evacuation_monitor';
 import {createHeldConfiguration} from './held_configuration';
 
 /**
@@ -31,7 +34,7 @@
  * configuration must be in force. Each question costs a call; the followers of a
  * relay know by each answer that nothing was written.
  */
-const WAIT_SHARE = 0.2;
+const QUERY_WAIT_SHARE = 0.2;
 
 /**
  * Time beyond its wait after which a question is asked once more beside the one
@@ -42,7 +45,7 @@
  * 100 ms to the store, a configuration is outdated at 1.9 s of its bound of 2 s.
  * Guard: the second question, and each one after a failure, waits for nothing.
  */
-const LATE_SHARE = 0.2;
+const HEDGE_DELAY_SHARE = 0.2;
 
 /**
  * Age of the last confirmation, as a share of the same bound, after which an entry
@@ -53,13 +56,13 @@
  * store told a follower of it 0.6 s after its bound of 2 s. Guard: half of the
  * bound is left for the own question.
  */
-const CONFIRMED_SHARE = 0.4;
+const MAX_CONFIRMATION_AGE_SHARE = 0.4;
 
 /**
  * The same for a relay to which another zone's relay tells the table: sooner, so
  * that its followers hear of its own reading before each of them asks.
  */
-const RELAY_CONFIRMED_SHARE = 0.3;
+const MAX_RELAY_CONFIRMATION_AGE_SHARE = 0.3;
 
 /**
  * Shortest time between two readings that bring a configuration, as a share of the
@@ -67,7 +70,7 @@
  * adopt one of 1,650 routes takes some 30 ms of a core, and it must be in force in
  * the bound only.
  */
-const COLLECT_SHARE = 0.06;
+const MIN_READ_INTERVAL_SHARE = 0.06;
 
 /**
  * Times of that after which an entry with a relay asks again once a question has
@@ -77,19 +80,19 @@
  * Failure: the store is away for 8 s, and each of 43 entries asks it for the table
  * twice a second.
  */
-const LOST_STORE_FACTOR = 2;
+const STORE_UNAVAILABLE_FACTOR = 2;
 
 /** Share of that which is added, by entry, so that not all ask at once. */
-const ASK_SPREAD = 0.1;
+const QUERY_SPREAD_SHARE = 0.1;
 
 /** Looks within the bound at whether the store has to be asked. */
-const LOOKS_IN_BOUND = 20;
+const CHECKS_IN_BOUND = 20;
 
 /**
  * Period in which an entry with a relay asks the store all the same: by the
  * answers it knows what the store's clock, as its relay tells it, means here.
  */
-const OWN_LOOK: Milliseconds = 20_000;
+const OWN_QUERY_PERIOD: Milliseconds = 20_000;
 
 /** Time beyond the wait after which a question counts as lost. */
 const ANSWER_SLACK: Milliseconds = 800;
@@ -98,11 +101,11 @@
  * Time after which a version's naming is recorded by whoever still reads the
  * table for the site: after a start it takes that long to find a relay.
  */
-const RECORD_DELAY: Milliseconds = 500;
+const NAMING_RECORD_DELAY: Milliseconds = 500;
 
 /** Pauses after failed questions, from the first to the longest. */
-const FIRST_PAUSE: Milliseconds = 100;
-const LONGEST_PAUSE: Milliseconds = 500;
+const MIN_RETRY_PAUSE: Milliseconds = 100;
+const MAX_RETRY_PAUSE: Milliseconds = 500;
 
 /** Who reads the operator's table for an entry. */
 export type TableSource =
@@ -134,7 +137,7 @@
    * Takes a reading of a relay, with the configuration if it was not told before.
    * Versions that the relay knows are named before.
    */
-  readonly hear: (
+  readonly receive: (
     moment: OperatorMoment,
     configuration?: ConfigurationCopy,
   ) => void;
@@ -158,24 +161,24 @@
   readonly storeContact: StoreAvailability;
   readonly versions: NamedVersions;
   readonly copies: ConfigurationCopies;
-  readonly evacuations: EvacuationWatch;
+  readonly evacuations: EvacuationMonitor;
   readonly log: Log;
   readonly onChange: () => void;
   /** Time from a configuration's writing until it must be in force. */
   readonly bound: Milliseconds;
   readonly source: () => TableSource;
   /** Told of each reading, own or heard, that is newer than those before. */
-  readonly onMoment: (moment: OperatorMoment) => void;
+  readonly onReading: (moment: OperatorMoment) => void;
   /** Number in [0, 1) that differs by entry. */
   readonly spread: number;
   /** Told of a version that is new, and of other services. */
-  readonly onNews: () => void;
+  readonly onVersionsOrServices: () => void;
   /** Told when a newer configuration is held. */
   readonly onConfiguration: () => void;
 }
 
 /** A reading, and when its question was asked. */
-interface AskedReading extends OperatorReading {
+interface TimedReading extends OperatorReading {
   readonly askedAt: MonotonicInstant;
 }
 
@@ -193,11 +196,11 @@
       options.onConfiguration();
     },
   });
-  const evacuationsSeen = createConfirmation(options.storeClock);
+  const evacuationConfirmation = createConfirmation(options.storeClock);
   let askedAt: MonotonicInstant = -Infinity;
   let adoptedAt: MonotonicInstant = -Infinity;
   let newestChange: Revision = 0;
-  let heardChange: Revision = 0;
+  let relayedChange: Revision = 0;
   /** Up to here the table is known. */
   let knownUntil: Revision = 0;
   /** By the last own question. */
@@ -205,12 +208,12 @@
   let wake = (): void => undefined;
 
   function take(
-    {askedAt, ...reading}: AskedReading,
+    {askedAt, ...reading}: TimedReading,
     scope: ReadingScope,
   ): void {
     const answeredAt = clock();
     const before = held.servicesDigest();
-    let isNews = false;
+    let hasUpdate = false;
     // Before the configuration, so that no request goes by it without them.
     evacuations.take(reading, scope);
     held.takeReading(reading);
@@ -224,19 +227,21 @@
       if (isNew && namedAt === undefined) {
         recordNamingSoon({model, version, namedAt: storeTime});
       }
-      isNews ||= isNew;
+      hasUpdate ||= isNew;
+    }
+    if (hasUpdate || held.servicesDigest() !== before) {
+      options.onVersionsOrServices();
     }
-    if (isNews || held.servicesDigest() !== before) options.onNews();
     const {storeTime} = reading;
-    evacuationsSeen.record({askedAt, answeredAt, storeTime});
+    evacuationConfirmation.record({askedAt, answeredAt, storeTime});
     // Failure: the newest configuration can't be read and takes a key away,
     // and the one before it counts as confirmed: the key is served for good.
     // Guard: nothing is confirmed until a newer one can be read.
-    if (!held.isNewestLost()) {
+    if (!held.isNewestUnreadable()) {
       confirmation.record({askedAt, answeredAt, storeTime});
     }
     newestChange = Math.max(newestChange, reading.newestChange);
-    noteMoment({
+    reportReading({
       revision: reading.revision,
       newestChange,
       storeTime,
@@ -258,13 +263,13 @@
       void feed.recordNaming(named, ANSWER_SLACK).then(reply => {
         if (reply.err) log.warn('naming not recorded', {error: reply.val});
       });
-    }, RECORD_DELAY);
+    }, NAMING_RECORD_DELAY);
   }
 
-  function noteMoment(moment: OperatorMoment): void {
+  function reportReading(moment: OperatorMoment): void {
     if (moment.revision < knownUntil) return;
     knownUntil = moment.revision;
-    options.onMoment(moment);
+    options.onReading(moment);
   }
 
   /**
@@ -274,27 +279,27 @@
    * what is known here, or the table's configuration is the one that is held; and
    * by the store's clock, not by its arrival.
    */
-  function hear(moment: OperatorMoment, copy?: ConfigurationCopy): void {
-    heardChange = Math.max(heardChange, moment.newestChange);
-    evacuations.hear(moment);
-    evacuationsSeen.recordRelayed({
+  function receive(moment: OperatorMoment, copy?: ConfigurationCopy): void {
+    relayedChange = Math.max(relayedChange, moment.newestChange);
+    evacuations.receive(moment);
+    evacuationConfirmation.recordRelayed({
       receivedAt: clock(),
       storeTime: moment.storeTime,
     });
     if (copy !== undefined) takeCopy(copy);
     if (moment.newestChange > knownUntil && !holdsNewest(moment)) return wake();
-    if (held.isNewestLost()) return;
+    if (held.isNewestUnreadable()) return;
     confirmation.recordRelayed({
       receivedAt: clock(),
       storeTime: moment.storeTime,
     });
-    noteMoment(moment);
+    reportReading(moment);
   }
 
   function takeCopy(copy: ConfigurationCopy): void {
     const before = held.servicesDigest();
     held.takeCopy(copy);
-    if (held.servicesDigest() !== before) options.onNews();
+    if (held.servicesDigest() !== before) options.onVersionsOrServices();
     options.onChange();
   }
 
@@ -308,34 +313,39 @@
     return clock() - (confirmation.confirmedAt() ?? -Infinity);
   }
 
-  function mustAsk(): boolean {
+  function mustQuery(): boolean {
     const source = options.source();
-    if (source === 'store' || heardChange > knownUntil) return true;
+    if (source === 'store' || relayedChange > knownUntil) return true;
     if (isStoreAway && source === 'zoneRelay') {
-      return clock() - askedAt >= askAfter(source) * LOST_STORE_FACTOR;
+      return clock() - askedAt >= queryAfter(source) * STORE_UNAVAILABLE_FACTOR;
     }
-    return sinceAnswer() >= askAfter(source) || clock() - askedAt >= OWN_LOOK;
+    return (
+      sinceAnswer() >= queryAfter(source) ||
+      clock() - askedAt >= OWN_QUERY_PERIOD
+    );
   }
 
-  function askAfter(source: TableSource): Milliseconds {
+  function queryAfter(source: TableSource): Milliseconds {
     const isRelay = source === 'siteReader';
-    const share = isRelay ? RELAY_CONFIRMED_SHARE : CONFIRMED_SHARE;
-    return bound * share * (1 + ASK_SPREAD * options.spread);
+    const share = isRelay
+      ? MAX_RELAY_CONFIRMATION_AGE_SHARE
+      : MAX_CONFIRMATION_AGE_SHARE;
+    return bound * share * (1 + QUERY_SPREAD_SHARE * options.spread);
   }
 
   /** A configuration that can't be read is never confirmed, however often asked. */
   function sinceAnswer(): Milliseconds {
-    return held.isNewestLost() ? clock() - askedAt : confirmationAge();
+    return held.isNewestUnreadable() ? clock() - askedAt : confirmationAge();
   }
 
-  async function untilMustAsk(signal: AbortSignal): Promise<void> {
-    while (!mustAsk() && !signal.aborted) await untilHeardOrLooked(signal);
+  async function untilMustQuery(signal: AbortSignal): Promise<void> {
+    while (!mustQuery() && !signal.aborted) await untilWokenOrChecked(signal);
   }
 
-  function untilHeardOrLooked(signal: AbortSignal): Promise<void> {
+  function untilWokenOrChecked(signal: AbortSignal): Promise<void> {
     return new Promise(resolve => {
       wake = resolve;
-      void sleep(bound / LOOKS_IN_BOUND, signal).then(resolve);
+      void sleep(bound / CHECKS_IN_BOUND, signal).then(resolve);
     });
   }
 
@@ -343,48 +353,50 @@
   function waitForChange(): Milliseconds {
     if (options.source() !== 'store' || isRenewalDue()) return 0;
     // The store answers at once if the wait is no whole number.
-    return Math.floor(bound * WAIT_SHARE);
+    return Math.floor(bound * QUERY_WAIT_SHARE);
   }
 
   /** Whether the last answer is too old for a question that waits for news. */
   function isRenewalDue(): boolean {
-    return !held.isNewestLost() && confirmationAge() > bound * WAIT_SHARE;
+    return (
+      !held.isNewestUnreadable() && confirmationAge() > bound * QUERY_WAIT_SHARE
+    );
   }
 
   async function follow(after: Revision, signal: AbortSignal) {
-    await untilMustAsk(signal);
-    await untilCollected(signal);
+    await untilMustQuery(signal);
+    await untilIntervalPassed(signal);
     const wait = waitForChange();
-    const question = (wait: Milliseconds) => () =>
-      ask(() =>
+    const query = (wait: Milliseconds) => () =>
+      sendQuery(() =>
         feed.follow(Math.max(after, knownUntil), wait, wait + ANSWER_SLACK),
       );
-    return askWithBackup({
-      first: question(wait),
-      backup: question(0),
-      lateAfter: wait + bound * LATE_SHARE,
+    return requestWithHedge({
+      first: query(wait),
+      hedge: query(0),
+      hedgeDelay: wait + bound * HEDGE_DELAY_SHARE,
       // What is held counts in any case while the store is away.
-      isBackupWanted: () =>
+      isHedgeWanted: () =>
         !options.storeContact.isUnavailableSince(
           confirmation.confirmedAt() ?? -Infinity,
         ),
     });
   }
 
-  async function untilCollected(signal: AbortSignal): Promise<void> {
-    const left = adoptedAt + bound * COLLECT_SHARE - clock();
+  async function untilIntervalPassed(signal: AbortSignal): Promise<void> {
+    const left = adoptedAt + bound * MIN_READ_INTERVAL_SHARE - clock();
     if (left > 0) await sleep(left, signal);
   }
 
   /** Notes when a question is asked, which is when the store looks or later. */
-  async function ask(
-    question: () => Promise<Result<OperatorReading, HostError>>,
-  ): Promise<Result<AskedReading, HostError>> {
+  async function sendQuery(
+    query: () => Promise<Result<OperatorReading, HostError>>,
+  ): Promise<Result<TimedReading, HostError>> {
     const sentAt = clock();
     askedAt = sentAt;
-    const reply = await question();
-    const sign = signOf(reply);
-    isStoreAway = showsStoreAway(sign);
+    const reply = await query();
+    const sign = storeCallOutcome(reply);
+    isStoreAway = showsStoreUnavailable(sign);
     options.storeContact.record(sentAt, sign);
     return reply.map(reading => ({...reading, askedAt: sentAt}));
   }
@@ -395,20 +407,20 @@
         {
           name: 'operator feed',
           log,
-          readAll: () => ask(() => feed.readAll(ANSWER_SLACK)),
+          readAll: () => sendQuery(() => feed.readAll(ANSWER_SLACK)),
           follow: after => follow(after, signal),
-          take,
+          onReading: take,
           pause: (failures, aborted) =>
             sleep(
-              Math.min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** failures),
+              Math.min(MAX_RETRY_PAUSE, MIN_RETRY_PAUSE * 2 ** failures),
               aborted,
             ),
         },
         signal,
       ),
-    hear,
+    receive,
     table: held.table,
     servicesDigest: held.servicesDigest,
-    evacuationsReadAt: evacuationsSeen.confirmedAt,
+    evacuationsReadAt: evacuationConfirmation.confirmedAt,
   };
 }
--- a/packages/fleet/src/entry/quarantine_store.ts
+++ b/packages/fleet/src/entry/quarantine_store.ts
@@ -9,19 +9,19 @@
 import type {QuarantineReading, QuarantineTable} from '../ports';
 
 /** How long one question waits for a change; each question costs a call. */
-const WAIT_FOR_CHANGE: Milliseconds = 25_000;
+const LONG_POLL_WAIT: Milliseconds = 25_000;
 
 /** Time beyond the wait after which a question counts as lost. */
 const ANSWER_SLACK: Milliseconds = 1_000;
 
 /** Pause after a write without an answer. */
-const PAUSE_AFTER_FAILURE: Milliseconds = 400;
+const WRITE_RETRY_PAUSE: Milliseconds = 400;
 
 /** Longest time for one write. */
 const WRITE_TIMEOUT: Milliseconds = 800;
 
 /** Rows that the table holds at most, so that it can be read at a start. */
-const MOST_ROWS = 1_000;
+const MAX_ROWS = 1_000;
 
 /** What keeping the quarantine in the store needs. */
 export interface QuarantineStoreOptions {
@@ -75,12 +75,12 @@
       quarantine.forgetStored();
     }
     for (const {fingerprint, isStored} of changes) {
-      noteRow(fingerprint, isStored);
+      recordRow(fingerprint, isStored);
       quarantine.recordStored(fingerprint, isStored);
     }
   }
 
-  function noteRow(fingerprint: RequestFingerprint, isStored: boolean): void {
+  function recordRow(fingerprint: RequestFingerprint, isStored: boolean): void {
     if (isStored) {
       rows.add(fingerprint);
       removed.delete(fingerprint);
@@ -89,7 +89,7 @@
     if (!rows.delete(fingerprint)) return;
     removed.add(fingerprint);
     const [oldest] = removed;
-    if (removed.size > MOST_ROWS && oldest !== undefined) {
+    if (removed.size > MAX_ROWS && oldest !== undefined) {
       removed.delete(oldest);
     }
   }
@@ -130,17 +130,17 @@
       ? await table.put(fingerprint, WRITE_TIMEOUT)
       : await table.remove(fingerprint, WRITE_TIMEOUT);
     if (written.ok) {
-      noteRow(fingerprint, isQuarantined);
+      recordRow(fingerprint, isQuarantined);
       return;
     }
     const {val: error} = written;
     log.warn('quarantine not stored yet', {fingerprint, error});
-    await sleep(PAUSE_AFTER_FAILURE, stopped);
+    await sleep(WRITE_RETRY_PAUSE, stopped);
   }
 
   /** Gives up the oldest row for a new one. */
   function makeRoom(): void {
-    if (rows.size < MOST_ROWS) return;
+    if (rows.size < MAX_ROWS) return;
     const [oldest] = rows;
     if (oldest === undefined) return;
     quarantine.recordStored(oldest, false);
@@ -156,12 +156,8 @@
           log,
           readAll: () => table.readAll(ANSWER_SLACK),
           follow: after =>
-            table.follow(
-              after,
-              WAIT_FOR_CHANGE,
-              WAIT_FOR_CHANGE + ANSWER_SLACK,
-            ),
-          take,
+            table.follow(after, LONG_POLL_WAIT, LONG_POLL_WAIT + ANSWER_SLACK),
+          onReading: take,
           pause: options.failurePause.wait,
         },
         signal,
--- a/packages/fleet/src/entry/quarantine_trials.ts
+++ b/packages/fleet/src/entry/quarantine_trials.ts
@@ -7,16 +7,16 @@
 import type {QuarantineTable} from '../ports';
 
 /** Time in which targets that were lost together are back. */
-const TRIAL_AFTER: Milliseconds = 10_000;
+const TRIAL_DELAY: Milliseconds = 10_000;
 
 /** Pause named to callers once the site's one trial is taken. */
-const RETURN_AFTER_TRIAL: Milliseconds = 30_000;
+const RETRY_AFTER_TRIAL: Milliseconds = 30_000;
 
 /** Longest wait for the store; the caller waits with it. */
 const CLAIM_TIMEOUT: Milliseconds = 300;
 
 /** Requests whose state is remembered. */
-const MOST_REMEMBERED = 2_000;
+const MAX_REMEMBERED = 2_000;
 
 /** What claiming trials needs. */
 export interface QuarantineTrialsOptions {
@@ -32,11 +32,11 @@
   /** Claims the trial; whether this request may be sent once. */
   readonly claim: (fingerprint: RequestFingerprint) => Promise<boolean>;
   /** Gives a trial back that was not used. */
-  readonly giveBack: (fingerprint: RequestFingerprint) => void;
+  readonly release: (fingerprint: RequestFingerprint) => void;
   /** When the caller of a refused request may come back. */
   readonly retryAfter: (fingerprint: RequestFingerprint) => Milliseconds;
   /** Claims anew what this entry holds, after a restore of the store. */
-  readonly claimAgain: () => void;
+  readonly reclaim: () => void;
   /** Forgets a request that is released. */
   readonly forget: (fingerprint: RequestFingerprint) => void;
 }
@@ -62,10 +62,10 @@
   function trialOf(fingerprint: RequestFingerprint): KnownTrial {
     const known = trials.get(fingerprint);
     if (known !== undefined) return known;
-    const trial = {dueAt: clock() + TRIAL_AFTER, isTaken: false, isOwn: false};
+    const trial = {dueAt: clock() + TRIAL_DELAY, isTaken: false, isOwn: false};
     trials.set(fingerprint, trial);
     const [oldest] = trials.keys();
-    if (trials.size > MOST_REMEMBERED && oldest !== undefined) {
+    if (trials.size > MAX_REMEMBERED && oldest !== undefined) {
       trials.delete(oldest);
     }
     return trial;
@@ -90,13 +90,13 @@
     return false;
   }
 
-  async function claimAgain(fingerprint: RequestFingerprint): Promise<void> {
+  async function reclaim(fingerprint: RequestFingerprint): Promise<void> {
     const claimed = await table.claimTrial(fingerprint, holder, CLAIM_TIMEOUT);
     if (claimed.ok) return;
     log.warn('trial not claimed again', {fingerprint, error: claimed.val});
   }
 
-  async function giveBack(fingerprint: RequestFingerprint): Promise<void> {
+  async function release(fingerprint: RequestFingerprint): Promise<void> {
     const removed = await table.removeTrial(fingerprint, CLAIM_TIMEOUT);
     if (removed.ok) trials.delete(fingerprint);
     else log.warn('trial not given back', {fingerprint, error: removed.val});
@@ -104,20 +104,20 @@
 
   return {
     claim,
-    claimAgain: () => {
+    reclaim: () => {
       for (const [fingerprint, {isOwn}] of trials) {
-        if (isOwn) void claimAgain(fingerprint);
+        if (isOwn) void reclaim(fingerprint);
       }
     },
-    giveBack: fingerprint => void giveBack(fingerprint),
+    release: fingerprint => void release(fingerprint),
     retryAfter: fingerprint => {
       const {dueAt, isTaken} = trialOf(fingerprint);
-      return isTaken ? RETURN_AFTER_TRIAL : Math.max(1, dueAt - clock());
+      return isTaken ? RETRY_AFTER_TRIAL : Math.max(1, dueAt - clock());
     },
     forget: fingerprint => {
       const trial = trials.get(fingerprint);
       trials.delete(fingerprint);
-      if (trial?.isTaken === true) void giveBack(fingerprint);
+      if (trial?.isTaken === true) void release(fingerprint);
     },
   };
 }
--- a/packages/fleet/src/entry/limit_watch.ts
+++ b/packages/fleet/src/entry/rate_limit_monitor.ts
@@ -7,7 +7,7 @@
 import type {Log} from '@hibiscusbeam/daemon';
 
 /** What the watch needs. */
-export interface LimitWatchOptions {
+export interface RateLimitMonitorOptions {
   readonly limits: RateLimits;
   readonly log: Log;
   /** Told when an answer seen here has changed a limit. */
@@ -15,8 +15,8 @@
 }
 
 /** Takes the limits that targets name in their answers. */
-export interface LimitWatch {
-  readonly noteAnswer: (
+export interface RateLimitMonitor {
+  readonly recordAnswer: (
     target: ListedTarget,
     /** Undefined if the answer names no limit. */
     rate: number | undefined,
@@ -25,10 +25,12 @@
 }
 
 /** Creates the watch. */
-export function createLimitWatch(options: LimitWatchOptions): LimitWatch {
+export function createRateLimitMonitor(
+  options: RateLimitMonitorOptions,
+): RateLimitMonitor {
   const {limits, log} = options;
   return {
-    noteAnswer: (target, rate, sentAt) => {
+    recordAnswer: (target, rate, sentAt) => {
       const life = targetIncarnationKey(target);
       if (!limits.recordAnswer({life, rate, sentAt})) return;
       const {instance, service} = target;
--- a/packages/fleet/src/entry/relay_follower.ts
+++ b/packages/fleet/src/entry/relay_follower.ts
@@ -11,11 +11,11 @@
   VersionNaming,
 } from '@hibiscusbeam/wire';
 import type {ConfigurationCopies} from '../link/configuration_copies';
-import {placesAskedFor, writeZoneDemands} from '../link/demand_messages';
-import {createToldRows} from '../link/numbered_rows';
-import {writeReports, type PassedReport} from '../link/report_batches';
+import {countRequestedSlots, writeZoneDemands} from '../link/demand_messages';
+import {createSentRows} from '../link/numbered_rows';
+import {writeReports, type RelayedReport} from '../link/report_batches';
 import {hasNoRecords, type SiteRecords} from '../link/site_records';
-import {writeStates, type PassedState} from '../link/state_batches';
+import {writeStates, type RelayedState} from '../link/state_batches';
 import {writeTargetChanges, type NumberedTargets} from '../link/target_changes';
 import type {Revision} from '../ports';
 import type {OperatorMoment} from './operator_follower';
@@ -24,25 +24,25 @@
 const STATES_PERIOD: Milliseconds = 1_000;
 
 /** How much sooner they go on with other news, for looks that come early. */
-const STATES_EARLY: Milliseconds = 50;
+const STATES_PERIOD_TOLERANCE: Milliseconds = 50;
 
 /** Looks after which news go out though there are none: a sign of life. */
-const LOOKS_BETWEEN_SIGNS = 3;
+const CHECKS_BETWEEN_KEEPALIVES = 3;
 
 /** Silence of a follower after which it counts as lost; two of its greetings. */
-const LONGEST_SILENCE: Milliseconds = 2_200;
+const MAX_SILENCE: Milliseconds = 2_200;
 
 /** Time after which a configuration is sent again that a follower doesn't hold. */
-const COPY_LOST: Milliseconds = 1_000;
+const CONFIGURATION_RESEND_TIMEOUT: Milliseconds = 1_000;
 
 /** Change of the demand, as a share of what was told, that is told at once. */
-const TOLD_CHANGE = 0.1;
+const MIN_DEMAND_CHANGE = 0.1;
 
 /** A stream of a follower's greetings, with news in the other direction. */
 export type FollowCall = ServerDuplexStream<FollowerGreeting, RelayNews>;
 
 /** The list of targets at a reading, to be passed on. */
-export interface PassedListing {
+export interface RelayedListing {
   readonly revision: Revision;
   readonly era: number;
   readonly storeTime: Milliseconds;
@@ -50,31 +50,31 @@
 }
 
 /** Reports to be passed on, by where they are from and where they go. */
-export interface PassedReports {
+export interface RelayedReports {
   /** Of agents, for entries of the own zone. */
-  readonly ofAgents: readonly PassedReport[];
+  readonly fromAgents: readonly RelayedReport[];
   /** Of other zones' relays, for entries of the own zone. */
-  readonly ofRelays: readonly PassedReport[];
+  readonly fromRelays: readonly RelayedReport[];
   /** Of agents, for relays of other zones. */
-  readonly forFar: readonly PassedReport[];
+  readonly forOtherZones: readonly RelayedReport[];
 }
 
 /** None at all. */
-export const NO_REPORTS: PassedReports = {
-  ofAgents: [],
-  ofRelays: [],
-  forFar: [],
+export const NO_REPORTS: RelayedReports = {
+  fromAgents: [],
+  fromRelays: [],
+  forOtherZones: [],
 };
 
 /** What an entry knows and passes on. */
-export interface PassedKnowledge {
-  readonly states: () => readonly PassedState[];
+export interface UpdateSources {
+  readonly states: () => readonly RelayedState[];
   readonly namings: () => VersionNaming[];
   readonly copies: ConfigurationCopies;
   /** This entry's distance from the store if it reads the operator's table. */
   readonly readingDistance: () => Milliseconds | undefined;
   readonly operator: () => OperatorMoment | undefined;
-  readonly targets: () => PassedListing | undefined;
+  readonly targets: () => RelayedListing | undefined;
   readonly records: SiteRecords;
   /** What callers ask for by zone, the own one first. */
   readonly demands: () => readonly ZoneDemand[];
@@ -87,68 +87,74 @@
   readonly greet: (greeting: FollowerGreeting, now: MonotonicInstant) => void;
   readonly isSilent: (now: MonotonicInstant) => boolean;
   /** Counts a look; after some without news, a sign of life is due. */
-  readonly look: () => void;
+  readonly check: () => void;
   /** Lets the states be passed on with the next news. */
-  readonly wantStates: () => void;
+  readonly requestStates: () => void;
   /** Writes what it does not know yet, unless its window is full. */
-  readonly tell: (reports: PassedReports, now: MonotonicInstant) => void;
+  readonly sendUpdate: (reports: RelayedReports, now: MonotonicInstant) => void;
   readonly end: () => void;
 }
 
 /** Creates a follower, which remembers what it was told on its stream. */
 export function createRelayFollower(
   call: FollowCall,
-  knowledge: PassedKnowledge,
+  sources: UpdateSources,
 ): RelayFollower {
-  const toldStates = createToldRows();
-  const toldReports = createToldRows();
-  const toldTargets = createToldRows();
-  const writeRecords = knowledge.records.createWriter();
+  const sentStates = createSentRows();
+  const sentReports = createSentRows();
+  const sentTargets = createSentRows();
+  const writeRecords = sources.records.createWriter();
   let greeting: FollowerGreeting | undefined;
-  let heardAt: MonotonicInstant = -Infinity;
-  let looksSinceNews = 0;
-  let statesToldAt: MonotonicInstant = -Infinity;
+  let greetedAt: MonotonicInstant = -Infinity;
+  let checksSinceUpdate = 0;
+  let statesSentAt: MonotonicInstant = -Infinity;
   /** Store times of the newest readings of both tables that it was told. */
-  let placesTold = 0;
-  let operatorTold = -Infinity;
-  let targetsTold = -Infinity;
+  let sentDemand = 0;
+  let sentOperatorTime = -Infinity;
+  let sentTargetsTime = -Infinity;
   let sentConfiguration: Revision = 0;
   let sentConfigurationAt: MonotonicInstant = -Infinity;
 
-  function tell(passed: PassedReports, now: MonotonicInstant): void {
+  function sendUpdate(relayed: RelayedReports, now: MonotonicInstant): void {
     // Old news are of no use, so they don't queue behind a full window.
     if (greeting === undefined || call.writableLength > 0) return;
-    const news = collectNews(greeting, wantedReports(greeting, passed), now);
+    const update = collectUpdate(
+      greeting,
+      wantedReports(greeting, relayed),
+      now,
+    );
     const hasRows =
-      news.targets || news.demands.length > 0 || !hasNoRecords(news);
-    const hasNews = news.entries || news.reports || news.operator || hasRows;
-    const isSignDue = looksSinceNews >= LOOKS_BETWEEN_SIGNS;
-    if (!hasNews && !isSignDue) return;
-    looksSinceNews = 0;
-    call.write(news);
+      update.targets || update.demands.length > 0 || !hasNoRecords(update);
+    const hasUpdate =
+      update.entries || update.reports || update.operator || hasRows;
+    const isKeepaliveDue = checksSinceUpdate >= CHECKS_BETWEEN_KEEPALIVES;
+    if (!hasUpdate && !isKeepaliveDue) return;
+    checksSinceUpdate = 0;
+    call.write(update);
   }
 
-  function collectNews(
+  function collectUpdate(
     {wantsTables, wantsSiteReading}: FollowerGreeting,
-    reports: readonly PassedReport[],
+    reports: readonly RelayedReport[],
     now: MonotonicInstant,
   ): RelayNews {
     const isSiteReading =
-      wantsSiteReading && knowledge.readingDistance() !== undefined;
+      wantsSiteReading && sources.readingDistance() !== undefined;
     const operator = wantsTables || isSiteReading ? takeOperator() : undefined;
-    const areStatesDue = now - statesToldAt >= STATES_PERIOD - STATES_EARLY;
-    if (areStatesDue) statesToldAt = now;
+    const areStatesDue =
+      now - statesSentAt >= STATES_PERIOD - STATES_PERIOD_TOLERANCE;
+    if (areStatesDue) statesSentAt = now;
     return {
       entries: areStatesDue
-        ? writeStates(knowledge.states(), toldStates)
+        ? writeStates(sources.states(), sentStates)
         : undefined,
       reports:
         reports.length > 0
-          ? writeReports(reports, toldReports, now)
+          ? writeReports(reports, sentReports, now)
           : undefined,
       // Whoever is told of a newer row is told of what it says in the same news:
       // the versions that are named, and the configuration if it is another.
-      namings: areStatesDue || operator ? knowledge.namings() : [],
+      namings: areStatesDue || operator ? sources.namings() : [],
       operator,
       configuration: operator && takeConfiguration(now),
       targets: wantsTables ? takeTargets() : undefined,
@@ -164,10 +170,10 @@
    */
   function wantedReports(
     {wantsReports, wantsTables}: FollowerGreeting,
-    {ofAgents, ofRelays, forFar}: PassedReports,
-  ): readonly PassedReport[] {
-    if (!wantsTables) return wantsReports ? forFar : [];
-    return wantsReports ? [...ofAgents, ...ofRelays] : ofRelays;
+    {fromAgents, fromRelays, forOtherZones}: RelayedReports,
+  ): readonly RelayedReport[] {
+    if (!wantsTables) return wantsReports ? forOtherZones : [];
+    return wantsReports ? [...fromAgents, ...fromRelays] : fromRelays;
   }
 
   /** Other relays add up their own zones themselves. */
@@ -176,24 +182,24 @@
     areDue: boolean,
     now: MonotonicInstant,
   ): RelayNews['demands'] {
-    const known = knowledge.demands();
+    const known = sources.demands();
     const zones = isOfZone ? known : known.slice(0, 1);
-    const places = placesAskedFor(zones);
-    const change = Math.abs(places - placesTold);
-    const isChanged = change > Math.max(1, placesTold) * TOLD_CHANGE;
+    const places = countRequestedSlots(zones);
+    const change = Math.abs(places - sentDemand);
+    const isChanged = change > Math.max(1, sentDemand) * MIN_DEMAND_CHANGE;
     if (!areDue && !isChanged) return [];
-    placesTold = places;
+    sentDemand = places;
     return writeZoneDemands(zones, now);
   }
 
   function takeOperator(): RelayNews['operator'] {
-    const moment = knowledge.operator();
-    if (!moment || moment.storeTime === operatorTold) return undefined;
-    operatorTold = moment.storeTime;
+    const moment = sources.operator();
+    if (!moment || moment.storeTime === sentOperatorTime) return undefined;
+    sentOperatorTime = moment.storeTime;
     return {
       ...moment,
       evacuatedZones: [...moment.evacuatedZones],
-      storeDistance: knowledge.readingDistance(),
+      storeDistance: sources.readingDistance(),
     };
   }
 
@@ -201,22 +207,22 @@
     now: MonotonicInstant,
   ): ConfigurationCopy | undefined {
     const base = greeting?.heldConfiguration ?? 0;
-    const newest = knowledge.copies.newestRevision();
-    const isOnItsWay = now - sentConfigurationAt < COPY_LOST;
-    if (newest <= Math.max(base, isOnItsWay ? sentConfiguration : 0)) {
+    const newest = sources.copies.newestRevision();
+    const isInFlight = now - sentConfigurationAt < CONFIGURATION_RESEND_TIMEOUT;
+    if (newest <= Math.max(base, isInFlight ? sentConfiguration : 0)) {
       return undefined;
     }
     sentConfiguration = newest;
     sentConfigurationAt = now;
-    return knowledge.copies.write(base);
+    return sources.copies.write(base);
   }
 
   function takeTargets(): RelayNews['targets'] {
-    const listing = knowledge.targets();
-    if (!listing || listing.storeTime === targetsTold) return undefined;
+    const listing = sources.targets();
+    if (!listing || listing.storeTime === sentTargetsTime) return undefined;
     const {revision, era, storeTime, targets} = listing;
-    targetsTold = storeTime;
-    const changes = writeTargetChanges(targets, toldTargets);
+    sentTargetsTime = storeTime;
+    const changes = writeTargetChanges(targets, sentTargets);
     return {revision, era, storeTime, ...changes};
   }
 
@@ -224,12 +230,12 @@
     instance: () => greeting?.self?.instance ?? '',
     greet: (next, now) => {
       greeting = next;
-      heardAt = now;
+      greetedAt = now;
     },
-    isSilent: now => now - heardAt >= LONGEST_SILENCE,
-    look: () => void (looksSinceNews += 1),
-    wantStates: () => void (statesToldAt = -Infinity),
-    tell,
+    isSilent: now => now - greetedAt >= MAX_SILENCE,
+    check: () => void (checksSinceUpdate += 1),
+    requestStates: () => void (statesSentAt = -Infinity),
+    sendUpdate,
     end: () => void call.end(),
   };
 }
--- a/packages/fleet/src/entry/relay_link.ts
+++ b/packages/fleet/src/entry/relay_link.ts
@@ -7,16 +7,16 @@
 import type {Clock} from '@hibiscusbeam/daemon';
 import type {Channels} from '../link/channels';
 import type {MemberDescription} from '../ports';
-import {createNewsReader, type ToldNews} from './relay_news';
+import {createUpdateReader, type RelayUpdate} from './relay_updates';
 
 /** Looks in a row without news after which a relay counts as silent. */
-const SILENT_LOOKS = 3;
+const MAX_SILENT_CHECKS = 3;
 
 /**
  * The same before its first news: a process under way to its start, or a new
  * connection under load, takes up to two seconds.
  */
-const SILENT_LOOKS_AT_FIRST = 8;
+const MAX_INITIAL_SILENT_CHECKS = 8;
 
 /** What following a relay needs. */
 export interface RelayLinkOptions {
@@ -24,7 +24,7 @@
   readonly clock: Clock;
   readonly channels: Channels<FleetEntryClient>;
   readonly greeting: () => FollowerGreeting;
-  readonly onNews: (news: ToldNews, relay: MemberDescription) => void;
+  readonly onUpdate: (update: RelayUpdate, relay: MemberDescription) => void;
   /** Told once, when the relay is silent or the connection has broken. */
   readonly onLost: (relay: MemberDescription) => void;
 }
@@ -37,7 +37,7 @@
   /** Tells the relay how this entry stands. */
   readonly greet: () => void;
   /** Counts a look; to be called at a steady pace. */
-  readonly look: () => void;
+  readonly check: () => void;
   /** Ends the connection by plan: the relay goes on to trust this entry. */
   readonly end: () => void;
 }
@@ -55,9 +55,9 @@
 export function openRelayLink(options: RelayLinkOptions): RelayLink {
   const {relay, channels} = options;
   const call: FollowCall = channels.at(relay.address).follow();
-  const read = createNewsReader();
-  let looksWithoutNews = 0;
-  let hasNews = false;
+  const read = createUpdateReader();
+  let checksWithoutUpdate = 0;
+  let hasUpdate = false;
   let isOpen = true;
 
   function lose(): void {
@@ -72,10 +72,10 @@
     if (isOpen && call.writableLength === 0) call.write(options.greeting());
   }
 
-  call.on('data', (news: RelayNews) => {
-    looksWithoutNews = 0;
-    hasNews = true;
-    if (isOpen) options.onNews(read(news, options.clock()), relay);
+  call.on('data', (update: RelayNews) => {
+    checksWithoutUpdate = 0;
+    hasUpdate = true;
+    if (isOpen) options.onUpdate(read(update, options.clock()), relay);
   });
   call.on('error', lose);
   call.on('end', lose);
@@ -83,12 +83,14 @@
 
   return {
     relay,
-    isLive: () => isOpen && hasNews,
+    isLive: () => isOpen && hasUpdate,
     greet,
-    look: () => {
-      looksWithoutNews += 1;
-      const most = hasNews ? SILENT_LOOKS : SILENT_LOOKS_AT_FIRST;
-      if (looksWithoutNews > most) lose();
+    check: () => {
+      checksWithoutUpdate += 1;
+      const maxChecks = hasUpdate
+        ? MAX_SILENT_CHECKS
+        : MAX_INITIAL_SILENT_CHECKS;
+      if (checksWithoutUpdate > maxChecks) lose();
     },
     end: () => {
       if (!isOpen) return;
--- a/packages/fleet/src/entry/relay_face.ts
+++ b/packages/fleet/src/entry/relay_server.ts
@@ -7,7 +7,7 @@
   VersionNaming,
 } from '@hibiscusbeam/wire';
 import type {ConfigurationCopies} from '../link/configuration_copies';
-import {createReportNumbers, type PassedReport} from '../link/report_batches';
+import {createReportNumbers, type RelayedReport} from '../link/report_batches';
 import type {SiteRecords} from '../link/site_records';
 import {createStateNumbers} from '../link/state_batches';
 import {createTargetNumbers} from '../link/target_changes';
@@ -16,8 +16,8 @@
   createRelayFollower,
   NO_REPORTS,
   type FollowCall,
-  type PassedListing,
-  type PassedReports,
+  type RelayedListing,
+  type RelayedReports,
   type RelayFollower,
 } from './relay_follower';
 import type {TargetListing} from './target_follower';
@@ -26,20 +26,20 @@
  * Period of looks for what is to be passed on; agents report up to each 100 ms in
  * the zone, so that a report waits for half of that in the mean.
  */
-const PASS_PERIOD: Milliseconds = 100;
+const SEND_PERIOD: Milliseconds = 100;
 
 /**
  * Looks between two lists of reports for relays of other zones. Their entries may
  * give an engine two requests within a report, so a report each 100 ms would let
  * them fill engines of this zone.
  */
-const LOOKS_BETWEEN_FAR_REPORTS = 3;
+const CHECKS_BETWEEN_ZONE_REPORTS = 3;
 
 /** Time in which changes are collected before they are passed on at once. */
-const COLLECT_CHANGES: Milliseconds = 10;
+const SEND_DELAY: Milliseconds = 10;
 
 /** What passing news on needs. */
-export interface RelayFaceOptions {
+export interface RelayServerOptions {
   readonly clock: Clock;
   /** All entries that are known of here, this one included. */
   readonly states: () => readonly EntryState[];
@@ -57,50 +57,50 @@
 }
 
 /** Passes on to other entries what this one knows. */
-export interface RelayFace {
-  readonly answer: (call: FollowCall) => void;
+export interface RelayServer {
+  readonly handleStream: (call: FollowCall) => void;
   /** Takes a report that an agent has sent here. */
-  readonly offerReport: (report: EngineReport) => void;
+  readonly queueReport: (report: EngineReport) => void;
   /** Takes reports that the relay of another zone has passed on. */
-  readonly offerFarReports: (reports: readonly EngineReport[]) => void;
-  readonly offerOperator: (moment: OperatorMoment) => void;
-  readonly offerTargets: (listing: TargetListing) => void;
+  readonly queueZoneReports: (reports: readonly EngineReport[]) => void;
+  readonly setOperator: (moment: OperatorMoment) => void;
+  readonly setTargets: (listing: TargetListing) => void;
   /** Passes all states and namings on at once. */
-  readonly tellStates: () => void;
+  readonly sendStates: () => void;
   /** Passes on soon what has changed in the site's records. */
-  readonly offerRecords: () => void;
+  readonly scheduleRecords: () => void;
   /** Stops passing on. */
   readonly close: () => void;
 }
 
 /** Creates the face for followers. */
-export function createRelayFace(options: RelayFaceOptions): RelayFace {
+export function createRelayServer(options: RelayServerOptions): RelayServer {
   const {clock} = options;
   const followers = new Set<RelayFollower>();
   const numberState = createStateNumbers();
   const numberReport = createReportNumbers();
   const numberTargets = createTargetNumbers();
   /** Of agents, for entries of the own zone, and for other zones' relays. */
-  const agentReports = new Map<string, PassedReport>();
-  const reportsForFar = new Map<string, PassedReport>();
+  const agentReports = new Map<string, RelayedReport>();
+  const reportsForOtherZones = new Map<string, RelayedReport>();
   /** Of other zones' relays, for entries of the own zone. */
-  const farReports = new Map<string, PassedReport>();
-  let looks = 0;
-  let isStateNew = false;
+  const zoneReports = new Map<string, RelayedReport>();
+  let checks = 0;
+  let hasStateChange = false;
   let operator: OperatorMoment | undefined;
-  let listing: PassedListing | undefined;
-  let listed: readonly ListedTarget[] | undefined;
-  let soon: NodeJS.Timeout | undefined;
-  let stopLooks: (() => void) | undefined;
+  let listing: RelayedListing | undefined;
+  let listedTargets: readonly ListedTarget[] | undefined;
+  let pendingSend: NodeJS.Timeout | undefined;
+  let stopChecks: (() => void) | undefined;
 
-  function answer(call: FollowCall): void {
+  function handleStream(call: FollowCall): void {
     let follower: RelayFollower | undefined;
     const lose = (): void => {
       if (follower === undefined || !followers.delete(follower)) return;
       options.onFollowerLost(follower.instance());
     };
     call.on('data', (greeting: FollowerGreeting) => {
-      follower ??= welcome(call);
+      follower ??= addFollower(call);
       follower.greet(greeting, clock());
       options.onGreeting(greeting);
     });
@@ -114,7 +114,7 @@
     call.on('close', lose);
   }
 
-  function welcome(call: FollowCall): RelayFollower {
+  function addFollower(call: FollowCall): RelayFollower {
     const follower = createRelayFollower(call, {
       states: () => options.states().map(numberState),
       namings: options.namings,
@@ -126,49 +126,49 @@
       targets: () => listing,
     });
     followers.add(follower);
-    stopLooks ??= every(PASS_PERIOD, look);
-    tellSoon();
+    stopChecks ??= every(SEND_PERIOD, check);
+    sendSoon();
     return follower;
   }
 
-  function tellSoon(): void {
-    soon ??= setTimeout(() => {
-      soon = undefined;
-      if (isStateNew) passOn(takeReports(true));
-      else passOn(NO_REPORTS);
-    }, COLLECT_CHANGES);
+  function sendSoon(): void {
+    pendingSend ??= setTimeout(() => {
+      pendingSend = undefined;
+      if (hasStateChange) sendToFollowers(takeReports(true));
+      else sendToFollowers(NO_REPORTS);
+    }, SEND_DELAY);
   }
 
-  function takeReports(isFarDue: boolean): PassedReports {
-    isStateNew = false;
+  function takeReports(areOtherZonesDue: boolean): RelayedReports {
+    hasStateChange = false;
     const taken = {
-      ofAgents: [...agentReports.values()],
-      ofRelays: [...farReports.values()],
-      forFar: isFarDue ? [...reportsForFar.values()] : [],
+      fromAgents: [...agentReports.values()],
+      fromRelays: [...zoneReports.values()],
+      forOtherZones: areOtherZonesDue ? [...reportsForOtherZones.values()] : [],
     };
     agentReports.clear();
-    farReports.clear();
-    if (isFarDue) reportsForFar.clear();
+    zoneReports.clear();
+    if (areOtherZonesDue) reportsForOtherZones.clear();
     return taken;
   }
 
-  function passOn(reports: PassedReports): void {
+  function sendToFollowers(reports: RelayedReports): void {
     const now = clock();
-    for (const follower of [...followers]) follower.tell(reports, now);
+    for (const follower of [...followers]) follower.sendUpdate(reports, now);
   }
 
-  function look(): void {
+  function check(): void {
     if (followers.size === 0) return close();
-    looks += 1;
-    const reports = takeReports(looks % LOOKS_BETWEEN_FAR_REPORTS === 0);
+    checks += 1;
+    const reports = takeReports(checks % CHECKS_BETWEEN_ZONE_REPORTS === 0);
     for (const follower of [...followers]) {
-      follower.look();
+      follower.check();
       if (!follower.isSilent(clock())) continue;
       followers.delete(follower);
       follower.end();
       options.onFollowerLost(follower.instance());
     }
-    passOn(reports);
+    sendToFollowers(reports);
   }
 
   /**
@@ -176,65 +176,65 @@
    * send to it for 300 ms more. Guard: what changes what an engine serves goes on
    * at once; how much it runs goes on with the next look.
    */
-  function noteReport(report: EngineReport): PassedReport {
+  function recordReport(report: EngineReport): RelayedReport {
     const passed = numberReport(report, clock());
     if (passed.changesState) {
-      isStateNew = true;
-      tellSoon();
+      hasStateChange = true;
+      sendSoon();
     }
     return passed;
   }
 
   function close(): void {
-    stopLooks?.();
-    stopLooks = undefined;
+    stopChecks?.();
+    stopChecks = undefined;
     takeReports(true);
   }
 
-  function offerTargets(next: TargetListing): void {
+  function setTargets(next: TargetListing): void {
     if (listing !== undefined && !isNewer(next, listing)) return;
     const {revision, era, storeTime, targets} = next;
-    const isSame = targets === listed;
-    listed = targets;
+    const isSame = targets === listedTargets;
+    listedTargets = targets;
     listing = {
       revision,
       era,
       storeTime,
       targets: listing && isSame ? listing.targets : numberTargets(targets),
     };
-    tellSoon();
+    sendSoon();
   }
 
   return {
-    answer,
-    offerReport: report => {
+    handleStream,
+    queueReport: report => {
       if (followers.size === 0) return;
-      const passed = noteReport(report);
+      const passed = recordReport(report);
       agentReports.set(report.engineAddress, passed);
-      reportsForFar.set(report.engineAddress, passed);
+      reportsForOtherZones.set(report.engineAddress, passed);
     },
-    offerFarReports: reports => {
+    queueZoneReports: reports => {
       if (followers.size === 0) return;
       for (const report of reports) {
-        farReports.set(report.engineAddress, noteReport(report));
+        zoneReports.set(report.engineAddress, recordReport(report));
       }
     },
-    offerOperator: moment => {
+    setOperator: moment => {
       operator = moment;
-      tellSoon();
+      sendSoon();
     },
-    offerTargets,
-    offerRecords: tellSoon,
-    tellStates: () => {
-      for (const follower of followers) follower.wantStates();
-      tellSoon();
+    setTargets,
+    scheduleRecords: sendSoon,
+    sendStates: () => {
+      for (const follower of followers) follower.requestStates();
+      sendSoon();
     },
     close,
   };
 }
 
 /** A store in which nothing changes has the same revision at each reading. */
-function isNewer(next: TargetListing, before: PassedListing): boolean {
+function isNewer(next: TargetListing, before: RelayedListing): boolean {
   if (next.revision !== before.revision) return next.revision > before.revision;
   return next.storeTime > before.storeTime;
 }
--- a/packages/fleet/src/entry/relay_news.ts
+++ b/packages/fleet/src/entry/relay_updates.ts
@@ -25,7 +25,7 @@
 }
 
 /** What a relay has told, whole. */
-export interface ToldNews {
+export interface RelayUpdate {
   readonly entries: readonly EntryState[];
   readonly reports: readonly EngineReport[];
   readonly namings: readonly VersionNaming[];
@@ -38,10 +38,10 @@
 }
 
 /** Creates the reader of one stream of news. */
-export function createNewsReader(): (
+export function createUpdateReader(): (
   news: RelayNews,
   now: MonotonicInstant,
-) => ToldNews {
+) => RelayUpdate {
   const readStates = createStateReader();
   const readReports = createReportReader();
   const readTargets = createTargetReader();
--- a/packages/fleet/src/entry/request_acceptance.ts
+++ b/packages/fleet/src/entry/request_acceptance.ts
@@ -18,7 +18,7 @@
 import type {ExpectedRun, ExpectedRuns} from './expected_run';
 import type {HeldReadings} from './held_readings';
 import type {OperatorFollower} from './operator_follower';
-import {notRun, type OwnAnswer} from './own_answers';
+import {notRun, type LocalAnswer} from './local_answers';
 import {fingerprintOf} from './request_fingerprint';
 
 /** How far a planned stop has come. */
@@ -30,7 +30,7 @@
   /** Counts suspensions of the machine; for the age of confirmations. */
   readonly machineClock: Clock;
   /** Longest age of the confirmed configuration for requests with a key. */
-  readonly longestConfirmationAge: Milliseconds;
+  readonly maxConfirmationAge: Milliseconds;
 }
 
 /** What the acceptance of requests goes by. */
@@ -44,10 +44,10 @@
 }
 
 /** Pause named to callers of an entry that leaves. */
-const RETRY_ELSEWHERE: Milliseconds = 20;
+const RETRY_ELSEWHERE_AFTER: Milliseconds = 20;
 
 /** Pause named where only another configuration lets the request be served. */
-const RETRY_RECONFIGURED: Milliseconds = 1_000;
+const RETRY_RECONFIGURED_AFTER: Milliseconds = 1_000;
 
 /** A request that may be forwarded. */
 export interface AcceptedRequest {
@@ -77,9 +77,9 @@
 export function acceptRequest(
   options: RequestAcceptanceOptions,
   {header, path, body, arrivedAt}: ArrivedRequest,
-): AcceptedRequest | OwnAnswer {
+): AcceptedRequest | LocalAnswer {
   if (options.stopping() === 'closing') {
-    return notRun('leaving', RETRY_ELSEWHERE);
+    return notRun('leaving', RETRY_ELSEWHERE_AFTER);
   }
   const table = options.operator.table();
   if (!options.isQuarantineKnown()) return notRun('starting', undefined);
@@ -99,14 +99,14 @@
   }
   const service = chooseService(route, header.requestId ?? '');
   if (service === undefined) return notRun('noTarget', undefined);
-  const patience = Math.min(header.patience ?? Infinity, route.timeout);
-  const deadline = arrivedAt + patience;
+  const timeout = Math.min(header.patience ?? Infinity, route.timeout);
+  const deadline = arrivedAt + timeout;
   const expectable = {header, table, service, route: route.name};
   const run = options.expectedRuns.expect(expectable);
   const workspace = access.kind === 'workspace' ? access.workspace : undefined;
   const destinations = destinationsOf(route, workspace);
   if (areEmpty(destinations)) {
-    return notRun('noAllowedRegion', RETRY_RECONFIGURED);
+    return notRun('noAllowedRegion', RETRY_RECONFIGURED_AFTER);
   }
   const fingerprint = fingerprintOf({workspace: workspace?.name, path, body});
   const content = {header, body, fingerprint, arrivedAt, deadline};
@@ -129,7 +129,7 @@
  * A denial is final for its caller, so it needs a configuration that can't have
  * been replaced in force; otherwise the caller is told to come back.
  */
-export function deny(use: ReadingUse, denial: OwnAnswer): OwnAnswer {
+export function deny(use: ReadingUse, denial: LocalAnswer): LocalAnswer {
   return use === 'current' ? denial : notRun('staleConfiguration', undefined);
 }
 
@@ -137,6 +137,6 @@
 export function isKeyConfirmed(options: KeyConfirmation): boolean {
   return options.confirmation.isFresh(
     options.machineClock(),
-    options.longestConfirmationAge,
+    options.maxConfirmationAge,
   );
 }
--- a/packages/fleet/src/entry/request_body.ts
+++ b/packages/fleet/src/entry/request_body.ts
@@ -20,7 +20,7 @@
 }
 
 /** Header lines with the length of the body as it is sent on. */
-export function withLength(
+export function withContentLength(
   lines: readonly string[],
   method: string | undefined,
   body: Buffer,
--- a/packages/fleet/src/entry/request_context.ts
+++ b/packages/fleet/src/entry/request_context.ts
@@ -9,27 +9,27 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {RequestProtocol} from '../ports';
 import type {RequestBuffers} from './buffered_bytes';
-import type {CrashWatch} from './crash_watch';
+import type {CrashMonitor} from './crash_monitor';
 import type {EntryAdmission} from './entry_admission';
 import type {FleetMetrics} from './fleet_metrics';
 import type {OperatorFollower} from './operator_follower';
-import type {PlaceOutcome, PlaceQueue} from './place_queue';
+import type {SlotOutcome, SlotQueue} from './slot_queue';
 import type {QuarantineTrials} from './quarantine_trials';
-import type {RepeatBudgets} from './repeat_budgets';
+import type {RetryBudgets} from './retry_budgets';
 import type {AcceptedRequest, KeyConfirmation} from './request_acceptance';
-import type {RequestStory} from './request_story';
+import type {RequestTrace} from './request_trace';
 import type {StreamHandover} from './stream_handover';
 import type {StreamProgress} from './stream_relay';
-import type {TargetStatements} from './target_statements';
+import type {HeaderRecorder} from './header_recorder';
 import type {Timeliness} from './timeliness';
 
 /** What carrying out a request's flow needs. */
 export interface RequestRunOptions extends KeyConfirmation {
   readonly protocol: RequestProtocol;
   readonly operator: OperatorFollower;
-  readonly book: TargetRegistry;
-  readonly places: PlaceQueue;
-  readonly budgets: RepeatBudgets;
+  readonly registry: TargetRegistry;
+  readonly places: SlotQueue;
+  readonly budgets: RetryBudgets;
   readonly handover: StreamHandover;
   readonly versions: NamedVersions;
   readonly timeliness: Timeliness;
@@ -37,8 +37,8 @@
   readonly admission: EntryAdmission;
   readonly quarantine: Quarantine;
   readonly trials: QuarantineTrials;
-  readonly crashWatch: CrashWatch;
-  readonly statements: TargetStatements;
+  readonly crashMonitor: CrashMonitor;
+  readonly headerRecorder: HeaderRecorder;
   readonly metrics: FleetMetrics;
   readonly clock: Clock;
   readonly log: Log;
@@ -51,7 +51,7 @@
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly accepted: AcceptedRequest;
-  readonly story: RequestStory;
+  readonly trace: RequestTrace;
   readonly progress: StreamProgress;
   readonly buffers: RequestBuffers;
   /** Aborts at the deadline and when the caller has gone. */
@@ -61,11 +61,11 @@
 }
 
 /** A place that a request has taken. */
-export type TakenPlace = Extract<PlaceOutcome, {readonly kind: 'place'}>;
+export type TakenSlot = Extract<SlotOutcome, {readonly kind: 'place'}>;
 
 /** A send that is to be made. */
-export interface PlannedSend {
-  readonly place: TakenPlace;
+export interface PlannedAttempt {
+  readonly place: TakenSlot;
   /** Targets that have had the request before. */
   readonly tried: readonly ListedTarget[];
   /** The version that the target must have; undefined if any may do. */
--- a/packages/fleet/src/entry/request_fingerprint.ts
+++ b/packages/fleet/src/entry/request_fingerprint.ts
@@ -5,7 +5,7 @@
 const FINGERPRINT_DIGITS = 32;
 
 /** What stays the same when a caller sends a request again. */
-export interface RepeatedContent {
+export interface FingerprintedContent {
   /** Undefined for an anonymous caller. */
   readonly workspace: WorkspaceName | undefined;
   readonly path: string;
@@ -17,7 +17,7 @@
   workspace,
   path,
   body,
-}: RepeatedContent): RequestFingerprint {
+}: FingerprintedContent): RequestFingerprint {
   return createHash('sha256')
     .update(JSON.stringify([workspace ?? null, path]))
     .update(body)
