--- a/packages/fleet/src/entry/request_handler.ts
+++ b/packages/fleet/src/entry/request_handler.ts
@@ -14,7 +14,11 @@
 import type {BufferedBytes} from './buffered_bytes';
 import {createExpectedRuns} from './expected_run';
 import type {FleetMetrics} from './fleet_metrics';
-import {ownAnswerFor, writeOwnAnswer, type OwnAnswer} from './own_answers';
+import {
+  localAnswerFor,
+  writeLocalAnswer,
+  type LocalAnswer,
+} from './local_answers';
 import {
   acceptRequest,
   deny,
@@ -24,20 +28,20 @@
 import {readBody} from './request_body';
 import type {RequestRunOptions} from './request_context';
 import {createRequestRun} from './request_run';
-import {createRequestStory, type RequestStory} from './request_story';
+import {createRequestTrace, type RequestTrace} from './request_trace';
 import type {StreamProgress} from './stream_relay';
 import {createTimeliness} from './timeliness';
 
-const BODY_TOO_LARGE: OwnAnswer = {
+const BODY_TOO_LARGE_ANSWER: LocalAnswer = {
   status: 413,
   reason: 'the body is too large',
 };
 
 /** The answer if the handling fails; whether the request has run isn't known. */
-const FAILED: OwnAnswer = {status: 502, reason: 'failed'};
+const FAILED_ANSWER: LocalAnswer = {status: 502, reason: 'failed'};
 
 /** Longest time that a timer counts; it runs out at once if set to more. */
-const LONGEST_TIMER: Milliseconds = 2 ** 31 - 1;
+const MAX_TIMER: Milliseconds = 2 ** 31 - 1;
 
 /** What the handling of requests needs. */
 export interface RequestHandlerOptions
@@ -85,10 +89,10 @@
     const path = request.url ?? '/';
     const accepted =
       body === 'tooLarge'
-        ? deny(options.readings.configuration(), BODY_TOO_LARGE)
+        ? deny(options.readings.configuration(), BODY_TOO_LARGE_ANSWER)
         : acceptRequest(acceptance, {header, path, body, arrivedAt});
     if ('status' in accepted) {
-      answerOurselves(request, response, header, accepted);
+      answerLocally(request, response, header, accepted);
       return;
     }
     running += 1;
@@ -108,7 +112,7 @@
     response: ServerResponse,
     accepted: AcceptedRequest,
   ): Promise<void> {
-    const story = createRequestStory(clock);
+    const trace = createRequestTrace(clock);
     const progress: StreamProgress = {
       begun: false,
       lastEventId: accepted.header.resumeAfter,
@@ -120,32 +124,32 @@
       request,
       response,
       accepted,
-      story,
+      trace,
       progress,
       buffers,
       ...ending,
     });
-    options.budgets.recordFirst(accepted.service);
+    options.budgets.recordFirstAttempt(accepted.service);
     const flow = forwardRequest<ListedTarget>(accepted.route);
     const result = await drive(flow, run.perform).finally(() => {
       ending.stop();
       run.end();
     });
     finish(response, result, run.answer());
-    buffers.passedOn();
-    if (result.kind === 'streamed') learn(accepted, progress);
-    record(accepted, result, story, progress);
+    buffers.releaseAnswers();
+    if (result.kind === 'streamed') learnRun(accepted, progress);
+    record(accepted, result, trace, progress);
     options.places.pump();
   }
 
-  function learn(
+  function learnRun(
     {header, service, route}: AcceptedRequest,
     {begunAt}: StreamProgress,
   ): void {
     const table = operator.table();
     if (table === undefined || begunAt === undefined) return;
     const run = {header, table, service, route: route.name};
-    expectedRuns.noteWritten(run, clock() - begunAt);
+    expectedRuns.recordWritten(run, clock() - begunAt);
   }
 
   /** Notes the deadline, and a caller who leaves before the answer's end. */
@@ -156,7 +160,7 @@
       by ??= cause;
       ended.abort();
     };
-    const left = Math.min(accepted.deadline - clock(), LONGEST_TIMER);
+    const left = Math.min(accepted.deadline - clock(), MAX_TIMER);
     const endAtDeadline = (): void => end('timedOut');
     const timer = setTimeout(endAtDeadline, left);
     deadlines.add(endAtDeadline);
@@ -195,11 +199,11 @@
       response.end(answer.body);
       return;
     }
-    const own = ownAnswerFor(result);
+    const own = localAnswerFor(result);
     // A stream that was begun can only be cut: closing without the end of its
     // framing is what tells the caller.
     if (own === undefined || isBegun) response.destroy();
-    else writeOwnAnswer(response, own, ownLines());
+    else writeLocalAnswer(response, own, ownLines());
   }
 
   /** Asks callers to open their next connection elsewhere, when leaving. */
@@ -207,13 +211,13 @@
     return options.stopping() === 'serving' ? [] : ['Connection', 'close'];
   }
 
-  function answerOurselves(
+  function answerLocally(
     request: IncomingMessage,
     response: ServerResponse,
     header: CallerHeader,
-    answer: OwnAnswer,
+    answer: LocalAnswer,
   ): void {
-    if (!response.destroyed) writeOwnAnswer(response, answer, ownLines());
+    if (!response.destroyed) writeLocalAnswer(response, answer, ownLines());
     metrics.countRequest('none', String(answer.status));
     log.info('answered here', {
       request: header.requestId,
@@ -250,7 +254,7 @@
   function record(
     accepted: AcceptedRequest,
     result: ForwardResult,
-    story: RequestStory,
+    trace: RequestTrace,
     progress: StreamProgress,
   ): void {
     const took = Math.round(clock() - accepted.arrivedAt);
@@ -278,7 +282,7 @@
       patience: accepted.header.patience,
       configuration: operator.table()?.version,
       ...readingAges(),
-      attempts: story.lines(),
+      attempts: trace.lines(),
     });
   }
 
@@ -290,8 +294,8 @@
       response.destroy();
       return;
     }
-    writeOwnAnswer(response, FAILED, ownLines());
-    metrics.countRequest('none', String(FAILED.status));
+    writeLocalAnswer(response, FAILED_ANSWER, ownLines());
+    metrics.countRequest('none', String(FAILED_ANSWER.status));
   }
 
   return {
--- a/packages/fleet/src/entry/request_run.ts
+++ b/packages/fleet/src/entry/request_run.ts
@@ -11,21 +11,21 @@
   type SlotReply,
 } from '@hibiscusbeam/core';
 import type {WholeAnswer} from './attempt';
-import {describeRefusal} from './admission_watch';
+import {describeRefusal} from './admission_monitor';
 import {priorityOf, workspaceOf} from './entry_admission';
-import type {PlaceOutcome} from './place_queue';
+import type {SlotOutcome} from './slot_queue';
 import {destinationsIn, isKeyConfirmed} from './request_acceptance';
 import type {
-  PlannedSend,
+  PlannedAttempt,
   RequestRunContext,
   RequestRunOptions,
-  TakenPlace,
+  TakenSlot,
 } from './request_context';
-import {createSendsUnderWay} from './sends_under_way';
-import {createTargetSender} from './target_send';
-import type {PlaceLimits} from './timeliness';
+import {createAttemptsInFlight} from './attempts_in_flight';
+import {createTargetSender} from './target_sender';
+import type {SlotWaitLimits} from './timeliness';
 
-const NO_PLACE_REASONS = {
+const NO_SLOT_REASONS = {
   full: 'allFull',
   none: 'noTarget',
   leaving: 'targetsLeaving',
@@ -51,11 +51,11 @@
   options: RequestRunOptions,
   context: RequestRunContext,
 ): RequestRun {
-  const {accepted, story, progress, signal, endedBy} = context;
+  const {accepted, trace, progress, signal, endedBy} = context;
   const {header, service, access, run, fingerprint} = accepted;
-  const sends = createSendsUnderWay();
+  const attempts = createAttemptsInFlight();
   const sendTo = createTargetSender(options, context, {
-    sends,
+    attempts,
     needOf,
     mayBegin,
     isChoosing: () => isChoosing,
@@ -64,14 +64,14 @@
       if (trial === 'held') trial = 'used';
     },
   });
-  let decidedBy = options.operator.table();
+  let decidedTable = options.operator.table();
   let destinations = accepted.destinations;
   let answer: WholeAnswer | undefined;
   /** Set on arrival, so that later sends are never refused by the level. */
   let isAdmitted = false;
-  let place: TakenPlace | undefined;
+  let place: TakenSlot | undefined;
   let isChoosing = false;
-  let triedBefore: readonly ListedTarget[] = [];
+  let triedTargets: readonly ListedTarget[] = [];
   let trial: 'none' | 'held' | 'used' = 'none';
 
   function needOf(tried: readonly ListedTarget[]): PlacementRequest {
@@ -95,8 +95,8 @@
   /** By the newest configuration, which may have changed since the request came. */
   function destinationsNow(): Destinations {
     const table = options.operator.table();
-    if (table !== undefined && table !== decidedBy) {
-      decidedBy = table;
+    if (table !== undefined && table !== decidedTable) {
+      decidedTable = table;
       const path = context.request.url ?? '/';
       destinations = destinationsIn(table, {header, path}) ?? destinations;
     }
@@ -113,7 +113,7 @@
     const decision = options.admission.arrive(accepted);
     if (decision.kind === 'admitted') return undefined;
     const reason = 'belowLevel';
-    story.noPlace(describeRefusal(decision.level, priorityOf(accepted)));
+    trace.noPlace(describeRefusal(decision.level, priorityOf(accepted)));
     const retryAfter = options.admission.retryAfter(accepted, 0);
     return {kind: 'noPlace', reason, retryAfter};
   }
@@ -124,7 +124,7 @@
 
   /** A trial is one send: nothing is begun beside it. */
   async function takeTrial(): Promise<boolean> {
-    if (sends.count() > 0) return false;
+    if (attempts.count() > 0) return false;
     if (trial === 'none' && (await options.trials.claim(fingerprint))) {
       trial = 'held';
     }
@@ -142,34 +142,34 @@
       const reason = 'quarantined';
       return {kind: 'placed', place: {kind: 'noPlace', reason, retryAfter}};
     }
-    triedBefore = [...tried];
+    triedTargets = [...tried];
     const askedAt = options.clock();
-    const outcome = await takePlace(triedBefore);
+    const outcome = await takeSlot(triedTargets);
     noteWait(outcome, options.clock() - askedAt);
-    if (outcome === 'withdrawn') return sends.next();
+    if (outcome === 'withdrawn') return attempts.next();
     if (outcome.kind === 'place') place = outcome;
-    else story.noPlace(outcome.kind);
-    return {kind: 'placed', place: placeReply(outcome)};
+    else trace.noPlace(outcome.kind);
+    return {kind: 'placed', place: slotReply(outcome)};
   }
 
   function noteWait(
-    outcome: PlaceOutcome | 'withdrawn',
+    outcome: SlotOutcome | 'withdrawn',
     waited: Milliseconds,
   ): void {
     if (outcome === 'withdrawn' || outcome.kind === 'abandoned') return;
     const refusedFor =
-      outcome.kind === 'place' ? undefined : NO_PLACE_REASONS[outcome.kind];
-    options.admission.noteWait(accepted, waited, refusedFor);
+      outcome.kind === 'place' ? undefined : NO_SLOT_REASONS[outcome.kind];
+    options.admission.recordWait(accepted, waited, refusedFor);
   }
 
   /** Waits for a place, but for no longer than until a send reports. */
-  async function takePlace(
+  async function takeSlot(
     tried: readonly ListedTarget[],
-  ): Promise<PlaceOutcome | 'withdrawn'> {
-    if (sends.hasReport()) return 'withdrawn';
+  ): Promise<SlotOutcome | 'withdrawn'> {
+    if (attempts.hasReport()) return 'withdrawn';
     const withdrawal = new AbortController();
-    if (sends.count() > 0) {
-      void sends.reported().then(() => withdrawal.abort());
+    if (attempts.count() > 0) {
+      void attempts.reported().then(() => withdrawal.abort());
     }
     const outcome = await options.places.take({
       need: () => needOf(tried),
@@ -178,33 +178,33 @@
       priority: priorityOf(accepted),
       isLaterAttempt: options.timeliness.isLaterAttempt(accepted),
       workspace: workspaceOf(accepted),
-      slotTime: options.admission.placeTime(accepted),
-      ...placeLimits(),
+      slotTime: options.admission.slotTime(accepted),
+      ...slotLimits(),
       signal: AbortSignal.any([signal, withdrawal.signal]),
     });
-    const isReported = withdrawal.signal.aborted || sends.hasReport();
+    const isReported = withdrawal.signal.aborted || attempts.hasReport();
     if (endedBy() !== undefined || !isReported) return outcome;
-    if (outcome.kind === 'place') giveBack(outcome);
+    if (outcome.kind === 'place') releaseSlot(outcome);
     return 'withdrawn';
   }
 
-  function placeLimits(): PlaceLimits {
+  function slotLimits(): SlotWaitLimits {
     const {timeliness} = options;
     const limits = progress.begun
       ? timeliness.resumeLimits(accepted, options.clock())
       : timeliness.limits(accepted);
     // Its caller waits in any case.
-    return sends.areSilent()
+    return attempts.areSilent()
       ? {...limits, waitUntil: accepted.deadline}
       : limits;
   }
 
-  function giveBack({inHand}: TakenPlace): void {
-    inHand.end();
+  function releaseSlot({inFlight}: TakenSlot): void {
+    inFlight.end();
     options.places.pump();
   }
 
-  function placeReply(outcome: PlaceOutcome): SlotReply<ListedTarget> {
+  function slotReply(outcome: SlotOutcome): SlotReply<ListedTarget> {
     switch (outcome.kind) {
       case 'place':
         return {kind: 'place', target: outcome.target};
@@ -217,7 +217,7 @@
       case 'nowhere':
       case 'backingOff':
       case 'outdated': {
-        const reason = NO_PLACE_REASONS[outcome.kind];
+        const reason = NO_SLOT_REASONS[outcome.kind];
         const least =
           outcome.kind === 'backingOff' ? outcome.until - options.clock() : 0;
         const retryAfter = options.admission.retryAfter(accepted, least);
@@ -247,34 +247,34 @@
     ) {
       return undefined;
     }
-    return options.book.heldVersion(target, header.model, options.clock());
+    return options.registry.heldVersion(target, header.model, options.clock());
   }
 
-  function mayBegin({place: {target}, tried}: PlannedSend): boolean {
+  function mayBegin({place: {target}, tried}: PlannedAttempt): boolean {
     if (signal.aborted) return false;
     if (isQuarantined() && trial !== 'held') return false;
     if (access.kind === 'workspace' && !isKeyConfirmed(options)) return false;
-    return options.book.mayStart(target, needOf(tried));
+    return options.registry.mayStart(target, needOf(tried));
   }
 
   function send(): Promise<ForwardReply<ListedTarget>> {
     if (place === undefined) throw new Error('a send without a place');
     const version = versionFor(place.target);
-    sendTo({place, tried: triedBefore, version});
+    sendTo({place, tried: triedTargets, version});
     place = undefined;
-    return sends.next();
+    return attempts.next();
   }
 
   /** The next report, or a repeat that was denied before. */
-  async function nextOrRepeat(): Promise<ForwardReply<ListedTarget>> {
-    if (sends.hasReport()) return sends.next();
+  async function nextOrRetry(): Promise<ForwardReply<ListedTarget>> {
+    if (attempts.hasReport()) return attempts.next();
     const withdrawal = new AbortController();
-    const repeat = options.budgets.awaitRepeat(service, withdrawal.signal);
-    await Promise.race([sends.reported(), repeat]);
+    const repeat = options.budgets.awaitRetry(service, withdrawal.signal);
+    await Promise.race([attempts.reported(), repeat]);
     withdrawal.abort();
     // One that was granted beside a report counts: its search meets the report.
-    if (!(await repeat)) return sends.next();
-    story.repeat(true);
+    if (!(await repeat)) return attempts.next();
+    trace.repeat(true);
     return {kind: 'repeat', allowed: true};
   }
 
@@ -288,10 +288,10 @@
       case 'send':
         return send();
       case 'wait':
-        return effect.wantsRetry ? nextOrRepeat() : sends.next();
+        return effect.wantsRetry ? nextOrRetry() : attempts.next();
       case 'takeRepeat': {
-        const allowed = options.budgets.takeRepeat(service);
-        story.repeat(allowed);
+        const allowed = options.budgets.takeRetry(service);
+        trace.repeat(allowed);
         return {kind: 'repeat', allowed};
       }
       default:
@@ -303,8 +303,8 @@
     perform,
     answer: () => answer,
     end: () => {
-      sends.abort();
-      if (trial === 'held') options.trials.giveBack(fingerprint);
+      attempts.abort();
+      if (trial === 'held') options.trials.release(fingerprint);
     },
   };
 }
--- a/packages/fleet/src/entry/request_story.ts
+++ b/packages/fleet/src/entry/request_trace.ts
@@ -2,8 +2,8 @@
 import type {Clock} from '@hibiscusbeam/daemon';
 
 /** What happened to one request, for its line in the log. */
-export interface RequestStory {
-  readonly send: (target: ListedTarget) => SendLine;
+export interface RequestTrace {
+  readonly send: (target: ListedTarget) => AttemptTrace;
   readonly repeat: (allowed: boolean) => void;
   /** Notes that no target takes the request now. */
   readonly noPlace: (reason: string) => void;
@@ -11,13 +11,13 @@
 }
 
 /** The line of one send; it is written when the send ends. */
-export interface SendLine {
+export interface AttemptTrace {
   readonly explain: (detail: string) => void;
   readonly end: (outcome: string, cause: string | undefined) => void;
 }
 
 /** Begins the story of a request. */
-export function createRequestStory(clock: Clock): RequestStory {
+export function createRequestTrace(clock: Clock): RequestTrace {
   const lines: string[] = [];
   const startedAt = clock();
   const since = (): number => Math.round(clock() - startedAt);
--- a/packages/fleet/src/entry/repeat_budgets.ts
+++ b/packages/fleet/src/entry/retry_budgets.ts
@@ -5,14 +5,14 @@
 } from '@hibiscusbeam/core';
 
 /** Repeats that this entry may make, for each service. */
-export interface RepeatBudgets {
-  readonly recordFirst: (service: ServiceName) => void;
-  readonly takeRepeat: (service: ServiceName) => boolean;
+export interface RetryBudgets {
+  readonly recordFirstAttempt: (service: ServiceName) => void;
+  readonly takeRetry: (service: ServiceName) => boolean;
   /**
    * Takes a repeat as soon as first requests allow one, in the order of asking;
    * resolves without one once the signal aborts.
    */
-  readonly awaitRepeat: (
+  readonly awaitRetry: (
     service: ServiceName,
     signal: AbortSignal,
   ) => Promise<boolean>;
@@ -21,7 +21,7 @@
 }
 
 /** The site's bound on repeats, and among how many entries it is shared. */
-export interface RepeatBudgetsOptions {
+export interface RetryBudgetsOptions {
   readonly share: number;
   readonly slack: number;
   /** Entries that may repeat at the same time; undefined until it is known. */
@@ -32,15 +32,13 @@
  * Part of the site's bound that is used. The rest is for entries that start
  * anew, and with them a new part of the slack.
  */
-const USED_PART = 0.6;
+const USED_SHARE = 0.6;
 
 /**
  * Creates budgets that need no messages: each entry keeps to its own requests'
  * share, and to an equal part of what the site may repeat besides.
  */
-export function createRepeatBudgets(
-  options: RepeatBudgetsOptions,
-): RepeatBudgets {
+export function createRetryBudgets(options: RetryBudgetsOptions): RetryBudgets {
   const budgets = new Map<ServiceName, RetryBudget>();
   const waiting = new Map<ServiceName, Set<() => void>>();
 
@@ -52,13 +50,13 @@
   function budgetOf(service: ServiceName): RetryBudget | undefined {
     const entries = options.entries();
     if (entries === undefined) return undefined;
-    const reserve = (options.slack * USED_PART) / entries;
+    const reserve = (options.slack * USED_SHARE) / entries;
     const known = budgets.get(service);
     if (known !== undefined) {
       known.setReserve(reserve);
       return known;
     }
-    const share = options.share * USED_PART;
+    const share = options.share * USED_SHARE;
     const budget = createRetryBudget({share, reserve});
     budgets.set(service, budget);
     return budget;
@@ -70,7 +68,7 @@
     return known;
   }
 
-  function awaitRepeat(
+  function awaitRetry(
     service: ServiceName,
     signal: AbortSignal,
   ): Promise<boolean> {
@@ -89,7 +87,7 @@
     });
   }
 
-  function recordFirst(service: ServiceName): void {
+  function recordFirstAttempt(service: ServiceName): void {
     const budget = budgetOf(service);
     budget?.recordFirstTry();
     const [grant] = waitersOf(service);
@@ -97,9 +95,9 @@
   }
 
   return {
-    recordFirst,
-    awaitRepeat,
-    takeRepeat: service => budgetOf(service)?.takeRetry() ?? false,
+    recordFirstAttempt,
+    awaitRetry,
+    takeRetry: service => budgetOf(service)?.takeRetry() ?? false,
     takeMove: service => budgetOf(service)?.takeMove() ?? false,
   };
 }
--- a/packages/fleet/src/entry/silence_watch.ts
+++ b/packages/fleet/src/entry/silence_monitor.ts
@@ -1,19 +1,19 @@
 import type {Milliseconds, MonotonicInstant} from '@hibiscusbeam/core';
 
 /** What a silence watch needs. */
-export interface SilenceWatchOptions {
-  readonly longestSilence: Milliseconds;
+export interface SilenceMonitorOptions {
+  readonly maxSilence: Milliseconds;
   readonly now: () => MonotonicInstant;
   /** Is told of a silence, and how late the loop of this process noticed it. */
-  readonly onSilence: (noticedLateBy: Milliseconds) => void;
+  readonly onSilence: (detectionDelay: Milliseconds) => void;
   /** Is told when bytes come again after a silence. */
-  readonly onGoesOn: () => void;
+  readonly onResumed: () => void;
 }
 
 /** Notices when nothing comes from a target for a while. */
-export interface SilenceWatch {
+export interface SilenceMonitor {
   /** Notes bytes of the target. */
-  readonly noteBytes: () => void;
+  readonly recordBytes: () => void;
   /** Stops counting while nothing is read from the target. */
   readonly pause: () => void;
   readonly resume: () => void;
@@ -21,41 +21,43 @@
 }
 
 /** Starts a watch; it counts from now. */
-export function startSilenceWatch(options: SilenceWatchOptions): SilenceWatch {
-  const {longestSilence, now, onSilence, onGoesOn} = options;
+export function startSilenceMonitor(
+  options: SilenceMonitorOptions,
+): SilenceMonitor {
+  const {maxSilence, now, onSilence, onResumed} = options;
   let state: 'counting' | 'paused' | 'silent' | 'stopped' = 'counting';
-  let silentAt = now() + longestSilence;
-  let timer = setTimeout(onTimer, longestSilence);
+  let silentAt = now() + maxSilence;
+  let timer = setTimeout(onTimer, maxSilence);
 
   function count(): void {
     state = 'counting';
-    silentAt = now() + longestSilence;
+    silentAt = now() + maxSilence;
     clearTimeout(timer);
-    timer = setTimeout(onTimer, longestSilence);
+    timer = setTimeout(onTimer, maxSilence);
   }
 
   /** Timers run before sockets are read: bytes may wait in the socket. */
   function onTimer(): void {
     const expected = silentAt;
     setImmediate(() => {
-      if (state === 'counting' && silentAt === expected) noteSilence();
+      if (state === 'counting' && silentAt === expected) reportSilence();
     });
   }
 
-  function noteSilence(): void {
+  function reportSilence(): void {
     state = 'silent';
     onSilence(now() - silentAt);
   }
 
-  function noteBytes(): void {
+  function recordBytes(): void {
     switch (state) {
       case 'counting':
-        silentAt = now() + longestSilence;
+        silentAt = now() + maxSilence;
         timer.refresh();
         return;
       case 'silent':
         count();
-        return onGoesOn();
+        return onResumed();
       case 'paused':
       case 'stopped':
     }
@@ -67,7 +69,7 @@
   }
 
   return {
-    noteBytes,
+    recordBytes,
     pause: () => {
       if (state !== 'stopped') halt('paused');
     },
--- a/packages/fleet/src/entry/place_queue.ts
+++ b/packages/fleet/src/entry/slot_queue.ts
@@ -15,11 +15,11 @@
 import type {Clock} from '@hibiscusbeam/daemon';
 
 /** How waiting for a place ended. */
-export type PlaceOutcome =
+export type SlotOutcome =
   | {
       readonly kind: 'place';
       readonly target: ListedTarget;
-      readonly inHand: InFlightRequest;
+      readonly inFlight: InFlightRequest;
       /** Aborts when the target's life ends, and with it the request there. */
       readonly lifeEnded: AbortSignal;
     }
@@ -33,7 +33,7 @@
   | {readonly kind: 'abandoned'};
 
 /** A request that asks for a place. */
-export interface PlaceRequest extends WaitingRequest {
+export interface SlotRequest extends WaitingRequest {
   /** The need as of now; read anew at each look. */
   readonly need: () => PlacementRequest;
   /** Time in which a target reads its prompt. */
@@ -45,8 +45,8 @@
 }
 
 /** Requests that wait at the entry for a target with room. */
-export interface PlaceQueue {
-  readonly take: (request: PlaceRequest) => Promise<PlaceOutcome>;
+export interface SlotQueue {
+  readonly take: (request: SlotRequest) => Promise<SlotOutcome>;
   /** Looks again, after something has changed. */
   readonly pump: () => void;
   readonly waiting: () => number;
@@ -55,26 +55,26 @@
 }
 
 /** Period of looks without a change, for waits that run out. */
-const LOOK_PERIOD: Milliseconds = 20;
+const CHECK_PERIOD: Milliseconds = 20;
 
 interface Waiter {
-  readonly request: PlaceRequest;
-  readonly resolve: (outcome: PlaceOutcome) => void;
+  readonly request: SlotRequest;
+  readonly resolve: (outcome: SlotOutcome) => void;
 }
 
 /** The order without admission by level. */
-const ORDER_BY_PRIORITY: WaitingOrder<PlaceRequest> = {
+const ORDER_BY_PRIORITY: WaitingOrder<SlotRequest> = {
   compare,
   recordStart: () => undefined,
 };
 
 /** Creates the queue over the places of `book`; `onPlaced` is told of each taken. */
-export function createPlaceQueue(
-  book: TargetRegistry,
+export function createSlotQueue(
+  registry: TargetRegistry,
   clock: Clock,
-  onPlaced: SendPacer['recordSend'] = () => undefined,
-  order: WaitingOrder<PlaceRequest> = ORDER_BY_PRIORITY,
-): PlaceQueue {
+  onSlotTaken: SendPacer['recordSend'] = () => undefined,
+  order: WaitingOrder<SlotRequest> = ORDER_BY_PRIORITY,
+): SlotQueue {
   let waiters: Waiter[] = [];
   let timer: NodeJS.Timeout | undefined;
 
@@ -86,47 +86,47 @@
       order.compare(one.request, other.request, now),
     );
     for (const waiter of waiters) {
-      const outcome = attempt(waiter.request, now);
+      const outcome = tryTake(waiter.request, now);
       if (outcome === undefined) left.push(waiter);
       else waiter.resolve(outcome);
     }
     waiters = left;
-    lookLater();
+    checkLater();
   }
 
-  function lookLater(): void {
+  function checkLater(): void {
     if (waiters.length === 0 || timer !== undefined) return;
     timer = setTimeout(() => {
       timer = undefined;
       pump();
-    }, LOOK_PERIOD);
+    }, CHECK_PERIOD);
   }
 
   /** Undefined while it has to wait. */
-  function attempt(
-    request: PlaceRequest,
+  function tryTake(
+    request: SlotRequest,
     now: MonotonicInstant,
-  ): PlaceOutcome | undefined {
+  ): SlotOutcome | undefined {
     if (request.signal.aborted) return {kind: 'abandoned'};
     const need = request.need();
-    const choice = book.choose(need);
+    const choice = registry.choose(need);
     if (choice.kind === 'chosen') {
       const {target} = choice;
-      onPlaced(target, now);
+      onSlotTaken(target, now);
       order.recordStart(request, now);
       const life = new AbortController();
-      const inHand = book.begin(target, {
+      const inFlight = registry.begin(target, {
         promptTime: request.promptTime,
         memory: need.memory,
         at: now,
         onIncarnationEnded: () => life.abort(),
       });
-      return {kind: 'place', target, inHand, lifeEnded: life.signal};
+      return {kind: 'place', target, inFlight, lifeEnded: life.signal};
     }
     return isWorthWaiting(choice, request, now) ? undefined : choice;
   }
 
-  function take(request: PlaceRequest): Promise<PlaceOutcome> {
+  function take(request: SlotRequest): Promise<SlotOutcome> {
     const now = clock();
     const {service} = request.need();
     const mustQueue = waiters.some(
@@ -134,12 +134,12 @@
         waiter.request.need().service === service &&
         order.compare(waiter.request, request, now) <= 0,
     );
-    const outcome = mustQueue ? undefined : attempt(request, now);
+    const outcome = mustQueue ? undefined : tryTake(request, now);
     if (outcome !== undefined) return Promise.resolve(outcome);
     return new Promise(resolve => {
       waiters.push({request, resolve});
       request.signal.addEventListener('abort', pump, {once: true});
-      lookLater();
+      checkLater();
     });
   }
 
@@ -158,7 +158,7 @@
 /** Whether a place may come up while the request may wait. */
 function isWorthWaiting(
   choice: Exclude<TargetSelection, {kind: 'chosen'}>,
-  {waitUntil}: PlaceRequest,
+  {waitUntil}: SlotRequest,
   now: MonotonicInstant,
 ): boolean {
   switch (choice.kind) {
@@ -182,8 +182,8 @@
  * earns a quarter, and would make another one late besides.
  */
 function compare(
-  one: PlaceRequest,
-  other: PlaceRequest,
+  one: SlotRequest,
+  other: SlotRequest,
   now: MonotonicInstant,
 ): number {
   const isLate = Number(one.onTimeUntil < now);
--- a/packages/fleet/src/entry/stream_handover.ts
+++ b/packages/fleet/src/entry/stream_handover.ts
@@ -26,7 +26,7 @@
   /** Takes one of the repeats that the site allows, if one is left. */
   readonly takeMove: () => boolean;
   /** Lets the stream go on at its next place, once that has begun. */
-  readonly handOn: () => void;
+  readonly handOver: () => void;
 }
 
 /**
@@ -39,25 +39,25 @@
   /** Lengths of the streams that this entry has passed on. */
   readonly lengths: StreamLengths;
   /** Looks for streams to move, after something has changed. */
-  readonly look: () => void;
+  readonly check: () => void;
 }
 
 /** What the handover needs. */
 export interface StreamHandoverOptions {
-  readonly book: TargetRegistry;
+  readonly registry: TargetRegistry;
   readonly clock: Clock;
   /** Whether streams that won't end in time are moved. */
-  readonly movesLate: boolean;
+  readonly movesLateStreams: boolean;
 }
 
 /**
  * Pause before the next stream is moved: each sees the places that the ones
  * before it have taken.
  */
-const NEXT_LOOK: Milliseconds = 5;
+const NEXT_MOVE_DELAY: Milliseconds = 5;
 
 /** Pause before a stream whose move has failed is moved again. */
-const MOVE_AGAIN: Milliseconds = 150;
+const MOVE_RETRY_DELAY: Milliseconds = 150;
 
 interface Offer {
   readonly target: ListedTarget;
@@ -69,11 +69,11 @@
 export function createStreamHandover(
   options: StreamHandoverOptions,
 ): StreamHandover {
-  const {book, clock} = options;
+  const {registry, clock} = options;
   const offers = new Set<Offer>();
   let timer: NodeJS.Timeout | undefined;
 
-  function look(): void {
+  function check(): void {
     if (timer !== undefined) return;
     const now = clock();
     const candidates = [...offers]
@@ -84,36 +84,36 @@
     if (!candidates.some(tryToMove)) return;
     timer = setTimeout(() => {
       timer = undefined;
-      look();
-    }, NEXT_LOOK);
+      check();
+    }, NEXT_MOVE_DELAY);
   }
 
   function tryToMove(offer: Offer): boolean {
     const {stream} = offer;
     const need = stream.need();
-    const place = book.choose(need);
+    const place = registry.choose(need);
     if (place.kind !== 'chosen') return false;
     const rest = lateRest(offer);
-    const first = book.forecast(place.target, need);
+    const first = registry.forecast(place.target, need);
     if (rest !== undefined && !endsInTime(rest, first ?? 0)) return false;
     if (!stream.takeMove()) return false;
     // Failure: the move finds no place, or its send fails, and the stream stays at
     // an engine that waits for it. Guard: it is offered until it has left.
     offer.movedAt = clock();
-    stream.handOn();
+    stream.handOver();
     return true;
   }
 
   function isMovable(offer: Offer, now: MonotonicInstant): boolean {
-    if (now - offer.movedAt < MOVE_AGAIN) return false;
+    if (now - offer.movedAt < MOVE_RETRY_DELAY) return false;
     if (!offer.stream.mayMove()) return false;
     if (lateRest(offer) !== undefined) return true;
-    const isEmptying = book.isDrainingForLoad(offer.target, now);
+    const isEmptying = registry.isDrainingForLoad(offer.target, now);
     return isEmptying && isWorthMoving(remaining(offer, now));
   }
 
   function restOf(stream: MovableStream): RemainingStream | undefined {
-    return options.movesLate ? stream.rest() : undefined;
+    return options.movesLateStreams ? stream.rest() : undefined;
   }
 
   /** The rest of a stream that won't end in time where it runs. */
@@ -140,7 +140,7 @@
       offers.add(offer);
       return () => void offers.delete(offer);
     },
-    look,
+    check,
     lengths: createStreamLengths(),
   };
 }
--- a/packages/fleet/src/entry/stream_relay.ts
+++ b/packages/fleet/src/entry/stream_relay.ts
@@ -8,8 +8,8 @@
 import {endWithConnection} from './answer_framing';
 import type {RequestBuffers} from './buffered_bytes';
 import type {IncomingAnswer} from './exchange';
-import type {HeldStream} from './sends_under_way';
-import type {SilenceWatch} from './silence_watch';
+import type {ForwardedStream} from './attempts_in_flight';
+import type {SilenceMonitor} from './silence_monitor';
 
 /** What reached the caller of one stream, over all of its attempts. */
 export interface StreamProgress {
@@ -27,13 +27,13 @@
   readonly protocol: RequestProtocol;
   readonly progress: StreamProgress;
   /** Is told of the target's bytes; doesn't count while none are read. */
-  readonly silence: SilenceWatch;
+  readonly silence: SilenceMonitor;
   /** Aborts when nothing more may be passed on. */
   readonly signal: AbortSignal;
   /** Takes the stream, so that it can be held. */
-  readonly onStream: (stream: HeldStream) => void;
+  readonly onStream: (stream: ForwardedStream) => void;
   /** Is told before anything is passed on. */
-  readonly onPassOn: () => void;
+  readonly onForward: () => void;
   readonly now: () => MonotonicInstant;
   /** Header lines of our own for the caller. */
   readonly ownLines: () => readonly string[];
@@ -80,17 +80,17 @@
           : {kind: 'unknown', cause},
       );
     };
-    const reading = createReading(options);
+    const reading = createBodyReader(options);
     options.onStream(reading);
     body.on('data', (bytes: Buffer) => {
       if (options.signal.aborted) return;
-      options.silence.noteBytes();
+      options.silence.recordBytes();
       for (const event of splitter.push(bytes)) {
-        if (!follows(progress.lastEventId, event.id)) {
+        if (!mayFollow(progress.lastEventId, event.id)) {
           broken('foreignAnswer');
           return;
         }
-        options.onPassOn();
+        options.onForward();
         begin();
         options.onEvent();
         progress.lastEventId = event.id ?? progress.lastEventId;
@@ -103,7 +103,7 @@
       if (options.signal.aborted || !answer.isWhole()) {
         return broken('connectionLost');
       }
-      options.onPassOn();
+      options.onForward();
       begin();
       // Whether events passed on by length may end here is not for a body to
       // say that has none.
@@ -119,7 +119,7 @@
 }
 
 /** Reads the target's body while the stream is not held and its caller takes it. */
-function createReading({answer, response, silence}: StreamRelayOptions) {
+function createBodyReader({answer, response, silence}: StreamRelayOptions) {
   let isHeld = false;
   let isCallerFull = false;
 
@@ -157,7 +157,10 @@
 }
 
 /** Whether an event may follow: ids only grow, one by one where they count. */
-function follows(last: string | undefined, next: string | undefined): boolean {
+function mayFollow(
+  last: string | undefined,
+  next: string | undefined,
+): boolean {
   if (last === undefined || next === undefined) return true;
   const before = Number(last);
   const after = Number(next);
--- a/packages/fleet/src/entry/target_follower.ts
+++ b/packages/fleet/src/entry/target_follower.ts
@@ -11,7 +11,10 @@
 } from '@hibiscusbeam/core';
 import {every, type Clock, type Log} from '@hibiscusbeam/daemon';
 import {createEraLog} from '../link/era_log';
-import {showsStoreAway, signOf} from '../link/store_sign';
+import {
+  showsStoreUnavailable,
+  storeCallOutcome,
+} from '../link/store_call_outcome';
 import {createUnusableRowLog} from '../link/unusable_row_log';
 import type {Revision, TargetList, TargetReading, UnusableRow} from '../ports';
 
@@ -20,7 +23,7 @@
  * into the bound: one may be lost and the next one late, and a target that was
  * kept for a while after the store's return is dropped sooner.
  */
-const READ_SHARE = 0.3;
+const READ_PERIOD_SHARE = 0.3;
 
 /**
  * Longest time for one read, as a share of the draining bound: what the period
@@ -32,27 +35,27 @@
  * requests after its bound of 3 s. Guard: reads begin by the clock, whether or
  * not the one before has been answered, and each may take what is left.
  */
-const TIMEOUT_SHARE = 0.5;
+const READ_TIMEOUT_SHARE = 0.5;
 
 /** How long after the store's return lapsed targets may come back. */
-const RETURN_TIME: Milliseconds = 2_000;
+const LAPSED_RETURN_TIME: Milliseconds = 2_000;
 
 /**
  * Share of the draining bound by which the relay's last look at the store may lie
  * back before an entry reads the list itself: the relay's period and a quarter of
  * it. With a look's delay (0.1) and the longest read it stays within the bound.
  */
-const RELAYED_SHARE = 0.37;
+const MAX_RELAYED_AGE_SHARE = 0.37;
 
 /**
  * Times of that after which an entry with a relay reads again once a read has shown
  * that the store is away: its relay reads meanwhile. Once the store is back, the list is read
  * within 0.78 of the bound even if the relay is lost too.
  */
-const LOST_STORE_FACTOR = 2;
+const STORE_UNAVAILABLE_FACTOR = 2;
 
 /** Share of that which is added, by entry, so that not all read at once. */
-const READ_SPREAD = 0.05;
+const READ_SPREAD_SHARE = 0.05;
 
 /**
  * Heartbeats between two listings after which the store counts as having been
@@ -62,7 +65,7 @@
 const LAPSED_HEARTBEATS = 2;
 
 /** Looks in a reading period at whether a read is due. */
-const LOOKS_IN_PERIOD = 3;
+const CHECKS_IN_PERIOD = 3;
 
 /** The targets at a reading of the list. */
 export interface TargetListing {
@@ -78,7 +81,7 @@
 /** What a follower of the list needs. */
 export interface TargetFollowerOptions {
   readonly list: TargetList;
-  readonly book: TargetRegistry;
+  readonly registry: TargetRegistry;
   readonly clock: Clock;
   /** Counts suspensions, in which what a relay has told grows old too. */
   readonly machineClock: Clock;
@@ -104,7 +107,7 @@
 /** Follows the platform's list of targets. */
 export interface TargetFollower {
   /** Takes a listing of the relay. */
-  readonly hear: (listing: TargetListing) => void;
+  readonly receive: (listing: TargetListing) => void;
   /** When the list was surely as it is held; undefined before the first one. */
   readonly listedAt: () => MonotonicInstant | undefined;
 }
@@ -114,23 +117,25 @@
   options: TargetFollowerOptions,
   signal: AbortSignal,
 ): TargetFollower {
-  const {list, book, clock, machineClock, log} = options;
+  const {list, registry, clock, machineClock, log} = options;
   const memory = createRetainedTargetList({
     heartbeat: options.heartbeat,
-    recoveryTime: RETURN_TIME,
+    recoveryTime: LAPSED_RETURN_TIME,
   });
   const unusableRows = createUnusableRowLog('targets', log);
-  const noteEra = createEraLog('targets', log);
-  const period = options.draining * READ_SHARE;
+  const logEra = createEraLog('targets', log);
+  const period = options.draining * READ_PERIOD_SHARE;
   const absence = options.heartbeat * LAPSED_HEARTBEATS;
-  const lookPeriod = period / LOOKS_IN_PERIOD;
+  const checkPeriod = period / CHECKS_IN_PERIOD;
   const relayedBound =
-    options.draining * RELAYED_SHARE * (1 + READ_SPREAD * options.spread);
-  let lines = new Map<string, string>();
+    options.draining *
+    MAX_RELAYED_AGE_SHARE *
+    (1 + READ_SPREAD_SHARE * options.spread);
+  let loggedTargets = new Map<string, string>();
   let lost = false;
   /** By the last own read. */
   let isStoreAway = false;
-  let newest: Revision = -Infinity;
+  let newestRevision: Revision = -Infinity;
   let era: number | undefined;
   let askedAt: MonotonicInstant = -Infinity;
   /** The list was surely so at this moment, by what a relay has told. */
@@ -142,14 +147,14 @@
   async function read(): Promise<void> {
     const sentAt = machineClock();
     askedAt = sentAt;
-    const reply = await list.read(options.draining * TIMEOUT_SHARE);
+    const reply = await list.read(options.draining * READ_TIMEOUT_SHARE);
     if (signal.aborted) return;
-    const sign = signOf(reply);
-    isStoreAway = showsStoreAway(sign);
+    const sign = storeCallOutcome(reply);
+    isStoreAway = showsStoreUnavailable(sign);
     options.storeContact.record(sentAt, sign);
     if (reply.err) memory.recordFailure(clock());
     else {
-      noteEra(reply.val);
+      logEra(reply.val);
       const answeredAt = machineClock();
       options.storeClock.record({
         askedAt: sentAt,
@@ -157,19 +162,19 @@
         storeTime: reply.val.storeTime,
       });
       options.storeDistance.record(answeredAt - sentAt);
-      if (reply.val.revision >= newest) take(reply.val, sentAt);
+      if (reply.val.revision >= newestRevision) take(reply.val, sentAt);
     }
-    logReach(reply.err, reply.ok ? undefined : reply.val);
+    logAvailability(reply.err, reply.ok ? undefined : reply.val);
   }
 
   /** Reads begin by the clock, whether or not the one before is answered. */
   function readIfDue(): void {
     const now = machineClock();
     // A look that comes a little early counts, so that reads don't slip.
-    if (now - askedAt < period - lookPeriod / 2) return;
+    if (now - askedAt < period - checkPeriod / 2) return;
     if (options.readsStore()) return void read();
     if (now - relayedAt < relayedBound) return;
-    const pause = isStoreAway ? relayedBound * LOST_STORE_FACTOR : 0;
+    const pause = isStoreAway ? relayedBound * STORE_UNAVAILABLE_FACTOR : 0;
     if (now - askedAt >= pause) void read();
   }
 
@@ -179,38 +184,41 @@
    * left. Guard: how old a list is goes by the store's clock at its reading, as
    * the answers to this entry's own reads relate it to the clock here.
    */
-  function hear(listing: TargetListing): void {
+  function receive(listing: TargetListing): void {
     const lookedAt = options.storeClock.localTimeLowerBound(listing.storeTime);
-    if (lookedAt === undefined || listing.revision < newest) return;
+    if (lookedAt === undefined || listing.revision < newestRevision) return;
     const provenAt = Math.min(machineClock(), lookedAt);
     if (provenAt - (listedAt ?? startedAt) >= absence) {
       memory.recordFailure(clock() - absence);
     }
     relayedAt = Math.max(relayedAt, provenAt);
-    goBy(listing, provenAt);
+    applyListing(listing, provenAt);
   }
 
   function take(reading: TargetReading, sentAt: MonotonicInstant): void {
-    unusableRows.note([...reading.unusable, ...unconfigured(reading)]);
+    unusableRows.record([...reading.unusable, ...unconfiguredRows(reading)]);
     const {revision, era, storeTime, targets} = reading;
-    goBy({revision, era, storeTime, targets}, sentAt);
+    applyListing({revision, era, storeTime, targets}, sentAt);
   }
 
-  function goBy(listing: TargetListing, provenAt: MonotonicInstant): void {
-    newest = listing.revision;
+  function applyListing(
+    listing: TargetListing,
+    provenAt: MonotonicInstant,
+  ): void {
+    newestRevision = listing.revision;
     if (era !== undefined && listing.era > era) memory.recordRestore(clock());
     era = listing.era;
     listedAt = Math.max(listedAt ?? provenAt, provenAt);
     options.onListing(listing);
     const targets = memory.update(listing.targets, clock());
     options.onTargets(targets);
-    book.list(targets, clock());
+    registry.list(targets, clock());
     logChanges(targets);
     options.onChange();
   }
 
   /** Targets of services that no route can name, as rows that are of no use. */
-  function unconfigured(reading: TargetReading): readonly UnusableRow[] {
+  function unconfiguredRows(reading: TargetReading): readonly UnusableRow[] {
     return reading.targets
       .filter(({service}) => options.isConfigured(service) === false)
       .map(({instance, service}) => ({
@@ -221,7 +229,7 @@
       }));
   }
 
-  function logReach(nowLost: boolean, error: unknown): void {
+  function logAvailability(nowLost: boolean, error: unknown): void {
     if (nowLost === lost) return;
     lost = nowLost;
     if (lost) log.warn('list of targets lost', {error});
@@ -236,15 +244,17 @@
       ]),
     );
     for (const [instance, line] of next) {
-      if (lines.get(instance) !== line) log.info('target', {instance, line});
+      if (loggedTargets.get(instance) !== line) {
+        log.info('target', {instance, line});
+      }
     }
-    for (const instance of lines.keys()) {
+    for (const instance of loggedTargets.keys()) {
       if (!next.has(instance)) log.info('target gone', {instance});
     }
-    lines = next;
+    loggedTargets = next;
   }
 
   void read();
-  signal.addEventListener('abort', every(lookPeriod, readIfDue));
-  return {hear, listedAt: () => listedAt};
+  signal.addEventListener('abort', every(checkPeriod, readIfDue));
+  return {receive, listedAt: () => listedAt};
 }
--- a/packages/fleet/src/entry/target_send.ts
+++ b/packages/fleet/src/entry/target_sender.ts
@@ -9,25 +9,25 @@
   type PlacementRequest,
   type RemainingStream,
 } from '@hibiscusbeam/core';
-import {toldPriority} from './entry_admission';
-import {attempt, type AttemptOptions, type WholeAnswer} from './attempt';
-import {withLength} from './request_body';
+import {enginePriority} from './entry_admission';
+import {runAttempt, type AttemptOptions, type WholeAnswer} from './attempt';
+import {withContentLength} from './request_body';
 import type {
-  PlannedSend,
+  PlannedAttempt,
   RequestRunContext,
   RequestRunOptions,
 } from './request_context';
-import type {SendLine} from './request_story';
-import type {SendsUnderWay, SendUnderWay} from './sends_under_way';
-import {createTargetNotes, type TargetNotes} from './target_notes';
-import {longestSilence} from './timeliness';
+import type {AttemptTrace} from './request_trace';
+import type {AttemptsInFlight, AttemptInFlight} from './attempts_in_flight';
+import {createAttemptRecorder, type AttemptRecorder} from './attempt_recorder';
+import {maxSilence} from './timeliness';
 
 /** What the sends of one request need from its run. */
 export interface TargetSenderHooks {
-  readonly sends: SendsUnderWay;
+  readonly attempts: AttemptsInFlight;
   readonly needOf: (tried: readonly ListedTarget[]) => PlacementRequest;
   /** Whether what led to the choice of the target still holds. */
-  readonly mayBegin: (planned: PlannedSend) => boolean;
+  readonly mayBegin: (planned: PlannedAttempt) => boolean;
   /** Whether a place for another send is looked for. */
   readonly isChoosing: () => boolean;
   /** Takes a whole answer that may be passed on. */
@@ -37,14 +37,14 @@
 }
 
 /** A send under way, and what it has taken. */
-interface BegunSend {
-  readonly planned: PlannedSend;
-  readonly send: SendUnderWay;
+interface StartedAttempt {
+  readonly planned: PlannedAttempt;
+  readonly send: AttemptInFlight;
   readonly sentAt: MonotonicInstant;
   /** Time until its first event; undefined for plain targets. */
   readonly forecast: Milliseconds | undefined;
-  readonly line: SendLine;
-  readonly notes: TargetNotes;
+  readonly line: AttemptTrace;
+  readonly recorder: AttemptRecorder;
   /** Aborted once nothing listens at the target's address any more. */
   readonly foundClosed: AbortController;
   /** Pauses between the events of this target. */
@@ -60,15 +60,15 @@
   options: RequestRunOptions,
   context: RequestRunContext,
   hooks: TargetSenderHooks,
-): (planned: PlannedSend) => void {
+): (planned: PlannedAttempt) => void {
   const {request, response, accepted, progress, buffers} = context;
   const {header, route, service, access, run} = accepted;
-  const {sends} = hooks;
-  let begunSends = 0;
+  const {attempts} = hooks;
+  let startedAttempts = 0;
   /** Whether a move was paid for that no send has used. */
   let hasPaidMove = false;
 
-  function headerLines({place, version}: PlannedSend): readonly string[] {
+  function headerLines({place, version}: PlannedAttempt): readonly string[] {
     const patience = accepted.deadline - options.clock();
     const lines = options.protocol.writeTarget(request.rawHeaders, {
       target: place.target,
@@ -76,33 +76,37 @@
         access.kind === 'workspace' ? access.workspace.name : undefined,
       patience: Math.max(1, Math.floor(patience)),
       priority: options.admission.isByLevel
-        ? toldPriority(accepted)
+        ? enginePriority(accepted)
         : undefined,
       version,
       resumeAfter: progress.lastEventId,
     });
-    return withLength(lines, request.method, accepted.body);
+    return withContentLength(lines, request.method, accepted.body);
   }
 
-  async function carryOut(planned: PlannedSend): Promise<void> {
+  async function carryOut(planned: PlannedAttempt): Promise<void> {
     const begun = begin(planned);
-    const outcome = await attempt(attemptOptions(begun));
+    const outcome = await runAttempt(attemptOptions(begun));
     if (!begun.send.signal.aborted) finish(begun, endOf(outcome));
   }
 
-  function begin(planned: PlannedSend): BegunSend {
+  function begin(planned: PlannedAttempt): StartedAttempt {
     const {place} = planned;
-    begunSends += 1;
+    startedAttempts += 1;
     hasPaidMove = false;
-    const send = sends.begin();
-    const line = context.story.send(place.target);
+    const send = attempts.begin();
+    const line = context.trace.send(place.target);
     const foundClosed = new AbortController();
-    const notes = createTargetNotes(options, {accepted, place, foundClosed});
+    const recorder = createAttemptRecorder(options, {
+      accepted,
+      place,
+      foundClosed,
+    });
     const pauses = createEventPauses();
     const stopOffering = offerToMove(planned, send, pauses);
     const leave = (): void => {
       stopOffering();
-      place.inHand.end();
+      place.inFlight.end();
       options.places.pump();
     };
     const leaveUnanswered = (): void => {
@@ -115,7 +119,7 @@
       send,
       line,
       foundClosed,
-      notes,
+      recorder,
       sentAt: options.clock(),
       forecast: forecastOf(planned),
       pauses,
@@ -128,14 +132,17 @@
   }
 
   /** Its own prompt is among those that the target has not read. */
-  function forecastOf({place, tried}: PlannedSend): Milliseconds | undefined {
+  function forecastOf({
+    place,
+    tried,
+  }: PlannedAttempt): Milliseconds | undefined {
     const need = {...hooks.needOf(tried), promptTime: 0};
-    return options.book.forecast(place.target, need);
+    return options.registry.forecast(place.target, need);
   }
 
-  function attemptOptions(begun: BegunSend): AttemptOptions {
+  function attemptOptions(begun: StartedAttempt): AttemptOptions {
     const {planned, send, line, foundClosed, sentAt, pauses} = begun;
-    const {target, inHand} = planned.place;
+    const {target, inFlight} = planned.place;
     return {
       route,
       requestId: header.requestId,
@@ -150,12 +157,12 @@
       progress,
       now: options.clock,
       ownLines: options.ownLines,
-      longestSilence: longestSilence(route),
-      onSilence: noticedLateBy => noteSilence(begun, noticedLateBy),
-      onGoesOn: () => send.report({kind: 'goesOn'}),
+      maxSilence: maxSilence(route),
+      onSilence: detectionDelay => recordSilence(begun, detectionDelay),
+      onResumed: () => send.report({kind: 'goesOn'}),
       mayBegin: () => hooks.mayBegin(planned),
       onStream: send.setStream,
-      onPassOn: send.win,
+      onForward: send.win,
       signal: AbortSignal.any([
         context.signal,
         planned.place.lifeEnded,
@@ -163,15 +170,15 @@
         send.signal,
       ]),
       onHeader: header => {
-        const stated = options.statements.note({target, header, sentAt});
+        const stated = options.headerRecorder.record({target, header, sentAt});
         stated.forEach(line.explain);
       },
       onFirstEvent: () => {
         recordTime(begun);
-        noteFirstEvent(begun);
+        recordFirstEvent(begun);
       },
       onEvent: () => {
-        inHand.begun();
+        inFlight.begun();
         pauses.record(options.clock());
       },
       keepAnswer: kept => (begun.answer = kept),
@@ -179,31 +186,35 @@
     };
   }
 
-  function finish(begun: BegunSend, end: ForwardAttemptEnd): void {
-    const {send, line, notes, answer, leave} = begun;
+  function finish(begun: StartedAttempt, end: ForwardAttemptEnd): void {
+    const {send, line, recorder, answer, leave} = begun;
     leave();
     if (end.kind === 'answered' && end.success) recordTime(begun);
     if (answer !== undefined) hooks.keepAnswer(answer);
-    notes.noteEnd(end);
-    noteLength(end);
+    recorder.recordEnd(end);
+    recordLength(end);
     if (end.kind !== 'notRun') {
       hooks.onRun();
-      options.admission.noteHeld(accepted, options.clock() - begun.sentAt);
+      options.admission.recordHeld(accepted, options.clock() - begun.sentAt);
     }
     line.end(end.kind, 'cause' in end ? end.cause : undefined);
     send.end(end);
   }
 
-  function recordTime({sentAt}: BegunSend): void {
+  function recordTime({sentAt}: StartedAttempt): void {
     const took = options.clock() - sentAt;
     options.answerTimes.record(service, took, run.promptTime);
   }
 
-  function noteFirstEvent({planned, sentAt, forecast}: BegunSend): void {
+  function recordFirstEvent({planned, sentAt, forecast}: StartedAttempt): void {
     if (forecast === undefined || forecast <= 0) return;
     const now = options.clock();
     const took = now - sentAt;
-    options.book.recordFirstEvent(planned.place.target, took / forecast, now);
+    options.registry.recordFirstEvent(
+      planned.place.target,
+      took / forecast,
+      now,
+    );
     options.metrics.observeForecastError(service, took - forecast);
   }
 
@@ -214,40 +225,43 @@
     return {kind: by};
   }
 
-  function noteSilence(begun: BegunSend, noticedLateBy: Milliseconds): void {
+  function recordSilence(
+    begun: StartedAttempt,
+    detectionDelay: Milliseconds,
+  ): void {
     options.metrics.countSilence(route.name);
-    begun.line.explain(`silent; noticed ${Math.round(noticedLateBy)} ms late`);
-    begun.notes.noteSilence();
+    begun.line.explain(`silent; noticed ${Math.round(detectionDelay)} ms late`);
+    begun.recorder.recordSilence();
     const {begun: streamBegun} = progress;
     const lastEventId = streamBegun ? progress.lastEventId : undefined;
     begun.send.report({kind: 'silent', streamBegun, lastEventId});
-    lookAtTarget(begun).catch(fail);
+    probeTarget(begun).catch(fail);
   }
 
   /**
    * A silent target at whose address nothing listens has ended, unless it leaves:
    * then it may finish what it runs.
    */
-  async function lookAtTarget({
+  async function probeTarget({
     planned,
     send,
     foundClosed,
-  }: BegunSend): Promise<void> {
+  }: StartedAttempt): Promise<void> {
     const {target} = planned.place;
-    const state = await options.crashWatch.look(target);
+    const state = await options.crashMonitor.probe(target);
     if (state !== 'closed' || !send.isSilent()) return;
-    if (options.book.isStaying(target)) foundClosed.abort();
+    if (options.registry.isStaying(target)) foundClosed.abort();
   }
 
   /** Lets the stream go on elsewhere once its target is to load weights. */
   function offerToMove(
-    {place: {target}, tried}: PlannedSend,
-    send: SendUnderWay,
+    {place: {target}, tried}: PlannedAttempt,
+    send: AttemptInFlight,
     pauses: EventPauses,
   ): () => void {
-    const mostSends = tried.length + 1;
+    const maxAttempts = tried.length + 1;
     const isModel = header.model !== undefined;
-    if (!isModel || !route.resumable || mostSends >= route.attempts) {
+    if (!isModel || !route.resumable || maxAttempts >= route.attempts) {
       return () => undefined;
     }
     return options.handover.offer(target, {
@@ -256,7 +270,7 @@
       rest: () => restOf(pauses),
       mayMove: () =>
         progress.lastEventId !== undefined &&
-        begunSends < route.attempts &&
+        startedAttempts < route.attempts &&
         !hooks.isChoosing() &&
         send.isAlone() &&
         !send.isSilent(),
@@ -264,7 +278,7 @@
         hasPaidMove ||= options.budgets.takeMove(service);
         return hasPaidMove;
       },
-      handOn: () => {
+      handOver: () => {
         const {lastEventId} = progress;
         if (lastEventId !== undefined) {
           send.report({kind: 'handedOn', lastEventId});
@@ -275,12 +289,12 @@
 
   function restOf(pauses: EventPauses): RemainingStream | undefined {
     const pause = pauses.median();
-    const passed = passedEvents();
+    const forwarded = forwardedEvents();
     const {profile, answerTokens, tokens} = run;
     if (pause === undefined || profile === undefined) return undefined;
-    if (passed === undefined) return undefined;
+    if (forwarded === undefined) return undefined;
     const {lengths} = options.handover;
-    const events = lengths.remaining(route.name, passed, answerTokens);
+    const events = lengths.remaining(route.name, forwarded, answerTokens);
     if (events === undefined) return undefined;
     return {
       events,
@@ -291,13 +305,13 @@
   }
 
   /** Ids of streams that can go on count their events. */
-  function passedEvents(): number | undefined {
-    const passed = Number(progress.lastEventId);
-    return Number.isInteger(passed) ? passed : undefined;
+  function forwardedEvents(): number | undefined {
+    const forwarded = Number(progress.lastEventId);
+    return Number.isInteger(forwarded) ? forwarded : undefined;
   }
 
-  function noteLength(end: ForwardAttemptEnd): void {
-    const events = passedEvents();
+  function recordLength(end: ForwardAttemptEnd): void {
+    const events = forwardedEvents();
     if (end.kind !== 'streamed' || events === undefined) return;
     options.handover.lengths.record(route.name, events, run.answerTokens);
   }
@@ -305,7 +319,7 @@
   /** The request may have ended before the failure of its send is known. */
   function fail(error: unknown): void {
     options.log.error('send failed in this process', {error});
-    sends.fail(error);
+    attempts.fail(error);
   }
 
   return planned => {
--- a/packages/fleet/src/link/answer_timer.ts
+++ b/packages/fleet/src/link/answer_timer.ts
@@ -1,7 +1,7 @@
 import type {Milliseconds} from '@hibiscusbeam/core';
 
 /** The end of the time, in which what has come is surely read. */
-const LAST_STEP: Milliseconds = 100;
+const READ_GRACE: Milliseconds = 100;
 
 /** The time that an answer may take. */
 export interface AnswerTimer {
@@ -16,11 +16,11 @@
   time: Milliseconds,
   onExpired: () => void,
 ): AnswerTimer {
-  const lastStep = Math.min(LAST_STEP, time / 2);
+  const readGrace = Math.min(READ_GRACE, time / 2);
   let isStopped = false;
   let timer = setTimeout(() => {
-    timer = setTimeout(expireOnceRead, lastStep);
-  }, time - lastStep);
+    timer = setTimeout(expireOnceRead, readGrace);
+  }, time - readGrace);
 
   function expireOnceRead(): void {
     setImmediate(() => {
--- a/packages/fleet/src/link/channels.ts
+++ b/packages/fleet/src/link/channels.ts
@@ -2,10 +2,10 @@
 import {FleetAgentClient, FleetEntryClient} from '@hibiscusbeam/wire';
 
 /** Largest message between our processes, in bytes. */
-const LARGEST_MESSAGE = 4 * 1024 * 1024;
+const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 
 const CHANNEL_OPTIONS = {
-  'grpc.max_receive_message_length': LARGEST_MESSAGE,
+  'grpc.max_receive_message_length': MAX_MESSAGE_BYTES,
   'grpc.initial_reconnect_backoff_ms': 100,
   'grpc.min_reconnect_backoff_ms': 100,
   'grpc.max_reconnect_backoff_ms': 500,
@@ -22,7 +22,7 @@
   /** Closes the client of an address; the next use opens a new one. */
   readonly drop: (address: string) => void;
   /** Closes the clients of all addresses but these. */
-  readonly keep: (addresses: ReadonlySet<string>) => void;
+  readonly retain: (addresses: ReadonlySet<string>) => void;
   readonly close: () => void;
 }
 
@@ -43,7 +43,7 @@
       return client;
     },
     drop,
-    keep: addresses => {
+    retain: addresses => {
       for (const address of [...clients.keys()]) {
         if (!addresses.has(address)) drop(address);
       }
--- a/packages/fleet/src/link/configuration_copies.ts
+++ b/packages/fleet/src/link/configuration_copies.ts
@@ -10,16 +10,16 @@
  * Configurations that are kept as bases of differences. A follower tells within a
  * second which one it holds, and no more than four are read in that time.
  */
-const KEPT_DOCUMENTS = 5;
+const MAX_BASE_DOCUMENTS = 5;
 
 /**
  * Largest text of a configuration, in bytes: sixteen times one of 1,650 routes. It
  * bounds what a faulty copy may unfold to.
  */
-const LARGEST_TEXT = 8 * 1024 * 1024;
+const MAX_TEXT_BYTES = 8 * 1024 * 1024;
 
 /** Texts below this size, in bytes, are told by what differs in any case. */
-const LEAST_COMPARED = 64 * 1024;
+const MIN_COMPARED_BYTES = 64 * 1024;
 
 /** Why a copy can't be read. */
 export type CopyError =
@@ -30,9 +30,9 @@
 
 /** The newest configurations, and their copies for other entries. */
 export interface ConfigurationCopies {
-  readonly keep: (document: ConfigurationDocument) => void;
+  readonly add: (document: ConfigurationDocument) => void;
   /** Keeps the newest one as that of a later revision. */
-  readonly keepAs: (revision: Revision) => void;
+  readonly addUnchanged: (revision: Revision) => void;
   /** Revision of the newest configuration that is held; 0 for none. */
   readonly newestRevision: () => Revision;
   /** The newest configuration for an entry that holds that of `base`. */
@@ -64,15 +64,15 @@
     return documents.find(document => document.revision === revision);
   }
 
-  function keep(document: ConfigurationDocument): void {
+  function add(document: ConfigurationDocument): void {
     if (document.revision <= (newest()?.revision ?? 0)) return;
-    documents = [...documents, document].slice(-KEPT_DOCUMENTS);
+    documents = [...documents, document].slice(-MAX_BASE_DOCUMENTS);
     copies = new Map();
   }
 
-  function keepAs(revision: Revision): void {
+  function addUnchanged(revision: Revision): void {
     const document = newest();
-    if (document !== undefined) keep({...document, revision});
+    if (document !== undefined) add({...document, revision});
   }
 
   /** Working out what differs in every route would hold the loop for long. */
@@ -81,7 +81,7 @@
     revision: Revision,
   ): ConfigurationDocument | undefined {
     const base = held(revision);
-    if (base === undefined || text.length < LEAST_COMPARED) return base;
+    if (base === undefined || text.length < MIN_COMPARED_BYTES) return base;
     return isSimilar(text, base.text) ? base : undefined;
   }
 
@@ -92,7 +92,7 @@
     const baseRevision = baseDocument?.revision ?? 0;
     const known = copies.get(baseRevision);
     if (known !== undefined) return known;
-    const copy = copyOf(document, baseDocument);
+    const copy = createCopy(document, baseDocument);
     copies.set(baseRevision, copy);
     return copy;
   }
@@ -105,7 +105,7 @@
     if (baseRevision !== 0 && base === undefined) {
       return Err({kind: 'baseMissing', baseRevision});
     }
-    const text = unfold(copy, base);
+    const text = decompress(copy, base);
     if (text.err) return text;
     if (digestOf(text.val).equals(copy.digest)) {
       return Ok({revision, text: text.val});
@@ -114,15 +114,15 @@
   }
 
   return {
-    keep,
-    keepAs,
+    add,
+    addUnchanged,
     newestRevision: () => newest()?.revision ?? 0,
     write,
     read,
   };
 }
 
-function copyOf(
+function createCopy(
   {revision, text}: ConfigurationDocument,
   base: ConfigurationDocument | undefined,
 ): ConfigurationCopy {
@@ -138,12 +138,12 @@
   };
 }
 
-function unfold(
+function decompress(
   {content}: ConfigurationCopy,
   base: ConfigurationDocument | undefined,
 ): Result<Buffer, CopyError> {
   try {
-    const inflated = inflateRawSync(content, {maxOutputLength: LARGEST_TEXT});
+    const inflated = inflateRawSync(content, {maxOutputLength: MAX_TEXT_BYTES});
     if (base === undefined) return Ok(inflated);
     return Ok(Buffer.from(applyDelta<Uint8Array>(base.text, inflated)));
   } catch (error) {
--- a/packages/fleet/src/link/crash_records.ts
+++ b/packages/fleet/src/link/crash_records.ts
@@ -7,10 +7,10 @@
 import type {CrashRecord as CrashRecordMessage} from '@hibiscusbeam/wire';
 
 /** Records in one message; the others follow in the next ones. */
-const MOST_IN_MESSAGE = 100;
+const MAX_RECORDS_PER_MESSAGE = 100;
 
 /** Largest age that the wire's field holds, in milliseconds. */
-const LARGEST_AGE: Milliseconds = 2 ** 32 - 1;
+const MAX_AGE: Milliseconds = 2 ** 32 - 1;
 
 /** Writes to one stream what was not written to it yet. */
 export function createCrashRecordWriter(
@@ -18,7 +18,10 @@
 ): (now: MonotonicInstant) => CrashRecordMessage[] {
   let written = 0;
   return now => {
-    const {rows, revision} = quarantine.changedSince(written, MOST_IN_MESSAGE);
+    const {rows, revision} = quarantine.changedSince(
+      written,
+      MAX_RECORDS_PER_MESSAGE,
+    );
     written = revision;
     return rows.map(record => writeCrashRecord(record, now));
   };
@@ -56,5 +59,5 @@
 }
 
 function ageOf(at: MonotonicInstant, now: MonotonicInstant): Milliseconds {
-  return Math.min(LARGEST_AGE, Math.max(0, Math.round(now - at)));
+  return Math.min(MAX_AGE, Math.max(0, Math.round(now - at)));
 }
--- a/packages/fleet/src/link/demand_messages.ts
+++ b/packages/fleet/src/link/demand_messages.ts
@@ -6,14 +6,14 @@
 import type {FollowerGreeting, RelayNews} from '@hibiscusbeam/wire';
 
 /** Most rows of a message that are read: far more than services times priorities. */
-const MOST_ROWS = 1_000;
+const MAX_ROWS = 1_000;
 
 /** Reads demands; rows that no meter can have written are left out. */
 export function readDemands(
   rows: FollowerGreeting['demands'],
 ): readonly ServiceDemand[] {
   return rows
-    .slice(0, MOST_ROWS)
+    .slice(0, MAX_ROWS)
     .filter(({places}) => Number.isFinite(places) && places >= 0);
 }
 
@@ -22,7 +22,7 @@
   rows: RelayNews['demands'],
   now: MonotonicInstant,
 ): readonly ZoneDemand[] {
-  return rows.slice(0, MOST_ROWS).map(({zone, demands, ageMilliseconds}) => ({
+  return rows.slice(0, MAX_ROWS).map(({zone, demands, ageMilliseconds}) => ({
     zone,
     demands: readDemands(demands),
     receivedAt: now - ageMilliseconds,
@@ -42,7 +42,7 @@
 }
 
 /** Places that are asked for in all zones. */
-export function placesAskedFor(zones: readonly ZoneDemand[]): number {
+export function countRequestedSlots(zones: readonly ZoneDemand[]): number {
   return zones
     .flatMap(({demands}) => demands)
     .reduce((sum, {places}) => sum + places, 0);
--- a/packages/fleet/src/link/era_log.ts
+++ b/packages/fleet/src/link/era_log.ts
@@ -1,12 +1,12 @@
 import type {Log} from '@hibiscusbeam/daemon';
-import type {StoreMoment} from '../ports';
+import type {StoreReading} from '../ports';
 
 /** Creates the log of the store's restores, as the readings of a table show them. */
 export function createEraLog(
   table: string,
   log: Log,
-): (reading: Pick<StoreMoment, 'era' | 'revision'>) => void {
-  let newest: Pick<StoreMoment, 'era' | 'revision'> | undefined;
+): (reading: Pick<StoreReading, 'era' | 'revision'>) => void {
+  let newest: Pick<StoreReading, 'era' | 'revision'> | undefined;
 
   return ({era, revision}) => {
     if (newest !== undefined && era > newest.era) {
--- a/packages/fleet/src/link/failure_pause.ts
+++ b/packages/fleet/src/link/failure_pause.ts
@@ -2,20 +2,20 @@
 import {createWakeablePause} from './wakeable_pause';
 
 /** Pause after a first failure, and the shortest after any other. */
-const FIRST_PAUSE: Milliseconds = 400;
+const MIN_PAUSE: Milliseconds = 400;
 
 /** Longest pause after failures in a row. */
-const LONGEST_PAUSE: Milliseconds = 4_000;
+const MAX_PAUSE: Milliseconds = 4_000;
 
 /** Share of a pause by which it is shortened, by process. */
-const SPREAD = 0.25;
+const MAX_JITTER = 0.25;
 
 /** Pauses after failed questions to the store, for tables that may come late. */
 export interface FailurePause {
   /** Waits after so many failures in a row. */
   readonly wait: (failures: number, signal: AbortSignal) => Promise<void>;
   /** Notes a sign that the store answers: all pauses end. */
-  readonly noteAnswer: () => void;
+  readonly recordAnswer: () => void;
 }
 
 /**
@@ -27,19 +27,19 @@
  * is back. Guard: pauses grow, and end early once another question of this process,
  * or its relay's, is answered.
  */
-export function createFailurePause(spread: number): FailurePause {
-  const rest = createWakeablePause();
-  const first = createWakeablePause();
+export function createFailurePause(jitter: number): FailurePause {
+  const remainingPause = createWakeablePause();
+  const minPause = createWakeablePause();
 
   return {
     wait: async (failures, signal) => {
-      const grown = FIRST_PAUSE * 2 ** Math.max(0, failures - 1);
-      const pause = Math.min(LONGEST_PAUSE, grown) * (1 - SPREAD * spread);
+      const grown = MIN_PAUSE * 2 ** Math.max(0, failures - 1);
+      const pause = Math.min(MAX_PAUSE, grown) * (1 - MAX_JITTER * jitter);
       // A table that is refused while others are answered is asked for no sooner.
-      await first.sleep(FIRST_PAUSE, signal);
-      const left = pause - FIRST_PAUSE;
-      if (left > 0 && !signal.aborted) await rest.sleep(left, signal);
+      await minPause.sleep(MIN_PAUSE, signal);
+      const left = pause - MIN_PAUSE;
+      if (left > 0 && !signal.aborted) await remainingPause.sleep(left, signal);
     },
-    noteAnswer: rest.wake,
+    recordAnswer: remainingPause.wake,
   };
 }
--- a/packages/fleet/src/link/feed_loop.ts
+++ b/packages/fleet/src/link/feed_loop.ts
@@ -1,6 +1,6 @@
 import type {Log} from '@hibiscusbeam/daemon';
 import type {Result} from 'ts-results';
-import type {HostError, Revision, StoreMoment} from '../ports';
+import type {HostError, Revision, StoreReading} from '../ports';
 import {createEraLog} from './era_log';
 import {createUnusableRowLog} from './unusable_row_log';
 
@@ -12,13 +12,13 @@
   | 'changes';
 
 /** How a table is read and followed. */
-export interface FeedLoopOptions<Reading extends StoreMoment> {
+export interface FeedLoopOptions<Reading extends StoreReading> {
   /** Names the table in log lines. */
   readonly name: string;
   readonly readAll: () => Promise<Result<Reading, HostError>>;
   readonly follow: (after: Revision) => Promise<Result<Reading, HostError>>;
   /** Takes a reading; the next question is asked once it is done. */
-  readonly take: (
+  readonly onReading: (
     reading: Reading,
     scope: ReadingScope,
   ) => void | Promise<void>;
@@ -36,17 +36,17 @@
  * new, fills the link for the others too, and none of them gets its answer. Guard:
  * after a failure, the changes since the last reading are asked for again.
  */
-export async function runFeedLoop<Reading extends StoreMoment>(
+export async function runFeedLoop<Reading extends StoreReading>(
   options: FeedLoopOptions<Reading>,
   signal: AbortSignal,
 ): Promise<void> {
   const {name, log} = options;
   const unusableRows = createUnusableRowLog(name, log);
   let revision: Revision | undefined;
-  const noteEra = createEraLog(name, log);
+  const recordEra = createEraLog(name, log);
   let failures = 0;
   /** Questions for changes in a row that the store no longer knows. */
-  let losses = 0;
+  let historyLosses = 0;
   while (!signal.aborted) {
     const scope = revision === undefined ? 'all' : 'changes';
     const reply = await (revision === undefined
@@ -55,19 +55,19 @@
     if (reply.ok) {
       if (failures > 0) log.info(`${name} regained`, {failures});
       failures = 0;
-      if (scope === 'changes') losses = 0;
-      noteEra(reply.val);
+      if (scope === 'changes') historyLosses = 0;
+      recordEra(reply.val);
       revision = reply.val.revision;
-      unusableRows.note(reply.val.unusable);
-      await options.take(reply.val, scope);
+      unusableRows.record(reply.val.unusable);
+      await options.onReading(reply.val, scope);
       continue;
     }
     if (reply.val.kind === 'historyLost') {
       revision = undefined;
       log.info(`${name} is read whole`, {reason: reply.val.kind});
       // A store that knows no changes at all would be asked without a pause.
-      if (losses > 0) await options.pause(losses, signal);
-      losses += 1;
+      if (historyLosses > 0) await options.pause(historyLosses, signal);
+      historyLosses += 1;
       continue;
     }
     failures += 1;
--- a/packages/fleet/src/link/http_calls.ts
+++ b/packages/fleet/src/link/http_calls.ts
@@ -69,17 +69,17 @@
 const FULL_LINK_CONNECT_TIMEOUT: Milliseconds = 2_000;
 
 /** Idle time of kept connections; below that of the engines. */
-const KEPT_FOR: Milliseconds = 1_000;
+const KEEP_ALIVE_TIMEOUT: Milliseconds = 1_000;
 
 /**
  * Connections for the many small calls to the engine on the own machine. A new
  * one for each look was 5,000 of the site's 11,400 new connections in 46 s.
  */
-const kept = new Agent({
+const keepAliveAgent = new Agent({
   connect: {timeout: CONNECT_TIMEOUT},
   connections: 2,
-  keepAliveTimeout: KEPT_FOR,
-  keepAliveMaxTimeout: KEPT_FOR,
+  keepAliveTimeout: KEEP_ALIVE_TIMEOUT,
+  keepAliveMaxTimeout: KEEP_ALIVE_TIMEOUT,
 });
 
 /** Makes a call and reads the whole answer within the timeout. */
@@ -92,14 +92,14 @@
   );
   const abort = (): void => controller.abort();
   call.signal?.addEventListener('abort', abort, {once: true});
-  const connection = connectionOf(call);
+  const connection = openConnection(call);
   let hasBegun = false;
   try {
     const reply = await send(call, connection, controller.signal);
     hasBegun = true;
     const body = await readBody(reply.body, timer.noteBytes);
     const {statusCode: status, headers} = reply;
-    return Ok({status, header: name => first(headers[name]), body});
+    return Ok({status, header: name => firstValue(headers[name]), body});
   } catch (error) {
     return Err({
       detail: error instanceof Error ? error.message : 'no answer',
@@ -117,7 +117,7 @@
   const endsAt = longest && performance.now() + longest;
   let timer = startAnswerTimer(timeout, onExpired);
 
-  function noteBytes(): void {
+  function recordBytes(): void {
     if (endsAt === undefined) return;
     const left = endsAt - performance.now();
     if (left <= 0) return;
@@ -125,16 +125,16 @@
     timer = startAnswerTimer(Math.min(timeout, left), onExpired);
   }
 
-  return {noteBytes, stop: () => timer.stop()};
+  return {noteBytes: recordBytes, stop: () => timer.stop()};
 }
 
 async function readBody(
   body: AsyncIterable<Buffer>,
-  noteBytes: () => void,
+  recordBytes: () => void,
 ): Promise<Buffer> {
   const parts: Buffer[] = [];
   for await (const part of body) {
-    noteBytes();
+    recordBytes();
     parts.push(part);
   }
   return Buffer.concat(parts);
@@ -144,7 +144,7 @@
  * A connection for this call alone: an open one may fall silent for good, which a
  * kept one shows only by a time-out in a later call.
  */
-function connectionOf(call: HttpCall): SingleConnection | undefined {
+function openConnection(call: HttpCall): SingleConnection | undefined {
   const kind = call.connection ?? 'single';
   switch (kind) {
     case 'single':
@@ -165,7 +165,7 @@
 ): Promise<Dispatcher.ResponseData> {
   const contentType = call.contentType ?? 'application/json';
   return request(`http://${call.address}${call.path}`, {
-    dispatcher: connection?.dispatcher ?? kept,
+    dispatcher: connection?.dispatcher ?? keepAliveAgent,
     method: call.method,
     body: call.body,
     headers: call.body === undefined ? {} : {'content-type': contentType},
@@ -187,7 +187,7 @@
   return connection.isSilent(heldFor) ? 'silent' : 'underWay';
 }
 
-function first(value: string | string[] | undefined): string | undefined {
+function firstValue(value: string | string[] | undefined): string | undefined {
   return Array.isArray(value) ? value[0] : value;
 }
 
--- a/packages/fleet/src/link/member_follower.ts
+++ b/packages/fleet/src/link/member_follower.ts
@@ -5,7 +5,7 @@
 import {runFeedLoop, type ReadingScope} from './feed_loop';
 
 /** How long one question waits for a change; each question costs a call. */
-const WAIT_FOR_CHANGE: Milliseconds = 25_000;
+const LONG_POLL_WAIT: Milliseconds = 25_000;
 
 /** Time beyond the wait after which a question counts as lost. */
 const ANSWER_SLACK: Milliseconds = 1_000;
@@ -19,8 +19,8 @@
  * itself.
  */
 const PAUSE_PER_MEMBER: Milliseconds = 15;
-const SHORTEST_PAUSE: Milliseconds = 1_000;
-const LONGEST_PAUSE: Milliseconds = 3_000;
+const MIN_PAUSE: Milliseconds = 1_000;
+const MAX_PAUSE: Milliseconds = 3_000;
 
 /** Pause after a write without an answer. */
 const PAUSE_AFTER_FAILURE: Milliseconds = 400;
@@ -29,14 +29,14 @@
  * How long members count whose lines a restored store has lost: until each has
  * had an answer that shows the restore, and has written its line again.
  */
-const RETURN_TIME: Milliseconds = WAIT_FOR_CHANGE + 2 * ANSWER_SLACK;
+const REREGISTRATION_TIMEOUT: Milliseconds = LONG_POLL_WAIT + 2 * ANSWER_SLACK;
 
 /** Longest time for writing the own line. */
 const WRITE_TIMEOUT: Milliseconds = 800;
 
 function pauseAfterChange(members: number): Milliseconds {
   const pause = members * PAUSE_PER_MEMBER;
-  return Math.min(LONGEST_PAUSE, Math.max(SHORTEST_PAUSE, pause));
+  return Math.min(MAX_PAUSE, Math.max(MIN_PAUSE, pause));
 }
 
 /** What a follower of the members needs. */
@@ -78,13 +78,13 @@
   const others = (): readonly MemberDescription[] =>
     [...known.values()].filter(member => member.instance !== self.instance);
 
-  async function take(
+  async function applyReading(
     reading: MemberReading,
     scope: ReadingScope,
     signal: AbortSignal,
   ): Promise<void> {
     const {changes} = reading;
-    if (scope === 'all') startAnew(reading);
+    if (scope === 'all') resetMembers(reading);
     const isAnyDropped = dropLost();
     for (const {instance, member} of changes) {
       lost.delete(instance);
@@ -101,7 +101,7 @@
   }
 
   /** Forgets all members, unless it is a restore that has lost their lines. */
-  function startAnew(reading: MemberReading): void {
+  function resetMembers(reading: MemberReading): void {
     const isRestored = era !== undefined && reading.era > era;
     era = reading.era;
     lost.clear();
@@ -109,7 +109,7 @@
     for (const instance of known.keys()) lost.add(instance);
     lost.delete(self.instance);
     known.delete(self.instance);
-    lostUntil = clock() + RETURN_TIME;
+    lostUntil = clock() + REREGISTRATION_TIMEOUT;
   }
 
   /** Drops members that have not written their lines again in time. */
@@ -140,12 +140,8 @@
           log,
           readAll: () => table.readAll(ANSWER_SLACK),
           follow: after =>
-            table.follow(
-              after,
-              WAIT_FOR_CHANGE,
-              WAIT_FOR_CHANGE + ANSWER_SLACK,
-            ),
-          take: (reading, scope) => take(reading, scope, signal),
+            table.follow(after, LONG_POLL_WAIT, LONG_POLL_WAIT + ANSWER_SLACK),
+          onReading: (reading, scope) => applyReading(reading, scope, signal),
           pause: options.failurePause.wait,
         },
         signal,
--- a/packages/fleet/src/link/naming_exchange.ts
+++ b/packages/fleet/src/link/naming_exchange.ts
@@ -16,12 +16,12 @@
  * start anew at the same time.
  */
 export interface NamingExchange {
-  readonly tell: () => VersionNaming[];
-  readonly take: (namings: readonly VersionNaming[]) => void;
+  readonly list: () => VersionNaming[];
+  readonly merge: (namings: readonly VersionNaming[]) => void;
 }
 
 /** Longest time under way that is believed; the store may have restarted its clock. */
-const LONGEST_DELAY: Milliseconds = 10_000;
+const MAX_TRANSIT_TIME: Milliseconds = 10_000;
 
 /**
  * Creates the exchange. Ages are told, since clocks of machines differ; the store's
@@ -37,19 +37,21 @@
     const byAge = clock() - naming.ageMilliseconds;
     if (naming.storeTime === undefined) return byAge;
     const byStore = storeClock?.localTimeLowerBound(naming.storeTime);
-    if (byStore === undefined || byAge - byStore > LONGEST_DELAY) return byAge;
+    if (byStore === undefined || byAge - byStore > MAX_TRANSIT_TIME) {
+      return byAge;
+    }
     return Math.min(byAge, byStore);
   }
 
   return {
-    tell: () =>
+    list: () =>
       versions.recent().map(({model, version, knownSince}) => ({
         model,
         version,
         ageMilliseconds: Math.max(0, Math.round(clock() - knownSince)),
         storeTime: storeClock?.storeTimeAt(knownSince),
       })),
-    take: namings => {
+    merge: namings => {
       for (const naming of namings) {
         const {model, version} = naming;
         const isNew = versions.name(model, version, knownSince(naming));
--- a/packages/fleet/src/link/numbered_rows.ts
+++ b/packages/fleet/src/link/numbered_rows.ts
@@ -9,7 +9,7 @@
 /** Gives numbers to rows, for all who are told of them. */
 export interface RowNumbers<Row> {
   /** The row as it is to be told; the one before it if that is still the same. */
-  readonly note: (key: string, row: Row) => NumberedRow<Row>;
+  readonly assign: (key: string, row: Row) => NumberedRow<Row>;
   /** Forgets the rows of all other keys; their numbers are not used again. */
   readonly retain: (keys: ReadonlySet<string>) => void;
 }
@@ -19,12 +19,12 @@
   isSame: (before: Row, next: Row) => boolean,
 ): RowNumbers<Row> {
   const rows = new Map<string, NumberedRow<Row>>();
-  let given = 0;
+  let lastNumber = 0;
 
-  function note(key: string, row: Row): NumberedRow<Row> {
+  function assign(key: string, row: Row): NumberedRow<Row> {
     const before = rows.get(key);
     if (before !== undefined && isSame(before.row, row)) return before;
-    const number = before?.number ?? (given += 1);
+    const number = before?.number ?? (lastNumber += 1);
     const edition = (before?.edition ?? 0) + 1;
     const next = {number, edition, row};
     rows.set(key, next);
@@ -32,7 +32,7 @@
   }
 
   return {
-    note,
+    assign,
     retain: keys => {
       for (const key of [...rows.keys()]) if (!keys.has(key)) rows.delete(key);
     },
@@ -40,26 +40,28 @@
 }
 
 /** What one receiver has been told whole. */
-export interface ToldRows {
+export interface SentRows {
   /** Whether a row must be told whole; it counts as told from then on. */
-  readonly mustTell: (row: NumberedRow<unknown>) => boolean;
+  readonly mustSendWhole: (row: NumberedRow<unknown>) => boolean;
   /** Numbers that were told and are not among these; they count as untold. */
   readonly dropOthers: (numbers: ReadonlySet<number>) => readonly number[];
 }
 
 /** Creates the memory for one stream, whose messages all arrive or none after. */
-export function createToldRows(): ToldRows {
-  const told = new Map<number, number>();
+export function createSentRows(): SentRows {
+  const sentEditions = new Map<number, number>();
 
   return {
-    mustTell: ({number, edition}) => {
-      if (told.get(number) === edition) return false;
-      told.set(number, edition);
+    mustSendWhole: ({number, edition}) => {
+      if (sentEditions.get(number) === edition) return false;
+      sentEditions.set(number, edition);
       return true;
     },
     dropOthers: numbers => {
-      const dropped = [...told.keys()].filter(number => !numbers.has(number));
-      for (const number of dropped) told.delete(number);
+      const dropped = [...sentEditions.keys()].filter(
+        number => !numbers.has(number),
+      );
+      for (const number of dropped) sentEditions.delete(number);
       return dropped;
     },
   };
--- a/packages/fleet/src/link/report_batches.ts
+++ b/packages/fleet/src/link/report_batches.ts
@@ -7,14 +7,14 @@
 import {
   createRowNumbers,
   type NumberedRow,
-  type ToldRows,
+  type SentRows,
 } from './numbered_rows';
 
 /** Differences of pace up to this are not told; placing goes by tenths of it. */
-const PACE_STEP = 0.05;
+const PACE_TOLERANCE = 0.05;
 
 /** How far the announced moment of a load may move before it is told again. */
-const LOAD_STEP: Milliseconds = 60;
+const LOAD_TIME_TOLERANCE: Milliseconds = 60;
 
 /** A report with the moment of a load by the clock here. */
 interface TimedReport {
@@ -23,18 +23,18 @@
 }
 
 /** A report to be passed on, with the one that was told whole. */
-export interface PassedReport {
-  readonly told: NumberedRow<TimedReport>;
+export interface RelayedReport {
+  readonly baseRow: NumberedRow<TimedReport>;
   readonly report: EngineReport;
   /** Whether the engine serves something else than at the report before. */
   readonly changesState: boolean;
 }
 
 /** Takes reports to be passed on. */
-export type NoteReport = (
+export type NumberReport = (
   report: EngineReport,
   now: MonotonicInstant,
-) => PassedReport;
+) => RelayedReport;
 
 /**
  * Creates the taker of reports that go on to others.
@@ -45,13 +45,13 @@
  * report whose engine only runs more or fewer requests, 4 bytes in place of 65 go
  * on.
  */
-export function createReportNumbers(): NoteReport {
-  const numbers = createRowNumbers<TimedReport>(isSameButRunning);
+export function createReportNumbers(): NumberReport {
+  const numbers = createRowNumbers<TimedReport>(differsOnlyInRunning);
   const newest = new Map<string, EngineReport>();
 
-  return (heard, now) => {
+  return (received, now) => {
     // Names go on with the states of entries, with their age at that moment.
-    const report = {...heard, namings: []};
+    const report = {...received, namings: []};
     const {loadsInMilliseconds: loadsIn} = report;
     const loadsAt = loadsIn === undefined ? undefined : now + loadsIn;
     const before = newest.get(report.engineAddress);
@@ -60,18 +60,18 @@
       report,
       changesState:
         before === undefined || !isSameState(stateOf(before), stateOf(report)),
-      told: numbers.note(report.engineAddress, {report, loadsAt}),
+      baseRow: numbers.assign(report.engineAddress, {report, loadsAt}),
     };
   };
 }
 
-function isSameButRunning(before: TimedReport, next: TimedReport): boolean {
+function differsOnlyInRunning(before: TimedReport, next: TimedReport): boolean {
   const one = before.report;
   const other = next.report;
   return (
     other.sequence >= one.sequence &&
     other.waiting === one.waiting &&
-    Math.abs(other.pace - one.pace) <= PACE_STEP &&
+    Math.abs(other.pace - one.pace) <= PACE_TOLERANCE &&
     isSameLoad(before.loadsAt, next.loadsAt) &&
     isSameState(stateOf(one), stateOf(other))
   );
@@ -82,7 +82,7 @@
   other: MonotonicInstant | undefined,
 ): boolean {
   if (one === undefined || other === undefined) return one === other;
-  return Math.abs(one - other) <= LOAD_STEP;
+  return Math.abs(one - other) <= LOAD_TIME_TOLERANCE;
 }
 
 function stateOf({loaded, ordering, born}: EngineReport) {
@@ -91,8 +91,8 @@
 
 /** Writes reports for one receiver. */
 export function writeReports(
-  reports: readonly PassedReport[],
-  told: ToldRows,
+  reports: readonly RelayedReport[],
+  sentRows: SentRows,
   now: MonotonicInstant,
 ): ReportBatch {
   const batch: ReportBatch = {
@@ -102,12 +102,12 @@
     running: [],
     memoryThousandths: [],
   };
-  for (const {told: row, report} of reports) {
+  for (const {baseRow: row, report} of reports) {
     const {number} = row;
     // What was told whole lies back; the steps are counted from there, so that
     // reports that were not passed on in between don't matter.
-    if (told.mustTell(row)) {
-      batch.whole.push({number, report: toldAt(row.row, now)});
+    if (sentRows.mustSendWhole(row)) {
+      batch.whole.push({number, report: withTimeUntilLoad(row.row, now)});
     }
     batch.numbers.push(number);
     batch.sequenceSteps.push(report.sequence - row.row.report.sequence);
@@ -125,7 +125,7 @@
   return thousandths === 0 ? undefined : (thousandths - 1) / 1_000;
 }
 
-function toldAt(
+function withTimeUntilLoad(
   {report, loadsAt}: TimedReport,
   now: MonotonicInstant,
 ): EngineReport {
@@ -154,7 +154,7 @@
     return batch.numbers.flatMap((number, index) => {
       const row = rows.get(number);
       if (row === undefined) return [];
-      const report = toldAt(row, now);
+      const report = withTimeUntilLoad(row, now);
       return {
         ...report,
         sequence: report.sequence + (batch.sequenceSteps[index] ?? 0),
--- a/packages/fleet/src/link/single_connection.ts
+++ b/packages/fleet/src/link/single_connection.ts
@@ -3,7 +3,7 @@
 import {buildConnector, Client, errors, type Dispatcher} from 'undici';
 
 /** Times that opening took after which silence is not due to a full link. */
-const SILENT_OPENINGS = 10;
+const SILENCE_FACTOR = 10;
 
 /** A connection for one call. */
 export interface SingleConnection {
@@ -22,13 +22,13 @@
   timeout: Milliseconds,
 ): SingleConnection {
   const connect = buildConnector({timeout});
-  let openingAt: Milliseconds | undefined;
+  let connectingAt: Milliseconds | undefined;
   let openedAt: Milliseconds | undefined;
   let hasTimedOut = false;
 
   const client = new Client(`http://${address}`, {
     connect: (options, callback) => {
-      openingAt = monotonicClock();
+      connectingAt = monotonicClock();
       connect(options, (...outcome) => {
         const [error] = outcome;
         if (error === null) openedAt = monotonicClock();
@@ -39,10 +39,10 @@
   });
 
   function isSilent(heldFor: Milliseconds): boolean {
-    if (openingAt === undefined || openedAt === undefined) return false;
-    const opening = openedAt - openingAt;
+    if (connectingAt === undefined || openedAt === undefined) return false;
+    const connectTime = openedAt - connectingAt;
     const waited = monotonicClock() - openedAt - heldFor;
-    return waited >= opening * SILENT_OPENINGS;
+    return waited >= connectTime * SILENCE_FACTOR;
   }
 
   return {
--- a/packages/fleet/src/link/site_records.ts
+++ b/packages/fleet/src/link/site_records.ts
@@ -7,7 +7,7 @@
 import {createCrashRecordWriter, readCrashRecord} from './crash_records';
 
 /** Limits in one message; the others follow in the next ones. */
-const MOST_LIMITS_IN_MESSAGE = 100;
+const MAX_LIMITS_PER_MESSAGE = 100;
 
 /** Records in one message. */
 export interface SiteRecordsMessage {
@@ -22,7 +22,7 @@
 export interface SiteRecords {
   readonly createWriter: () => SiteRecordsWriter;
   /** Takes what another entry knows; returns whether any of it is new. */
-  readonly take: (
+  readonly merge: (
     message: SiteRecordsMessage,
     now: MonotonicInstant,
   ) => boolean;
@@ -42,7 +42,7 @@
         rateLimits: writeRateLimits(),
       });
     },
-    take: ({crashRecords, rateLimits}, now) => {
+    merge: ({crashRecords, rateLimits}, now) => {
       const isNew = [
         ...crashRecords.map(record =>
           quarantine.merge(readCrashRecord(record, now)),
@@ -66,7 +66,7 @@
   return () => {
     const {rows, revision} = limits.changedSince(
       written,
-      MOST_LIMITS_IN_MESSAGE,
+      MAX_LIMITS_PER_MESSAGE,
     );
     written = revision;
     return [...rows];
--- a/packages/fleet/src/link/state_batches.ts
+++ b/packages/fleet/src/link/state_batches.ts
@@ -2,12 +2,12 @@
 import {
   createRowNumbers,
   type NumberedRow,
-  type ToldRows,
+  type SentRows,
 } from './numbered_rows';
 
 /** An entry's state to be passed on, with the one that was told whole. */
-export interface PassedState {
-  readonly told: NumberedRow<EntryState>;
+export interface RelayedState {
+  readonly baseRow: NumberedRow<EntryState>;
   readonly ageMilliseconds: number;
 }
 
@@ -15,25 +15,25 @@
  * Creates the taker of states that go on to others: an entry that stands as before
  * is told of by 3 bytes in place of 30, each second to each follower.
  */
-export function createStateNumbers(): (state: EntryState) => PassedState {
+export function createStateNumbers(): (state: EntryState) => RelayedState {
   const numbers = createRowNumbers<EntryState>(
     (one, other) => one.ready === other.ready,
   );
   return state => ({
-    told: numbers.note(state.instance, state),
+    baseRow: numbers.assign(state.instance, state),
     ageMilliseconds: state.ageMilliseconds,
   });
 }
 
 /** Writes states for one receiver. */
 export function writeStates(
-  states: readonly PassedState[],
-  told: ToldRows,
+  states: readonly RelayedState[],
+  sentRows: SentRows,
 ): StateBatch {
   const batch: StateBatch = {whole: [], numbers: [], agesMilliseconds: []};
-  for (const {told: row, ageMilliseconds} of states) {
+  for (const {baseRow: row, ageMilliseconds} of states) {
     const {number} = row;
-    if (told.mustTell(row)) batch.whole.push({number, state: row.row});
+    if (sentRows.mustSendWhole(row)) batch.whole.push({number, state: row.row});
     batch.numbers.push(number);
     batch.agesMilliseconds.push(ageMilliseconds);
   }
--- a/packages/fleet/src/link/store_sign.ts
+++ b/packages/fleet/src/link/store_call_outcome.ts
@@ -4,7 +4,9 @@
 import type {CallProgress} from './http_calls';
 
 /** What the end of a question says of the store. */
-export function signOf(reply: Result<unknown, HostError>): StoreCallOutcome {
+export function storeCallOutcome(
+  reply: Result<unknown, HostError>,
+): StoreCallOutcome {
   if (reply.ok) return 'answered';
   const error = reply.val;
   switch (error.kind) {
@@ -16,13 +18,13 @@
     case 'malformed':
       return 'answered';
     case 'noAnswer':
-      return signOfProgress(error.progress);
+      return outcomeOfProgress(error.progress);
     default:
       return unreachable(error);
   }
 }
 
-function signOfProgress(progress: CallProgress): StoreCallOutcome {
+function outcomeOfProgress(progress: CallProgress): StoreCallOutcome {
   switch (progress) {
     case 'notConnected':
       return 'notReached';
@@ -40,8 +42,8 @@
  * Whether a question shows that the store is away, so that nothing was written
  * until then; not merely that its answer or the way to it is slow.
  */
-export function showsStoreAway(sign: StoreCallOutcome): boolean {
-  switch (sign) {
+export function showsStoreUnavailable(outcome: StoreCallOutcome): boolean {
+  switch (outcome) {
     case 'turnedAway':
     case 'silent':
       return true;
@@ -50,6 +52,6 @@
     case 'underWay':
       return false;
     default:
-      return unreachable(sign);
+      return unreachable(outcome);
   }
 }
--- a/packages/fleet/src/link/target_changes.ts
+++ b/packages/fleet/src/link/target_changes.ts
@@ -7,7 +7,7 @@
 import {
   createRowNumbers,
   type NumberedRow,
-  type ToldRows,
+  type SentRows,
 } from './numbered_rows';
 
 /** Targets to be passed on. */
@@ -24,18 +24,20 @@
 
   return targets => {
     numbers.retain(new Set(targets.map(({instance}) => instance)));
-    return targets.map(target => numbers.note(target.instance, target));
+    return targets.map(target => numbers.assign(target.instance, target));
   };
 }
 
 /** Writes what of a list has changed for one receiver. */
 export function writeTargetChanges(
   targets: NumberedTargets,
-  told: ToldRows,
+  sentRows: SentRows,
 ): Pick<TargetListingMessage, 'changed' | 'removed'> {
-  const removed = told.dropOthers(new Set(targets.map(({number}) => number)));
+  const removed = sentRows.dropOthers(
+    new Set(targets.map(({number}) => number)),
+  );
   const changed = targets
-    .filter(row => told.mustTell(row))
+    .filter(row => sentRows.mustSendWhole(row))
     .map(({number, row}) => ({number, target: writeTarget(row)}));
   return {changed, removed: [...removed]};
 }
--- a/packages/fleet/src/link/text_similarity.ts
+++ b/packages/fleet/src/link/text_similarity.ts
@@ -1,31 +1,33 @@
 /** Places at which two texts are compared. */
-const SAMPLES = 64;
+const SAMPLE_COUNT = 64;
 
 /** Bytes that are compared at each place. */
-const SAMPLE_SIZE = 32;
+const SAMPLE_BYTES = 32;
 
 /** Most stretches in which texts that are similar differ. */
-const MOST_STRETCHES = 6;
+const MAX_CHANGED_RANGES = 6;
 
 /** Most places at which they differ. */
-const MOST_MISSING = SAMPLES / 2;
+const MAX_MISSING_SAMPLES = SAMPLE_COUNT / 2;
 
 /** How far a sample may have moved, in bytes, beside what the texts have grown. */
-const LONGEST_SHIFT = 16 * 1024;
+const MAX_SHIFT_BYTES = 16 * 1024;
 
 /** Whether `text` differs from `base` in few stretches, judged by samples. */
 export function isSimilar(text: Buffer, base: Buffer): boolean {
-  const shift = LONGEST_SHIFT + Math.abs(text.length - base.length);
-  const step = Math.max(1, Math.floor(text.length / SAMPLES));
+  const shift = MAX_SHIFT_BYTES + Math.abs(text.length - base.length);
+  const step = Math.max(1, Math.floor(text.length / SAMPLE_COUNT));
   let missing = 0;
-  let stretches = 0;
+  let changedRanges = 0;
   let wasFound = true;
-  for (let at = 0; at + SAMPLE_SIZE <= text.length; at += step) {
-    const sample = text.subarray(at, at + SAMPLE_SIZE);
+  for (let at = 0; at + SAMPLE_BYTES <= text.length; at += step) {
+    const sample = text.subarray(at, at + SAMPLE_BYTES);
     const isFound = base.includes(sample, Math.max(0, at - shift));
     if (!isFound) missing += 1;
-    if (!isFound && wasFound) stretches += 1;
-    if (stretches > MOST_STRETCHES || missing > MOST_MISSING) return false;
+    if (!isFound && wasFound) changedRanges += 1;
+    if (changedRanges > MAX_CHANGED_RANGES || missing > MAX_MISSING_SAMPLES) {
+      return false;
+    }
     wasFound = isFound;
   }
   return true;
--- a/packages/fleet/src/link/wakeable_pause.ts
+++ b/packages/fleet/src/link/wakeable_pause.ts
@@ -13,18 +13,18 @@
 
 /** Creates pauses that end together. */
 export function createWakeablePause(): WakeablePause {
-  const sleepers = new Set<() => void>();
+  const pauses = new Set<() => void>();
 
   function sleep(duration: Milliseconds, signal?: AbortSignal): Promise<void> {
     return new Promise(resolve => {
       const end = (): void => {
         clearTimeout(timer);
-        sleepers.delete(end);
+        pauses.delete(end);
         signal?.removeEventListener('abort', end);
         resolve();
       };
       const timer = setTimeout(end, duration);
-      sleepers.add(end);
+      pauses.add(end);
       if (signal?.aborted === true) end();
       else signal?.addEventListener('abort', end);
     });
@@ -33,7 +33,7 @@
   return {
     sleep,
     wake: () => {
-      for (const end of [...sleepers]) end();
+      for (const end of [...pauses]) end();
     },
   };
 }
--- a/packages/fleet/src/ports/engine.ts
+++ b/packages/fleet/src/ports/engine.ts
@@ -8,7 +8,7 @@
 import type {EngineError} from './errors';
 
 /** How an engine stands, by its own word. */
-export interface EngineStanding {
+export interface EngineStatus {
   /** Models that it holds whole and serves. */
   readonly held: readonly HeldModel[];
   /** Whether an order is in progress. */
@@ -30,7 +30,7 @@
 export interface EngineControl {
   readonly standing: (
     timeout: Milliseconds,
-  ) => Promise<Result<EngineStanding, EngineError>>;
+  ) => Promise<Result<EngineStatus, EngineError>>;
   /** Positions of the chunks that lie staged. */
   readonly staged: (
     model: ModelName,
--- a/packages/fleet/src/ports/host_store.ts
+++ b/packages/fleet/src/ports/host_store.ts
@@ -24,7 +24,7 @@
 }
 
 /** When the store answered, and what of its answer can't be used. */
-export interface StoreMoment {
+export interface StoreReading {
   readonly revision: Revision;
   /**
    * Counts how often the store has come back from a copy, which loses its last
@@ -55,7 +55,7 @@
 }
 
 /** What the operator has written: all of it, or what is new. */
-export interface OperatorReading extends StoreMoment {
+export interface OperatorReading extends StoreReading {
   /** Undefined if it was not written, or can't be used. */
   readonly configuration: RoutingConfiguration | undefined;
   /** The text of that configuration. */
@@ -92,7 +92,7 @@
 }
 
 /** All targets, as of one moment. */
-export interface TargetReading extends StoreMoment {
+export interface TargetReading extends StoreReading {
   readonly targets: readonly ListedTarget[];
 }
 
@@ -124,7 +124,7 @@
 }
 
 /** Rows of members: all of them, or those that have changed. */
-export interface MemberReading extends StoreMoment {
+export interface MemberReading extends StoreReading {
   readonly changes: readonly MemberChange[];
 }
 
@@ -156,7 +156,7 @@
 }
 
 /** Rows of quarantined requests: all of them, or those that have changed. */
-export interface QuarantineReading extends StoreMoment {
+export interface QuarantineReading extends StoreReading {
   readonly changes: readonly QuarantineChange[];
 }
 
--- a/packages/fleet/src/ports/protocol.ts
+++ b/packages/fleet/src/ports/protocol.ts
@@ -68,7 +68,7 @@
 }
 
 /** What a caller asks a directory. */
-export interface DirectoryQuestion {
+export interface DirectoryRequest {
   readonly host: string | undefined;
   readonly zone: string | undefined;
   readonly region: string | undefined;
@@ -83,9 +83,9 @@
 /** The host platform's way to ask for addresses. */
 export interface DirectoryProtocol {
   readonly path: string;
-  readonly readQuestion: (
+  readonly readRequest: (
     query: Readonly<Record<string, string | undefined>>,
-  ) => DirectoryQuestion;
+  ) => DirectoryRequest;
   readonly writeAnswer: (answer: DirectoryAnswer) => unknown;
   readonly readinessPath: string;
 }
--- a/packages/fleet/src/runtime/clock.ts
+++ b/packages/fleet/src/runtime/clock.ts
@@ -5,7 +5,7 @@
  * Least jump of the time of day against the steady clock that counts as a
  * suspension. Clocks that are set right drift far below it between two reads.
  */
-const LEAST_SUSPENSION: Milliseconds = 100;
+const MIN_SUSPENSION: Milliseconds = 100;
 
 /** Period in which the clocks are compared while nobody asks. */
 const COMPARE_PERIOD: Milliseconds = 200;
@@ -32,7 +32,7 @@
     const now = inputs.steady();
     const offset = inputs.timeOfDay() - now;
     const jump = offset - lastOffset;
-    if (jump >= LEAST_SUSPENSION) suspended += jump;
+    if (jump >= MIN_SUSPENSION) suspended += jump;
     lastOffset = offset;
     return now + suspended;
   };
--- a/packages/fleet/src/runtime/fleet_process.ts
+++ b/packages/fleet/src/runtime/fleet_process.ts
@@ -1,7 +1,7 @@
 import type {Log, LogPart, RunningProcess} from '@hibiscusbeam/daemon';
 import {readFileSync} from 'node:fs';
 import {loadFleetSettings, type FleetSettings} from '../settings';
-import {checkSettingsAgain} from '../settings/settings_check';
+import {recheckSettings} from '../settings/settings_check';
 import {createLogWriter, createProcessLogs} from './process_log';
 
 /** Settings of the processes of a role. */
@@ -49,7 +49,7 @@
   const log = logs('process');
   // Without a handler the signal would end a process that starts.
   process.on('SIGHUP', () =>
-    checkSettingsAgain(() => readFileSync(path, 'utf8'), settings, log),
+    recheckSettings(() => readFileSync(path, 'utf8'), settings, log),
   );
   const {instance, zone} = settings;
   log.info('starts', {instance, role, zone, pid: process.pid});
@@ -75,7 +75,7 @@
   role: Role,
 ): SettingsOf<Role> {
   const loaded = loadFleetSettings(readFileSync(path, 'utf8'));
-  if (loaded.ok && isOf(loaded.val, role)) return loaded.val;
+  if (loaded.ok && hasRole(loaded.val, role)) return loaded.val;
   const faults = loaded.ok
     ? [{field: 'role', detail: `must be ${role}, which this program runs`}]
     : loaded.val;
@@ -85,7 +85,7 @@
   process.exit(EXIT_SETTINGS);
 }
 
-function isOf<Role extends FleetSettings['role']>(
+function hasRole<Role extends FleetSettings['role']>(
   settings: FleetSettings,
   role: Role,
 ): settings is SettingsOf<Role> {
--- a/packages/fleet/src/runtime/process_log.ts
+++ b/packages/fleet/src/runtime/process_log.ts
@@ -5,10 +5,10 @@
  * Most bytes of log lines that wait to be read. A reader that stops would
  * otherwise fill the memory, or block the process, with lines nobody reads.
  */
-const MOST_WAITING_BYTES = 1024 * 1024;
+const MAX_PENDING_BYTES = 1024 * 1024;
 
 /** Most lines written in a second; the rest is dropped and counted. */
-const MOST_LINES_PER_SECOND = 400;
+const MAX_LINES_PER_SECOND = 400;
 
 /** Writes log lines without ever waiting; what does not fit is counted. */
 export interface LogWriter {
@@ -31,8 +31,8 @@
     if (current !== second) linesInSecond = 0;
     second = current;
     linesInSecond += 1;
-    if (linesInSecond > MOST_LINES_PER_SECOND) return false;
-    return output.writableLength < MOST_WAITING_BYTES;
+    if (linesInSecond > MAX_LINES_PER_SECOND) return false;
+    return output.writableLength < MAX_PENDING_BYTES;
   }
 
   return {
--- a/packages/fleet/src/settings/buffer_bound.ts
+++ b/packages/fleet/src/settings/buffer_limit.ts
@@ -7,17 +7,17 @@
  * Share of an entry's memory for buffered bytes. The smallest entries have 250 MB,
  * of which the idle program takes 76 MB; the rest is for requests and the heap.
  */
-const BUFFERS_SHARE = 0.2;
+const BUFFER_MEMORY_SHARE = 0.2;
 
 /** The bound where neither the setting nor the memory is named. */
-const DEFAULT_BOUND: Bytes = 64 * MEGABYTE;
+const DEFAULT_MAX_BUFFERED_BYTES: Bytes = 64 * MEGABYTE;
 
 /** Most bytes that an entry buffers for callers and targets that read slowly. */
-export function bufferBound({
+export function maxBufferedBytes({
   buffers,
   memoryMegabytes,
 }: Pick<FleetEntrySettings, 'buffers' | 'memoryMegabytes'>): Bytes {
   if (typeof buffers === 'number') return buffers;
-  if (typeof memoryMegabytes !== 'number') return DEFAULT_BOUND;
-  return memoryMegabytes * MEGABYTE * BUFFERS_SHARE;
+  if (typeof memoryMegabytes !== 'number') return DEFAULT_MAX_BUFFERED_BYTES;
+  return memoryMegabytes * MEGABYTE * BUFFER_MEMORY_SHARE;
 }
--- a/packages/fleet/src/settings/index.ts
+++ b/packages/fleet/src/settings/index.ts
@@ -1,4 +1,4 @@
-export * from './buffer_bound';
+export * from './buffer_limit';
 export * from './load_fleet_settings';
 export type {
   FleetAgentSettings,
--- a/packages/fleet/src/settings/settings_check.ts
+++ b/packages/fleet/src/settings/settings_check.ts
@@ -12,7 +12,7 @@
  * process that reads it on a signal ends with an error. Guard: what can't be
  * read is refused like what is malformed, and the old settings stay.
  */
-export function checkSettingsAgain(
+export function recheckSettings(
   read: () => string,
   inForce: FleetSettings,
   log: Log,
--- a/test/admission/entry_admission.test.ts
+++ b/test/admission/entry_admission.test.ts
@@ -1,12 +1,12 @@
 import {ANYWHERE, createTargetRegistry, type Route} from '@hibiscusbeam/core';
 import {expect, test} from 'vitest';
 import type {Log} from '@hibiscusbeam/daemon';
-import {describeRefusal} from '../../packages/fleet/src/entry/admission_watch';
+import {describeRefusal} from '../../packages/fleet/src/entry/admission_monitor';
 import {createFleetMetrics} from '../../packages/fleet/src/entry/fleet_metrics';
 import {createEntryAdmission} from '../../packages/fleet/src/entry/entry_admission';
 import type {AcceptedRequest} from '../../packages/fleet/src/entry/request_acceptance';
 import {
-  placesAskedFor,
+  countRequestedSlots,
   readDemands,
   readZoneDemands,
 } from '../../packages/fleet/src/link/demand_messages';
@@ -53,7 +53,7 @@
     log: log as unknown as Log,
     instance: 'entry',
     zone: 'north',
-    book,
+    registry: book,
     clock: () => now,
     entries: () => 1,
     followsRelay: () => false,
@@ -103,7 +103,7 @@
   load(14, 2_000);
   expect(load(14, 2_000)).toBe(0);
   for (let ended = 0; ended < 60; ended += 1) {
-    admission.noteHeld(accepted(), 2_000);
+    admission.recordHeld(accepted(), 2_000);
   }
   load(14, 2_000);
   expect(load(14, 2_000)).toBeGreaterThan(0.2);
@@ -115,8 +115,8 @@
   expect(readDemands(rows)).toEqual([{...row, places: 3}]);
   const zone = {zone: 'north', demands: rows, ageMilliseconds: 4_000};
   const read = readZoneDemands([zone], 5_000);
-  expect(placesAskedFor(read)).toBe(3);
-  expect(read).toMatchObject([{heardAt: 1_000}]);
+  expect(countRequestedSlots(read)).toBe(3);
+  expect(read).toMatchObject([{receivedAt: 1_000}]);
 });
 
 test('an overload shows in metrics, and in one log line when it begins and ends', async () => {
@@ -127,7 +127,7 @@
   const atFull = lines.length;
   expect(atFull).toBeGreaterThanOrEqual(1);
   expect(atFull).toBeLessThanOrEqual(4);
-  admission.noteWait(accepted(), 30, 'allFull');
+  admission.recordWait(accepted(), 30, 'allFull');
   const text = await metrics.text();
   const counted =
     'hibiscusbeam_admissions_total{service="engines",priority="1"';
--- a/test/distribution/version_plan.test.ts
+++ b/test/distribution/version_plan.test.ts
@@ -53,7 +53,7 @@
   plan.addVersion(named(2, 0), 0);
   plan.addVersion(named(3, 2_000), 2_000);
   const step = plan.observe(serving(1), 2_100);
-  expect(step).toMatchObject({kind: 'stage', givenUp: [{version: 2}]});
+  expect(step).toMatchObject({kind: 'stage', replacedVersions: [{version: 2}]});
 });
 
 // Version 3 is named two seconds after version 2, and the origin is lost before
@@ -98,7 +98,7 @@
   plan.observe(serving(1), 0);
   plan.addVersion(named(2, 0), 0);
   const step = plan.addVersion(named(3, 200), 200);
-  expect(step).toMatchObject({kind: 'stage', givenUp: [{version: 2}]});
+  expect(step).toMatchObject({kind: 'stage', replacedVersions: [{version: 2}]});
 });
 
 test('a version too large to wait is staged in place of one just named', () => {
@@ -106,7 +106,7 @@
   plan.observe(serving(1), 0);
   plan.addVersion(named(2, 0), 0);
   const step = plan.addVersion(named(3, 2_000), 2_000);
-  expect(step).toMatchObject({kind: 'stage', givenUp: [{version: 2}]});
+  expect(step).toMatchObject({kind: 'stage', replacedVersions: [{version: 2}]});
 });
 
 test('an older version than known changes nothing', () => {
@@ -144,7 +144,7 @@
   const end = BOUND - VERSION_BOUND_MARGIN;
   expect(plan.mayLoad(end - 100)).toBe(false);
   const step = plan.observe(serving(1), end);
-  expect(step).toMatchObject({kind: 'stage', givenUp: [{version: 2}]});
+  expect(step).toMatchObject({kind: 'stage', replacedVersions: [{version: 2}]});
   expect(plan.mayLoad(end)).toBe(true);
 });
 
--- a/test/fleet/agent.test.ts
+++ b/test/fleet/agent.test.ts
@@ -15,7 +15,7 @@
 const CHUNKS = 6;
 
 /** Time after which a version of the site's bound of 8 s is finished first. */
-const UNDER_WAY = 2_600;
+const MID_TRANSFER = 2_600;
 
 let site: HostSite;
 let origin: HostOrigin;
@@ -54,7 +54,7 @@
   return eventually(() => site.lines.filter(namesAnAgent).length >= 2);
 }
 
-function namesAnAgent({sentence, fields}: LogLine): boolean {
+function namesAnAgent({message: sentence, fields}: LogLine): boolean {
   return sentence === 'members' && JSON.stringify(fields).includes('agent-');
 }
 
@@ -89,13 +89,13 @@
   await untilKnownToEachOther();
   name(2);
   await eventually(() => both.some(engine => engine.held() === 2));
-  await new Promise(resolve => setTimeout(resolve, UNDER_WAY));
+  await new Promise(resolve => setTimeout(resolve, MID_TRANSFER));
   expect(both.filter(engine => engine.held() === 1)).toHaveLength(1);
   name(3);
   const ahead = {model: 'model', version: 3, after: 2};
   const isFetchedAhead = () =>
     site.lines.some(
-      ({sentence, fields}) =>
+      ({message: sentence, fields}) =>
         sentence === 'fetches a version' &&
         JSON.stringify(fields) === JSON.stringify(ahead),
     );
@@ -123,7 +123,7 @@
   const first = await startEngine('one');
   await site.startAgent(first);
   await eventually(() => first.held() === 1);
-  origin.setGiving(false);
+  origin.setAvailable(false);
   const second = await startEngine('two');
   await site.startAgent(second);
   await eventually(() => second.held() === 1);
@@ -137,7 +137,7 @@
   engine.setFault({kind: 'down'});
   await site.startAgent(engine);
   await eventually(() =>
-    site.lines.some(({sentence}) => sentence === 'holds all'),
+    site.lines.some(({message: sentence}) => sentence === 'holds all'),
   );
   expect(engine.staged.size).toBe(0);
   engine.setFault({kind: 'none'});
--- a/test/fleet/announcement_link.test.ts
+++ b/test/fleet/announcement_link.test.ts
@@ -39,7 +39,7 @@
   return {link, answers: () => answers, losses: () => losses};
 }
 
-function standStill(duration: number): void {
+function blockEventLoop(duration: number): void {
   const until = performance.now() + duration;
   while (performance.now() < until);
 }
@@ -56,7 +56,7 @@
     // What comes during it is read after the timers that have expired.
     setImmediate(() => {
       link.send(ANNOUNCEMENT);
-      standStill(700);
+      blockEventLoop(700);
       resolve();
     }),
   );
--- a/test/fleet/answer_timer.test.ts
+++ b/test/fleet/answer_timer.test.ts
@@ -8,7 +8,7 @@
     setTimeout(() => response.end('whole'), 460));
   server.listen(0, '127.0.0.1', () => parentPort.postMessage(server.address().port));`;
 
-function standStill(duration: number): void {
+function blockEventLoop(duration: number): void {
   const until = performance.now() + duration;
   while (performance.now() < until);
 }
@@ -25,7 +25,7 @@
     timeout: 500,
   });
   // As work that a socket brings: timers run before the sockets are read again.
-  setTimeout(() => setImmediate(standStill, 400), 430);
+  setTimeout(() => setImmediate(blockEventLoop, 400), 430);
   const reply = await call;
   await worker.terminate();
   expect(reply.ok).toBe(true);
--- a/test/fleet/target_notes.test.ts
+++ b/test/fleet/attempt_recorder.test.ts
@@ -3,9 +3,9 @@
 import type {AcceptedRequest} from '../../packages/fleet/src/entry/request_acceptance';
 import type {
   RequestRunOptions,
-  TakenPlace,
+  TakenSlot,
 } from '../../packages/fleet/src/entry/request_context';
-import {createTargetNotes} from '../../packages/fleet/src/entry/target_notes';
+import {createAttemptRecorder} from '../../packages/fleet/src/entry/attempt_recorder';
 import {plainNeed, plainTarget} from '../fixtures/placement';
 
 const accepted = {
@@ -17,33 +17,33 @@
 
 /** Two targets, the first of which is in doubt; the clock stands still. */
 function startSite() {
-  const book = createTargetRegistry({instance: 'entry', zone: 'north'});
+  const registry = createTargetRegistry({instance: 'entry', zone: 'north'});
   const [doubted, other] = [target('doubted'), target('other')];
-  book.list([doubted, other], 0);
+  registry.list([doubted, other], 0);
   const endings: string[] = [];
   const options = {
-    book,
+    registry,
     clock: () => 0,
-    metrics: {countLostSend: () => undefined},
-    crashWatch: {
-      noteLost: () => endings.push('lost'),
-      noteEnded: () => endings.push('ended'),
-      noteCompleted: () => undefined,
+    metrics: {countLostAttempt: () => undefined},
+    crashMonitor: {
+      recordLostConnection: () => endings.push('lost'),
+      recordEnded: () => endings.push('ended'),
+      recordCompleted: () => undefined,
     },
   } as unknown as RequestRunOptions;
 
   function send(foundClosed = new AbortController()) {
     const never = new AbortController().signal;
-    const place = {target: doubted, lifeEnded: never} as TakenPlace;
-    return createTargetNotes(options, {accepted, place, foundClosed});
+    const place = {target: doubted, lifeEnded: never} as TakenSlot;
+    return createAttemptRecorder(options, {accepted, place, foundClosed});
   }
 
   function isAvoided(): boolean {
     const taken = Array.from({length: 50}, () => {
-      const choice = book.choose(plainNeed({expectedRun: 1}));
+      const choice = registry.choose(plainNeed({expectedRun: 1}));
       if (choice.kind !== 'chosen') throw new Error('no target has room');
       const sent = {promptTime: 0, onIncarnationEnded: () => undefined};
-      book.begin(choice.target, sent);
+      registry.begin(choice.target, sent);
       return choice.target.instance;
     });
     return !taken.includes('doubted');
@@ -56,38 +56,38 @@
 
 test('a target is avoided after two silent sends', () => {
   const {send, isAvoided} = startSite();
-  send().noteSilence();
-  send().noteSilence();
+  send().recordSilence();
+  send().recordSilence();
   expect(isAvoided()).toBe(true);
 });
 
 test('a target is avoided after one refused connection', () => {
   const {send, isAvoided} = startSite();
-  send().noteEnd({kind: 'notRun', cause: 'connectionRefused'});
+  send().recordEnd({kind: 'notRun', cause: 'connectionRefused'});
   expect(isAvoided()).toBe(true);
 });
 
 test('a send that was silent and then failed counts once', () => {
   const {send, isAvoided} = startSite();
   const notes = send();
-  notes.noteSilence();
-  notes.noteEnd(LOST);
+  notes.recordSilence();
+  notes.recordEnd(LOST);
   expect(isAvoided()).toBe(false);
 });
 
 test('a silent target that answers in the end is in no doubt', () => {
   const {send, isAvoided} = startSite();
   const both = [send(), send()];
-  for (const notes of both) notes.noteSilence();
-  both[0]!.noteEnd({kind: 'answered', success: true});
+  for (const notes of both) notes.recordSilence();
+  both[0]!.recordEnd({kind: 'answered', success: true});
   expect(isAvoided()).toBe(false);
 });
 
 test('the deadline of a silent send is no success of its target', () => {
   const {send, isAvoided} = startSite();
   const both = [send(), send()];
-  for (const notes of both) notes.noteSilence();
-  for (const notes of both) notes.noteEnd({kind: 'timedOut'});
+  for (const notes of both) notes.recordSilence();
+  for (const notes of both) notes.recordEnd({kind: 'timedOut'});
   expect(isAvoided()).toBe(true);
 });
 
@@ -95,7 +95,7 @@
   const {send, endings} = startSite();
   const foundClosed = new AbortController();
   foundClosed.abort();
-  send(foundClosed).noteEnd(LOST);
-  send().noteEnd(LOST);
+  send(foundClosed).recordEnd(LOST);
+  send().recordEnd(LOST);
   expect(endings).toEqual(['ended', 'lost']);
 });
--- a/test/fleet/sends_under_way.test.ts
+++ b/test/fleet/attempts_in_flight.test.ts
@@ -2,9 +2,9 @@
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
 import {
-  createSendsUnderWay,
-  type SendUnderWay,
-} from '../../packages/fleet/src/entry/sends_under_way';
+  createAttemptsInFlight,
+  type AttemptInFlight,
+} from '../../packages/fleet/src/entry/attempts_in_flight';
 import {propertyRuns} from '../forwarding/property_runs';
 
 const SILENT = {
@@ -16,7 +16,7 @@
 const FAILURE: ForwardAttemptEnd = {kind: 'answered', success: false};
 const SUCCESS: ForwardAttemptEnd = {kind: 'answered', success: true};
 
-function streamOf(send: SendUnderWay, name: string, seen: string[]): void {
+function streamOf(send: AttemptInFlight, name: string, seen: string[]): void {
   send.setStream({
     hold: () => seen.push(`${name} held`),
     release: () => seen.push(`${name} released`),
@@ -24,21 +24,21 @@
 }
 
 test('a report says how many sends have not reported their end, and how many are silent', async () => {
-  const sends = createSendsUnderWay();
+  const sends = createAttemptsInFlight();
   const [one, two] = [sends.begin(), sends.begin()];
   one.report(SILENT);
   two.end(LOST);
   one.end(FAILURE);
   const reports = [await sends.next(), await sends.next(), await sends.next()];
   expect(reports).toEqual([
-    {kind: 'sent', outcome: SILENT, underWay: 2, silent: 0},
-    {kind: 'sent', outcome: LOST, underWay: 1, silent: 0},
-    {kind: 'sent', outcome: FAILURE, underWay: 0, silent: 0},
+    {kind: 'sent', outcome: SILENT, attemptsInFlight: 2, silent: 0},
+    {kind: 'sent', outcome: LOST, attemptsInFlight: 1, silent: 0},
+    {kind: 'sent', outcome: FAILURE, attemptsInFlight: 0, silent: 0},
   ]);
 });
 
 test('what the others have reported counts no more once a send has won', async () => {
-  const sends = createSendsUnderWay();
+  const sends = createAttemptsInFlight();
   const [one, two] = [sends.begin(), sends.begin()];
   one.report(SILENT);
   two.win();
@@ -52,7 +52,7 @@
 
 test('a stream that goes on is held while another send is to take it over', () => {
   const seen: string[] = [];
-  const sends = createSendsUnderWay();
+  const sends = createAttemptsInFlight();
   streamOf(sends.begin(), 'first', seen);
   const second = sends.begin();
   second.end(LOST);
@@ -61,7 +61,7 @@
 
 test('a stream is held no longer than until the other send is silent', () => {
   const seen: string[] = [];
-  const sends = createSendsUnderWay();
+  const sends = createAttemptsInFlight();
   streamOf(sends.begin(), 'first', seen);
   sends.begin().report(SILENT);
   expect(seen).toEqual(['first held', 'first released']);
@@ -69,7 +69,7 @@
 
 test('a silent stream is not held', () => {
   const seen: string[] = [];
-  const sends = createSendsUnderWay();
+  const sends = createAttemptsInFlight();
   const first = sends.begin();
   streamOf(first, 'first', seen);
   first.report(SILENT);
@@ -78,7 +78,7 @@
 });
 
 test('an error in this process reaches the request', async () => {
-  const sends = createSendsUnderWay();
+  const sends = createAttemptsInFlight();
   const next = sends.next();
   sends.fail(new Error('broken here'));
   await expect(next).rejects.toThrow('broken here');
@@ -108,7 +108,7 @@
   ends: readonly ForwardAttemptEnd[],
   picks: Iterator<number>,
 ): Promise<readonly AttemptReport[]> {
-  const sends = createSendsUnderWay();
+  const sends = createAttemptsInFlight();
   const left = ends.map(end => ({end, send: sends.begin()}));
   const reports: AttemptReport[] = [];
   const pick = (): number => Number(picks.next().value);
--- a/test/fleet/backoff.test.ts
+++ b/test/fleet/backoff.test.ts
@@ -9,7 +9,7 @@
 const BACKOFF_SECONDS = 4;
 
 /** Requests that may still reach a target within the time. */
-const MOST_SENDS = 2;
+const MAX_ATTEMPTS = 2;
 
 let site: HostSite;
 let shedding: HostEngine;
@@ -65,6 +65,6 @@
   const within = shedding.arrivals.filter(
     ({at}) => at > refusedAt && at < refusedAt + BACKOFF_SECONDS * SECOND,
   );
-  expect(within.length).toBeLessThanOrEqual(MOST_SENDS);
+  expect(within.length).toBeLessThanOrEqual(MAX_ATTEMPTS);
   expect(new Set(statuses)).toEqual(new Set([200]));
 });
--- a/test/fleet/buffered_bytes.test.ts
+++ b/test/fleet/buffered_bytes.test.ts
@@ -19,7 +19,7 @@
 
 const SLOW_READERS = 250;
 const FAST_READERS = 20;
-const BOUND = 1_500_000;
+const MAX_BUFFERED_BYTES = 1_500_000;
 const EVENT = Buffer.from(`data: ${'.'.repeat(8_000)}\n\n`);
 const EVENTS = 80;
 const SLOW = 'slow';
@@ -54,7 +54,7 @@
     protocol: requestProtocol,
     progress: {begun: false, lastEventId: undefined, begunAt: undefined},
     silence: {
-      noteBytes: nothing,
+      recordBytes: nothing,
       pause: nothing,
       resume: nothing,
       stop: nothing,
@@ -62,7 +62,7 @@
     signal: new AbortController().signal,
     buffers: buffered.open(response, requestId),
     onStream: nothing,
-    onPassOn: nothing,
+    onForward: nothing,
     now: () => 0,
     ownLines: () => [],
     onEvent: nothing,
@@ -76,7 +76,7 @@
   const warn = (_: string, fields: {request: string}) =>
     void droppedLines.push(fields.request);
   buffered = createBufferedBytes({
-    bound: BOUND,
+    bound: MAX_BUFFERED_BYTES,
     clock: monotonicClock,
     log: {warn} as unknown as Log,
     onDropped: nothing,
@@ -111,7 +111,7 @@
 test('hundreds of slow readers are dropped down to the bound, and others served', async () => {
   for (let count = 0; count < SLOW_READERS; count += 1) ask(`${SLOW}-${count}`);
   await eventually(() => droppedLines.length > 0 && buffered.held() > 0);
-  await eventually(() => buffered.held() <= BOUND);
+  await eventually(() => buffered.held() <= MAX_BUFFERED_BYTES);
   const sizes = await Promise.all(
     Array.from({length: FAST_READERS}, (_, count) =>
       readWhole(`fast-${count}`),
@@ -127,13 +127,13 @@
     server.removeAllListeners('request');
     server.on('request', (_, response) => {
       const buffers = buffered.open(response, 'whole');
-      buffers.hold(BOUND - 1);
+      buffers.hold(MAX_BUFFERED_BYTES - 1);
       resolve(buffered.held());
-      buffers.passedOn();
+      buffers.releaseAnswers();
       response.end();
     });
   });
   await readWhole('whole');
-  expect(await held).toBe(BOUND - 1);
+  expect(await held).toBe(MAX_BUFFERED_BYTES - 1);
   expect(buffered.held()).toBe(0);
 });
--- a/test/fleet/call_progress.test.ts
+++ b/test/fleet/call_progress.test.ts
@@ -66,7 +66,7 @@
 });
 
 /** A server on a thread of its own that answers after a while. */
-async function startServerApart(delay: number): Promise<string> {
+async function startServerInWorker(delay: number): Promise<string> {
   const worker = new Worker(
     `const {createServer} = require('node:http');
      const {parentPort} = require('node:worker_threads');
@@ -82,7 +82,7 @@
 }
 
 test('an answer that came while this process stood still counts', async () => {
-  const address = await startServerApart(200);
+  const address = await startServerInWorker(200);
   const ask = () =>
     callHttp({
       address,
--- a/test/fleet/caller_face.test.ts
+++ b/test/fleet/caller_server.test.ts
@@ -3,9 +3,9 @@
 import {connect, type Socket} from 'node:net';
 import {afterEach, beforeEach, expect, test} from 'vitest';
 import {
-  createCallerFace,
-  type CallerFace,
-} from '../../packages/fleet/src/entry/caller_face';
+  createCallerServer,
+  type CallerServer,
+} from '../../packages/fleet/src/entry/caller_server';
 import {freeAddress} from './fixtures/host_site';
 
 const REQUEST = 'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi';
@@ -17,13 +17,13 @@
 /** Longer than a connection with the short time is kept. */
 const OVER_SHORT_TIME = 1_600;
 
-let face: CallerFace;
+let face: CallerServer;
 let caller: Socket;
 let onRequest: (response: ServerResponse) => void;
 
 beforeEach(async () => {
   onRequest = response => response.end('yes');
-  face = createCallerFace(
+  face = createCallerServer(
     {
       handle: (request, response) => {
         request.resume().once('end', () => onRequest(response));
--- a/test/fleet/cold_target.test.ts
+++ b/test/fleet/cold_target.test.ts
@@ -44,7 +44,9 @@
   expect(whileCold).toBeLessThanOrEqual(1.5 * RATE * (took / 1_000) + 5);
   site.register(cold, {ColdRemainingMs: 0, Sequence: 2});
   await eventually(() =>
-    site.lines.some(({sentence}) => sentence === 'target is cold no longer'),
+    site.lines.some(
+      ({message: sentence}) => sentence === 'target is cold no longer',
+    ),
   );
   await eventually(async () => {
     await sendPair();
--- a/test/fleet/configuration_changes.test.ts
+++ b/test/fleet/configuration_changes.test.ts
@@ -14,11 +14,11 @@
   type HostSite,
 } from './fixtures/host_site';
 import {
-  createKeptCaller,
-  type KeptCaller,
-  type KeptOutcome,
+  createKeepAliveCaller,
+  type KeepAliveCaller,
+  type KeepAliveOutcome,
   type RequestParts,
-} from './fixtures/kept_caller';
+} from './fixtures/keep_alive_caller';
 
 const SEED = Number(process.env.PROPERTY_SEED ?? 20_261_203);
 const CALLERS = 12;
@@ -26,9 +26,9 @@
 const LARGE = 1_650;
 const STREAM_TIME = 10_000;
 const STREAM_OBJECTIVE = 2_000;
-const LONGEST_CHANGE_PAUSE = 250;
-const LONGEST_FAULT = 600;
-const LONGEST_STALL = 400;
+const MAX_CHANGE_PAUSE = 250;
+const MAX_FAULT_DURATION = 600;
+const MAX_STALL = 400;
 const SHARE_OF_IDLE_TIME = 0.8;
 
 const ENGINE_ROW = {
@@ -37,7 +37,7 @@
 };
 
 /** What the operator changes from one configuration to the next. */
-interface Wanted {
+interface ExpectedConfiguration {
   idle: number;
   timeout: number;
   attempts: number;
@@ -51,9 +51,9 @@
 
 let site: HostSite;
 let engines: HostEngine[];
-let callers: KeptCaller[];
+let callers: KeepAliveCaller[];
 let address: string;
-let wanted: Wanted;
+let wanted: ExpectedConfiguration;
 let isOver: boolean;
 
 /** The idle times of all configurations so far. */
@@ -91,7 +91,7 @@
   address = settings.callerAddress;
   await eventually(() => isReady(settings.readinessAddress));
   await eventually(async () => (await send(address, '/safe/a')).status === 200);
-  callers = Array.from({length: CALLERS}, () => createKeptCaller(address));
+  callers = Array.from({length: CALLERS}, () => createKeepAliveCaller(address));
 });
 
 afterEach(async () => {
@@ -149,15 +149,15 @@
   });
 }
 
-type Draw = (range: number) => number;
+type RandomInt = (range: number) => number;
 
 /** Draws that depend on the seed and on who draws alone. */
-function createDraw(who: string): Draw {
+function createRandomInt(who: string): RandomInt {
   let draws = 0;
   return range => hash32(`${SEED} ${who} ${(draws += 1)}`) % range;
 }
 
-function change(draw: Draw): void {
+function change(draw: RandomInt): void {
   wanted = {...wanted, keys: [KEY], bodyBytes: 100_000};
   const changes: readonly (() => void)[] = [
     () => (wanted.idle = 200 + draw(2_000)),
@@ -170,14 +170,14 @@
     () => (wanted.keys = []),
     () => (wanted.priority = draw(3)),
     configure,
-    () => standStill(50 + draw(LONGEST_STALL)),
+    () => blockEventLoop(50 + draw(MAX_STALL)),
     () => site.store.writeBytes('op', 'config', Buffer.from('{')),
   ];
   changes[draw(changes.length)]?.();
   configure();
 }
 
-function nextFault(draw: Draw): EngineFault {
+function nextFault(draw: RandomInt): EngineFault {
   switch (draw(5)) {
     case 0:
       return {kind: 'silent', after: 0, duration: 20 + draw(300)};
@@ -192,7 +192,7 @@
   }
 }
 
-function partsOf(draw: Draw, requestId: string): RequestParts {
+function partsOf(draw: RandomInt, requestId: string): RequestParts {
   const routes = ['safe', 'once', 'going', 'fixed', 'second', 'extra/7'];
   const route = routes[draw(routes.length)] ?? 'safe';
   const isStream = route === 'going' || route === 'fixed';
@@ -237,42 +237,45 @@
 /** The idle time that holds for callers: a shorter one as soon as it is written. */
 function idleTime(): number {
   const inForce = site.lines.findLast(
-    ({sentence}) => sentence === 'configuration in force',
+    ({message: sentence}) => sentence === 'configuration in force',
   );
   const {version} = inForce?.fields as {readonly version: number};
   return Math.min(wanted.idle, idleTimes[version - 1] ?? 0);
 }
 
-async function call(caller: KeptCaller, who: string) {
-  const draw = createDraw(who);
-  const ended: {readonly request: string; readonly outcome: KeptOutcome}[] = [];
+async function call(caller: KeepAliveCaller, who: string) {
+  const draw = createRandomInt(who);
+  const ended: {
+    readonly request: string;
+    readonly outcome: KeepAliveOutcome;
+  }[] = [];
   for (let sent = 0; sent < REQUESTS; sent += 1) {
     await sleep(draw(10) === 0 ? SHARE_OF_IDLE_TIME * idleTime() : draw(60));
     const request = `${who}-${sent}`;
-    const outcome = await caller.ask(partsOf(draw, request));
+    const outcome = await caller.send(partsOf(draw, request));
     ended.push({request, outcome});
   }
   return ended;
 }
 
 async function changeUntilOver(): Promise<void> {
-  const draw = createDraw('operator');
+  const draw = createRandomInt('operator');
   while (!isOver) {
-    await sleep(20 + draw(LONGEST_CHANGE_PAUSE));
+    await sleep(20 + draw(MAX_CHANGE_PAUSE));
     change(draw);
   }
 }
 
 async function disturbUntilOver(engine: HostEngine): Promise<void> {
-  const draw = createDraw(engine.instance);
+  const draw = createRandomInt(engine.instance);
   while (!isOver) {
     engine.setFault(nextFault(draw));
-    await sleep(20 + draw(LONGEST_FAULT));
+    await sleep(20 + draw(MAX_FAULT_DURATION));
   }
 }
 
 /** As a configuration does that is large for its machine. */
-function standStill(duration: number): void {
+function blockEventLoop(duration: number): void {
   const until = performance.now() + duration;
   while (performance.now() < until);
 }
@@ -292,6 +295,6 @@
   expect(ended.some(({outcome}) => isServed(outcome))).toBe(true);
 });
 
-function isServed(outcome: KeptOutcome): boolean {
+function isServed(outcome: KeepAliveOutcome): boolean {
   return outcome.kind === 'answered' && outcome.status === 200;
 }
--- a/test/fleet/configuration_copies.test.ts
+++ b/test/fleet/configuration_copies.test.ts
@@ -25,11 +25,11 @@
 test('a change of one route of 1,650 is told in under a kilobyte', () => {
   const sender = createConfigurationCopies();
   const receiver = createConfigurationCopies();
-  sender.keep({revision: 5, text: largeText(10)});
+  sender.add({revision: 5, text: largeText(10)});
   const whole = sender.write(0)!;
   expect(whole.content.length).toBeLessThan(40_000);
-  receiver.keep(receiver.read(whole).unwrap());
-  sender.keep({revision: 9, text: largeText(13, 800)});
+  receiver.add(receiver.read(whole).unwrap());
+  sender.add({revision: 9, text: largeText(13, 800)});
   const change = sender.write(receiver.newestRevision())!;
   expect(change.content.length).toBeLessThan(1_000);
   const {revision, text} = receiver.read(change).unwrap();
@@ -39,10 +39,10 @@
 
 test('a change of all 1,650 routes is told whole, in about as many bytes', () => {
   const sender = createConfigurationCopies();
-  sender.keep({revision: 5, text: largeText(10)});
+  sender.add({revision: 5, text: largeText(10)});
   const before = sender.write(0)!;
   const timeouts = Array.from({length: 1_650}, () => 7_000);
-  sender.keep({revision: 9, text: textOf(13, timeouts)});
+  sender.add({revision: 9, text: textOf(13, timeouts)});
   const change = sender.write(5)!;
   expect(change.baseRevision).toBe(0);
   expect(change.content.length).toBeLessThan(before.content.length * 1.1);
@@ -52,7 +52,7 @@
   'routes that are added %s 1,650 are told by what differs',
   place => {
     const sender = createConfigurationCopies();
-    sender.keep({revision: 5, text: largeText(10)});
+    sender.add({revision: 5, text: largeText(10)});
     const {Routes} = JSON.parse(largeText(10).toString()) as {Routes: object[]};
     const added = Routes.slice(0, 350).map((route, index) => ({
       ...route,
@@ -62,7 +62,7 @@
     const all =
       place === 'before' ? [...added, ...Routes] : [...Routes, ...added];
     const text = Buffer.from(JSON.stringify({Version: 13, Routes: all}));
-    sender.keep({revision: 9, text});
+    sender.add({revision: 9, text});
     expect(sender.write(5)?.baseRevision).toBe(5);
   },
 );
@@ -70,7 +70,7 @@
 test('a receiver that holds an old configuration is told the whole one', () => {
   const sender = createConfigurationCopies();
   for (let revision = 1; revision <= 12; revision += 1) {
-    sender.keep({revision, text: textOf(revision, [revision])});
+    sender.add({revision, text: textOf(revision, [revision])});
   }
   expect(sender.write(2)?.baseRevision).toBe(0);
   expect(sender.write(11)?.baseRevision).toBe(11);
@@ -87,12 +87,12 @@
       const receiver = createConfigurationCopies();
       steps.forEach(({timeouts, isMissed}, index) => {
         const text = textOf(index, timeouts);
-        sender.keep({revision: index + 1, text});
+        sender.add({revision: index + 1, text});
         if (isMissed) return;
         const copy = sender.write(receiver.newestRevision())!;
         const read = receiver.read(copy).unwrap();
         expect(read.text.equals(text)).toBe(true);
-        receiver.keep(read);
+        receiver.add(read);
       });
     }),
     propertySettings(100),
@@ -102,10 +102,10 @@
 test('bytes that are not a copy are refused', () => {
   const sender = createConfigurationCopies();
   const receiver = createConfigurationCopies();
-  sender.keep({revision: 1, text: textOf(1, [5, 6, 7])});
+  sender.add({revision: 1, text: textOf(1, [5, 6, 7])});
   const whole = sender.write(0)!;
-  receiver.keep(receiver.read(whole).unwrap());
-  sender.keep({revision: 2, text: textOf(2, [5, 8, 7])});
+  receiver.add(receiver.read(whole).unwrap());
+  sender.add({revision: 2, text: textOf(2, [5, 8, 7])});
   const change = sender.write(1)!;
   fc.assert(
     fc.property(fc.uint8Array({maxLength: 60}), content => {
--- a/test/fleet/confirmation_renewal.test.ts
+++ b/test/fleet/confirmation_renewal.test.ts
@@ -8,7 +8,7 @@
 import type {HostError, OperatorFeed} from '@hibiscusbeam/fleet';
 import {Err, Ok} from 'ts-results';
 import {afterEach, beforeEach, expect, test, vi} from 'vitest';
-import {createEvacuationWatch} from '../../packages/fleet/src/entry/evacuation_watch';
+import {createEvacuationMonitor} from '../../packages/fleet/src/entry/evacuation_monitor';
 import {createHeldReadings} from '../../packages/fleet/src/entry/held_readings';
 import {createOperatorFollower} from '../../packages/fleet/src/entry/operator_follower';
 import {createConfigurationCopies} from '../../packages/fleet/src/link/configuration_copies';
@@ -96,16 +96,16 @@
     log,
     bound: BOUND,
     copies: createConfigurationCopies(),
-    evacuations: createEvacuationWatch({
+    evacuations: createEvacuationMonitor({
       log,
       metrics: {setEvacuatedZones: () => undefined},
       isKnownZone: () => true,
     }),
     source: () => 'store',
     spread: 0,
-    onMoment: () => undefined,
+    onReading: () => undefined,
     onChange: () => undefined,
-    onNews: () => undefined,
+    onVersionsOrServices: () => undefined,
     onConfiguration: () => undefined,
   });
   const readings = createHeldReadings({
--- a/test/fleet/engine_lives.test.ts
+++ b/test/fleet/engine_incarnations.test.ts
@@ -36,7 +36,7 @@
   await eventually(() => engine.held() === 1);
   expect(engine.staged.size).toBe(CHUNKS);
   const said = site.lines.filter(
-    ({sentence}) => sentence === 'engine has started anew',
+    ({message: sentence}) => sentence === 'engine has started anew',
   );
   expect(said).toHaveLength(1);
 });
--- a/test/fleet/engine_keeper.test.ts
+++ b/test/fleet/engine_manager.test.ts
@@ -6,11 +6,11 @@
 import type {Log, SwarmDriver} from '@hibiscusbeam/daemon';
 import {Ok} from 'ts-results';
 import {afterEach, beforeEach, expect, test, vi} from 'vitest';
-import {createEngineKeeper} from '../../packages/fleet/src/agent/engine_keeper';
+import {createEngineManager} from '../../packages/fleet/src/agent/engine_manager';
 import type {StagedChunks} from '../../packages/fleet/src/agent/staged_chunks';
 import type {
   EngineControl,
-  EngineStanding,
+  EngineStatus,
   VersionOrigin,
 } from '../../packages/fleet/src/ports';
 
@@ -38,12 +38,12 @@
 });
 
 /** A keeper of an engine that serves version 1 of its model. */
-async function startKeeper() {
+async function startManager() {
   let looks = 0;
   let running = 0;
   const versions = createNamedVersions(8_000);
   versions.name('model', 1, 0);
-  const standing = (): EngineStanding => ({
+  const standing = (): EngineStatus => ({
     held: [{model: 'model', version: 1}],
     ordering: false,
     running,
@@ -52,7 +52,7 @@
     memoryShare: undefined,
     born: 1,
   });
-  const keeper = createEngineKeeper({
+  const keeper = createEngineManager({
     service: 'engines',
     engine: {
       standing: () => {
@@ -73,11 +73,11 @@
     operator: {
       services: () => SERVICES,
       start: () => undefined,
-      noteEntry: () => undefined,
+      recordEntryDigest: () => undefined,
     },
     versions,
     staged: {
-      aim: () => undefined,
+      setStagedVersion: () => undefined,
       prepare: () => undefined,
       setReachable: () => undefined,
     } as unknown as StagedChunks,
@@ -86,7 +86,7 @@
       want: () => undefined,
       abandon: (_: VersionDigest) => undefined,
       progress: () => [],
-      isWithinReach: () => false,
+      isFullyReachable: () => false,
     } as unknown as SwarmDriver,
     self: {instance: 'agent', zone: 'north'},
     members: () => [{instance: 'agent', zone: 'north'}],
@@ -94,13 +94,13 @@
     versionBound: 8_000,
     clock: () => Date.now(),
     log,
-    onStanding: () => undefined,
+    onStatus: () => undefined,
   });
   keeper.start(stopped.signal);
   await vi.advanceTimersByTimeAsync(1_000);
   return {
     versions,
-    lookNow: keeper.lookNow,
+    lookNow: keeper.checkNow,
     setRunning: (next: number) => (running = next),
     looksIn: async (time: number): Promise<number> => {
       const before = looks;
@@ -111,7 +111,7 @@
 }
 
 test('an engine that is idle is looked at each 250 ms, a busy one each 100 ms', async () => {
-  const {looksIn, setRunning} = await startKeeper();
+  const {looksIn, setRunning} = await startManager();
   expect(await looksIn(2_000)).toBe(8);
   setRunning(1);
   await looksIn(250);
@@ -121,7 +121,7 @@
 // A version is named while the engine is idle. Its engine must be looked at at
 // once, and as often as before until it serves the version.
 test('an idle engine is looked at at once when a version is named', async () => {
-  const {versions, lookNow, looksIn} = await startKeeper();
+  const {versions, lookNow, looksIn} = await startManager();
   await looksIn(10);
   versions.name('model', 2, Date.now());
   lookNow();
--- a/test/fleet/engine_orders.test.ts
+++ b/test/fleet/engine_orders.test.ts
@@ -55,7 +55,7 @@
   {staged}: ReturnType<typeof startAgent>,
   version: number,
 ): Promise<void> {
-  staged.aim(content(version));
+  staged.setStagedVersion(content(version));
   const stored = await staged.store.put(digestBytes(bytesOf(version)), [
     bytesOf(version),
   ]);
@@ -65,7 +65,7 @@
 /** Lets the engine answer a question that is asked now. */
 function answerOnce({given, clock, pass}: ReturnType<typeof startAgent>): void {
   pass(1);
-  given.noteAnswer(clock());
+  given.recordAnswer(clock());
 }
 
 const fetched = (version: number) =>
@@ -80,15 +80,15 @@
   const agent = startAgent();
   await put(agent, 2);
   const askedBefore = agent.clock();
-  await agent.given.give(fetched(2));
+  await agent.given.orderLoad(fetched(2));
   await put(agent, 3);
-  agent.given.noteAnswer(askedBefore);
+  agent.given.recordAnswer(askedBefore);
   expect(agent.lying()).toBe('version 2');
   answerOnce(agent);
   await put(agent, 3);
   expect(agent.lying()).toBe('version 2');
   answerOnce(agent);
-  await agent.staged.withWhole(content(3), () => Promise.resolve());
+  await agent.staged.withVerified(content(3), () => Promise.resolve());
   expect(agent.lying()).toBe('version 3');
 });
 
@@ -96,22 +96,22 @@
   const agent = startAgent();
   await put(agent, 2);
   const askedBefore = agent.clock();
-  await agent.given.give(fetched(2));
+  await agent.given.orderLoad(fetched(2));
   agent.pass(300);
-  agent.given.noteAnswer(askedBefore);
+  agent.given.recordAnswer(askedBefore);
   answerOnce(agent);
-  await agent.given.give(fetched(2));
+  await agent.given.orderLoad(fetched(2));
   expect(agent.orders).toEqual([2]);
   answerOnce(agent);
-  await agent.given.give(fetched(2));
+  await agent.given.orderLoad(fetched(2));
   expect(agent.orders).toEqual([2, 2]);
 });
 
 test('an engine that has started anew is ordered at once', async () => {
   const agent = startAgent();
   await put(agent, 2);
-  await agent.given.give(fetched(2));
-  agent.given.startAnew();
-  await agent.given.give(fetched(2));
+  await agent.given.orderLoad(fetched(2));
+  agent.given.reset();
+  await agent.given.orderLoad(fetched(2));
   expect(agent.orders).toEqual([2, 2]);
 });
--- a/test/fleet/engine_reports.test.ts
+++ b/test/fleet/engine_reports.test.ts
@@ -9,10 +9,10 @@
   type ReportCall,
 } from '../../packages/fleet/src/entry/engine_report_stream';
 import {openPeerServer} from '../../packages/fleet/src/link/peer_server';
-import type {EngineStanding} from '../../packages/fleet/src/ports';
+import type {EngineStatus} from '../../packages/fleet/src/ports';
 import {eventually, freeAddress} from './fixtures/host_site';
 
-const STANDING: EngineStanding = {
+const STATUS: EngineStatus = {
   held: [{model: 'model', version: 1}],
   ordering: false,
   running: 0,
@@ -44,7 +44,7 @@
     handlers: {
       reportEngine: call => {
         calls.push(call);
-        if (isAnswering) streams.answer(call);
+        if (isAnswering) streams.handleStream(call);
         else call.on('data', () => void (reported += 1));
       },
       follow: call => call.end(),
@@ -71,7 +71,7 @@
 
   async function report(): Promise<void> {
     const before = reported;
-    reports.offer(STANDING, undefined);
+    reports.offer(STATUS, undefined);
     await eventually(() => reported > before);
   }
 
@@ -79,7 +79,7 @@
   async function answerAfter(time: number): Promise<void> {
     now += time;
     const before = replies;
-    streams.tellAll();
+    streams.sendToAll();
     await eventually(() => replies > before);
   }
 
@@ -88,7 +88,7 @@
     report,
     answerAfter,
     pass: (time: number) => void (now += time),
-    offer: () => reports.offer(STANDING, undefined),
+    offer: () => reports.offer(STATUS, undefined),
     replies: () => replies,
     silence: () => void (isAnswering = false),
   };
@@ -137,7 +137,7 @@
   );
   const offer = (running: number): void => {
     now += 100;
-    reports.offer({...STANDING, running}, undefined);
+    reports.offer({...STATUS, running}, undefined);
   };
   offer(1);
   await eventually(() => heard.get(second!)!.length === 1);
--- a/test/fleet/entry.test.ts
+++ b/test/fleet/entry.test.ts
@@ -45,7 +45,7 @@
   site.configure();
   const entry = await site.startEntry();
   const isKnown = () =>
-    site.lines.filter(line => line.sentence === 'target').length >= targets;
+    site.lines.filter(line => line.message === 'target').length >= targets;
   await eventually(() => isKnown() && isReady(entry.settings.readinessAddress));
   return entry;
 }
@@ -254,13 +254,13 @@
   const {settings} = await startReadyEntry(1);
   site.store.setFault('busy');
   await eventually(() =>
-    site.lines.some(line => line.sentence === 'list of targets lost'),
+    site.lines.some(line => line.message === 'list of targets lost'),
   );
   await new Promise(resolve => setTimeout(resolve, 1_300));
   site.store.remove('servers', engine.instance);
   site.store.setFault('none');
   await eventually(() =>
-    site.lines.some(line => line.sentence === 'list of targets regained'),
+    site.lines.some(line => line.message === 'list of targets regained'),
   );
   expect((await send(settings.callerAddress, '/safe/a')).status).toBe(200);
 });
--- a/test/fleet/entry_circle.test.ts
+++ b/test/fleet/entry_peers.test.ts
@@ -6,8 +6,8 @@
 import type {EngineReport} from '@hibiscusbeam/wire';
 import type {Log} from '@hibiscusbeam/daemon';
 import {afterEach, expect, test} from 'vitest';
-import {createEntryCircle} from '../../packages/fleet/src/entry/entry_circle';
-import type {ToldNews} from '../../packages/fleet/src/entry/relay_news';
+import {createEntryPeers} from '../../packages/fleet/src/entry/entry_peers';
+import type {RelayUpdate} from '../../packages/fleet/src/entry/relay_updates';
 import {createConfigurationCopies} from '../../packages/fleet/src/link/configuration_copies';
 import {openPeerServer} from '../../packages/fleet/src/link/peer_server';
 import {createSiteRecords} from '../../packages/fleet/src/link/site_records';
@@ -44,7 +44,7 @@
   let follows = 0;
   let ready = true;
   const reports: EngineReport[] = [];
-  const news: ToldNews[] = [];
+  const news: RelayUpdate[] = [];
   const copies = createConfigurationCopies();
   const quarantine = createQuarantine();
   const limits = createRateLimits(() => performance.now());
@@ -54,7 +54,7 @@
     entries: () => 1,
     followsRelay: () => !circle.readsTargets(),
   });
-  const circle = createEntryCircle({
+  const circle = createEntryPeers({
     self,
     isReady: () => ready,
     clock: () => performance.now(),
@@ -67,9 +67,9 @@
     demands: {
       own: () => [{service: 'engines', priority: 1, places: 2, waiting: 1}],
       zones: () => demand.zones(performance.now()),
-      noteFollower: (follower, demands) =>
+      recordFollower: (follower, demands) =>
         demand.recordFollower(follower, demands, performance.now()),
-      noteZones: demand.recordZones,
+      recordZones: demand.recordZones,
     },
     storeDistance: () => distance,
     onTables: told => void news.push(told),
@@ -81,7 +81,7 @@
       reportEngine: call => call.end(),
       follow: call => {
         follows += 1;
-        circle.face.answer(call);
+        circle.relayServer.handleStream(call);
       },
     },
   });
@@ -150,7 +150,7 @@
   await untilSettled(entries);
   const [first] = entries;
   first!.setReady(false);
-  first!.circle.tellSelf();
+  first!.circle.announceSelf();
   await eventually(() =>
     entries.every(
       entry =>
@@ -248,8 +248,8 @@
   const tellReadings = (): void => {
     storeTime += 1;
     for (const {circle, copies} of readers()) {
-      copies.keep({revision, text: Buffer.from(`configuration ${revision}`)});
-      circle.face.offerOperator({
+      copies.add({revision, text: Buffer.from(`configuration ${revision}`)});
+      circle.relayServer.setOperator({
         revision,
         newestChange: revision,
         storeTime,
@@ -277,7 +277,7 @@
 function endTarget(entry: Entry, life: string): void {
   const ending = {life, endedAt: performance.now()};
   entry.quarantine.recordEnding('c0ffee', ending);
-  entry.circle.offerRecords();
+  entry.circle.scheduleRecords();
 }
 
 const isQuarantined = ({quarantine}: Entry): boolean =>
@@ -312,7 +312,7 @@
   await eventually(() => entries.every(isQuarantined));
   const last = entries.at(-1)!;
   last.quarantine.recordCompletion('c0ffee', performance.now());
-  last.circle.offerRecords();
+  last.circle.scheduleRecords();
   await eventually(() => !entries.some(isQuarantined));
 });
 
@@ -322,7 +322,7 @@
   const [first, late] = entries;
   late!.circle.setMembers([]);
   first!.limits.recordAnswer({life: 'engine', rate: 2, sentAt: 0});
-  first!.circle.offerRecords();
+  first!.circle.scheduleRecords();
   const others = entries.filter(entry => entry !== late);
   const knows = ({limits}: Entry): boolean => limits.rateOf('engine') === 2;
   await eventually(() => others.every(knows));
--- a/test/fleet/evacuation.test.ts
+++ b/test/fleet/evacuation.test.ts
@@ -3,19 +3,19 @@
 import {eventually, type LogLine} from './fixtures/host_site';
 import {
   AS_ENGINE,
-  startQuickSite,
+  startShortObjectiveSite,
   WHOLE_STREAM,
-  type QuickSite,
-} from './fixtures/quick_site';
+  type ShortObjectiveSite,
+} from './fixtures/short_objective_site';
 
 const ROUNDS = 10;
 
-let quick: QuickSite;
+let quick: ShortObjectiveSite;
 let north: HostEngine;
 let south: HostEngine;
 
 beforeEach(async () => {
-  quick = await startQuickSite();
+  quick = await startShortObjectiveSite();
   north = await quick.startTarget('north-1');
   south = await quick.startTarget('south-1', {Zone: 'south'});
 });
@@ -29,13 +29,16 @@
   quick.site.store.remove('op', `evacuate/${zone}`);
 
 const logged = (text: string): readonly LogLine[] =>
-  quick.site.lines.filter(({sentence}) => sentence.includes(text));
+  quick.site.lines.filter(({message: sentence}) => sentence.includes(text));
 
 /** Statuses of some requests, two at a time. */
 async function ask(route: string): Promise<ReadonlySet<number | undefined>> {
   const statuses = new Set<number | undefined>();
   for (let round = 0; round < ROUNDS; round += 1) {
-    const replies = await Promise.all([quick.ask(route), quick.ask(route)]);
+    const replies = await Promise.all([
+      quick.sendRequest(route),
+      quick.sendRequest(route),
+    ]);
     for (const {status} of replies) statuses.add(status);
   }
   return statuses;
@@ -73,7 +76,7 @@
 test('a stream that runs in the zone goes on to its end', async () => {
   const engine = await startStreams();
   const before = engine.runs.length;
-  const stream = quick.ask('going');
+  const stream = quick.sendRequest('going');
   await eventually(() => engine.runs.length > before);
   evacuate('north');
   await eventually(() => logged('zone evacuated').length > 0);
@@ -81,7 +84,7 @@
     status: 200,
     text: `${WHOLE_STREAM}\ndata: token 3`,
   });
-  expect((await quick.ask('going')).status).toBe(503);
+  expect((await quick.sendRequest('going')).status).toBe(503);
 });
 
 test('requests for a service without another zone are refused with a reason', async () => {
@@ -89,7 +92,7 @@
   evacuate('north');
   evacuate('south');
   await eventually(() => logged('zone evacuated').length > 1);
-  const {status, text} = await quick.ask('quick');
+  const {status, text} = await quick.sendRequest('quick');
   expect({status, text}).toEqual({status: 503, text: 'targetsEvacuated'});
 });
 
@@ -101,10 +104,12 @@
   });
   evacuate('north');
   await eventually(() => logged('zone evacuated').length > 0);
-  await eventually(async () => (await quick.ask('going')).status === 200);
+  await eventually(
+    async () => (await quick.sendRequest('going')).status === 200,
+  );
   const before = north.runs.length;
   south.setFault({kind: 'cutStream', after: 1});
-  expect((await quick.ask('going')).text).not.toContain('token 3');
+  expect((await quick.sendRequest('going')).text).not.toContain('token 3');
   expect(south.runs.length).toBeGreaterThan(0);
   expect(north.runs.length).toBe(before);
 });
--- a/test/fleet/expected_run.test.ts
+++ b/test/fleet/expected_run.test.ts
@@ -51,7 +51,7 @@
 function learnedRuns(tokens: number) {
   const runs = createExpectedRuns();
   for (let count = 0; count < 300; count += 1) {
-    runs.noteWritten(requestWith({}), tokens * STEP);
+    runs.recordWritten(requestWith({}), tokens * STEP);
   }
   return runs;
 }
--- a/test/fleet/feed_loop.test.ts
+++ b/test/fleet/feed_loop.test.ts
@@ -2,21 +2,21 @@
 import {Err, Ok} from 'ts-results';
 import {expect, test} from 'vitest';
 import {runFeedLoop} from '../../packages/fleet/src/link/feed_loop';
-import type {HostError, StoreMoment} from '../../packages/fleet/src/ports';
+import type {HostError, StoreReading} from '../../packages/fleet/src/ports';
 
 const log = {info: () => undefined, warn: () => undefined} as unknown as Log;
 
 /** Plays a loop in which the second question fails; returns what was asked. */
-async function questionsAround(error: HostError): Promise<readonly unknown[]> {
+async function requestsAround(error: HostError): Promise<readonly unknown[]> {
   const stopped = new AbortController();
   const asked: unknown[] = [];
-  const reading = (revision: number): StoreMoment => ({
+  const reading = (revision: number): StoreReading => ({
     revision,
     era: 0,
     storeTime: 0,
     unusable: [],
   });
-  await runFeedLoop<StoreMoment>(
+  await runFeedLoop<StoreReading>(
     {
       name: 'table',
       log,
@@ -31,7 +31,7 @@
         stopped.abort();
         return Ok(reading(5));
       },
-      take: () => undefined,
+      onReading: () => undefined,
       pause: () => Promise.resolve(),
     },
     stopped.signal,
@@ -43,7 +43,7 @@
 // whole again each time, it filled the link for all who share it: three entries
 // had no configuration for eight seconds.
 test('a table is followed on from the last reading after a failure', async () => {
-  const asked = await questionsAround({
+  const asked = await requestsAround({
     kind: 'noAnswer',
     progress: 'underWay',
     detail: '',
@@ -52,7 +52,7 @@
 });
 
 test('a table whose changes the store no longer knows is read whole', async () => {
-  const asked = await questionsAround({kind: 'historyLost', detail: ''});
+  const asked = await requestsAround({kind: 'historyLost', detail: ''});
   expect(asked).toEqual(['whole', 4, 'whole']);
 });
 
@@ -60,7 +60,7 @@
   const stopped = new AbortController();
   const pauses: number[] = [];
   let reads = 0;
-  await runFeedLoop<StoreMoment>(
+  await runFeedLoop<StoreReading>(
     {
       name: 'table',
       log,
@@ -71,7 +71,7 @@
         return Promise.resolve(Ok(moment));
       },
       follow: () => Promise.resolve(Err({kind: 'historyLost', detail: ''})),
-      take: () => undefined,
+      onReading: () => undefined,
       pause: failures => {
         pauses.push(failures);
         return Promise.resolve();
--- a/test/fleet/fleet_metrics.test.ts
+++ b/test/fleet/fleet_metrics.test.ts
@@ -3,7 +3,7 @@
 
 test('counts sends whose connection was lost, by route', async () => {
   const metrics = createFleetMetrics();
-  metrics.countLostSend('notes');
+  metrics.countLostAttempt('notes');
   const lines = (await metrics.text()).split('\n');
   expect(lines).toContain('hibiscusbeam_lost_sends_total{route="notes"} 1');
 });
--- a/test/fleet/foreign_rows.test.ts
+++ b/test/fleet/foreign_rows.test.ts
@@ -37,7 +37,7 @@
 function linesOn(key: string): number {
   return site.lines.filter(
     line =>
-      line.sentence === 'row not used' &&
+      line.message === 'row not used' &&
       (line.fields as {readonly key: string}).key === key,
   ).length;
 }
--- a/test/fleet/second_send.test.ts
+++ b/test/fleet/hedge.test.ts
@@ -4,26 +4,26 @@
 import {eventually, HOST, KEY} from './fixtures/host_site';
 import {
   AS_ENGINE,
-  SILENCE,
-  startQuickSite,
+  SILENCE_MS,
+  startShortObjectiveSite,
   WHOLE_STREAM,
-  type QuickSite,
-} from './fixtures/quick_site';
+  type ShortObjectiveSite,
+} from './fixtures/short_objective_site';
 
 /** The same with the longer objective. */
 const LONG_SILENCE = 2_000;
 
 /** Longer than callers wait. */
-const FOR_GOOD = 8_000;
+const LONG_STALL = 8_000;
 
-let quick: QuickSite;
-const startTarget: QuickSite['startTarget'] = (...args) =>
+let quick: ShortObjectiveSite;
+const startTarget: ShortObjectiveSite['startTarget'] = (...args) =>
   quick.startTarget(...args);
 const serve = () => quick.serve();
-const ask = (route: string) => quick.ask(route);
+const sendRequest = (route: string) => quick.sendRequest(route);
 
 beforeEach(async () => {
-  quick = await startQuickSite();
+  quick = await startShortObjectiveSite();
 });
 
 afterEach(() => quick.close());
@@ -41,7 +41,7 @@
 }
 
 /** Has the first and the second target that runs a request fail like this. */
-function failInTurn(...faults: readonly EngineFault[]): HostEngine[] {
+function injectFaultsInTurn(...faults: readonly EngineFault[]): HostEngine[] {
   const begun: HostEngine[] = [];
   quick.setOnRun(engine => {
     engine.setFault(faults[begun.length] ?? {kind: 'none'});
@@ -58,15 +58,17 @@
 
 /** How the last request's sends went, by its line in the log. */
 function lastAttempts(): string {
-  const lines = quick.site.lines.filter(({sentence}) => sentence === 'request');
+  const lines = quick.site.lines.filter(
+    ({message: sentence}) => sentence === 'request',
+  );
   return JSON.stringify(lines.at(-1)?.fields);
 }
 
 test('the second target answers in place of one that stays silent', async () => {
   await serveByTwo();
   for (const route of ['quick', 'going']) {
-    const begun = failInTurn({kind: 'mute'});
-    expect((await ask(route)).status).toBe(200);
+    const begun = injectFaultsInTurn({kind: 'mute'});
+    expect((await sendRequest(route)).status).toBe(200);
     expect(begun).toHaveLength(2);
     await eventually(() => lastRun(begun[0])?.isCut());
     expect(lastRun(begun[1])?.isCut()).toBe(false);
@@ -76,8 +78,8 @@
 test('a silent target that goes on answers before a second one that is silent', async () => {
   await serveByTwo();
   for (const route of ['quick', 'going']) {
-    const begun = failInTurn(silentFor(SILENCE, 0), {kind: 'mute'});
-    expect((await ask(route)).status).toBe(200);
+    const begun = injectFaultsInTurn(silentFor(SILENCE_MS, 0), {kind: 'mute'});
+    expect((await sendRequest(route)).status).toBe(200);
     expect(begun).toHaveLength(2);
     await eventually(() => lastRun(begun[1])?.isCut());
     expect(lastRun(begun[0])?.isCut()).toBe(false);
@@ -86,31 +88,37 @@
 
 test('a stream whose target stays silent midway goes on at the second one', async () => {
   await serveByTwo();
-  const begun = failInTurn(silentFor(FOR_GOOD, 1));
-  expect((await ask('going')).text).toBe(`${WHOLE_STREAM}\ndata: token 3`);
+  const begun = injectFaultsInTurn(silentFor(LONG_STALL, 1));
+  expect((await sendRequest('going')).text).toBe(
+    `${WHOLE_STREAM}\ndata: token 3`,
+  );
   expect(lastRun(begun[1])?.headers['last-event-id']).toBe('1');
   await eventually(() => lastRun(begun[0])?.isCut());
 });
 
 test('a stream whose silent target goes on leaves a second one that is silent', async () => {
   await serveByTwo();
-  const begun = failInTurn(silentFor(SILENCE, 1), {kind: 'mute'});
-  expect((await ask('going')).text).toBe(`${WHOLE_STREAM}\ndata: token 3`);
+  const begun = injectFaultsInTurn(silentFor(SILENCE_MS, 1), {kind: 'mute'});
+  expect((await sendRequest('going')).text).toBe(
+    `${WHOLE_STREAM}\ndata: token 3`,
+  );
   expect(lastRun(begun[1])?.headers['last-event-id']).toBe('1');
   await eventually(() => lastRun(begun[1])?.isCut());
 });
 
 test('a plain answer that stops midway is asked for elsewhere', async () => {
   await serveByTwo();
-  const begun = failInTurn(silentFor(FOR_GOOD, 1));
-  expect(await ask('quick')).toMatchObject({status: 200});
+  const begun = injectFaultsInTurn(silentFor(LONG_STALL, 1));
+  expect(await sendRequest('quick')).toMatchObject({status: 200});
   expect(begun).toHaveLength(2);
 });
 
 test('a second target that fails leaves the silent one to answer', async () => {
   await serveByTwo();
-  const begun = failInTurn(silentFor(SILENCE, 0), {kind: 'answerLost'});
-  const answer = await ask('quick');
+  const begun = injectFaultsInTurn(silentFor(SILENCE_MS, 0), {
+    kind: 'answerLost',
+  });
+  const answer = await sendRequest('quick');
   expect(answer).toEqual({
     status: 200,
     text: `done by ${begun[0]?.instance}`,
@@ -124,7 +132,10 @@
   await serve();
   plain.setFault({kind: 'mute'});
   quick.setOnRun(engine => engine.stopListening());
-  expect(await ask('once')).toEqual({status: 502, text: 'connectionLost'});
+  expect(await sendRequest('once')).toEqual({
+    status: 502,
+    text: 'connectionLost',
+  });
 });
 
 test('an answer that waits while the loop stands still is no silence of its target', async () => {
@@ -139,7 +150,7 @@
   await serve();
   plain.setFault(silentFor(400, 0));
   isStanding = true;
-  expect((await ask('once')).status).toBe(200);
+  expect((await sendRequest('once')).status).toBe(200);
   expect(lastAttempts()).not.toContain('silent');
 });
 
@@ -157,7 +168,7 @@
       ...quick.headersOf('going'),
     },
   });
-  await new Promise(resolve => setTimeout(resolve, SILENCE));
+  await new Promise(resolve => setTimeout(resolve, SILENCE_MS));
   expect(await reply.body.text()).toContain('id: 40\n');
   expect(lastAttempts()).not.toContain('silent');
 });
@@ -173,18 +184,20 @@
   await serve();
   plain.setFault({kind: 'mute'});
   let status: number | undefined;
-  const asking = ask('once').then(reply => (status = reply.status));
+  const pendingReply = sendRequest('once').then(
+    reply => (status = reply.status),
+  );
   await eventually(() => lastRun(plain)?.requestId === quick.lastId());
   await quick.stopEntry();
   expect(status).toBe(504);
-  await asking;
+  await pendingReply;
 });
 
 test('a place that comes up while the only target stays silent is used', async () => {
   await Promise.all([startTarget('one'), startTarget('model', AS_ENGINE)]);
   await serve();
-  const begun = failInTurn({kind: 'mute'});
-  const answer = ask('quick');
+  const begun = injectFaultsInTurn({kind: 'mute'});
+  const answer = sendRequest('quick');
   await eventually(() => begun.length === 1);
   await new Promise(resolve => setTimeout(resolve, 1_500));
   await startTarget('late');
@@ -200,8 +213,11 @@
     engine.stopListening();
     quick.site.register(engine, {State: 'draining'});
   });
-  expect(await ask('slow')).toEqual({status: 200, text: 'done by plain'});
-  expect(quick.site.lines.map(({sentence}) => sentence)).not.toContain(
+  expect(await sendRequest('slow')).toEqual({
+    status: 200,
+    text: 'done by plain',
+  });
+  expect(quick.site.lines.map(({message: sentence}) => sentence)).not.toContain(
     'target ended under a request',
   );
 });
--- a/test/fleet/member_follower.test.ts
+++ b/test/fleet/member_follower.test.ts
@@ -13,7 +13,7 @@
 const log = {info: () => undefined, warn: () => undefined} as unknown as Log;
 
 /** Longer than members have to write their lines again. */
-const LONG = 60_000;
+const LONG_WAIT = 60_000;
 
 const LOST: HostError = {kind: 'historyLost', detail: ''};
 
@@ -102,7 +102,7 @@
   restore(['one']);
   await vi.advanceTimersByTimeAsync(3_000);
   expect(others().sort()).toEqual(['one', 'two']);
-  await vi.advanceTimersByTimeAsync(LONG);
+  await vi.advanceTimersByTimeAsync(LONG_WAIT);
   expect(others()).toEqual(['one']);
 });
 
@@ -112,7 +112,7 @@
   expect(puts()).toBe(1);
   restore([]);
   refuse(3);
-  await vi.advanceTimersByTimeAsync(LONG);
+  await vi.advanceTimersByTimeAsync(LONG_WAIT);
   expect(isListed()).toBe(true);
   expect(puts()).toBe(5);
 });
--- a/test/fleet/operator_follower.test.ts
+++ b/test/fleet/operator_follower.test.ts
@@ -15,7 +15,7 @@
 import type {ConfigurationCopy} from '@hibiscusbeam/wire';
 import {Err, Ok} from 'ts-results';
 import {afterEach, beforeEach, expect, test, vi} from 'vitest';
-import {createEvacuationWatch} from '../../packages/fleet/src/entry/evacuation_watch';
+import {createEvacuationMonitor} from '../../packages/fleet/src/entry/evacuation_monitor';
 import {
   createOperatorFollower,
   type TableSource,
@@ -103,7 +103,7 @@
   const versions = createNamedVersions(VERSION_BOUND);
   const logged: string[] = [];
   const note = (line: string): void => void logged.push(line);
-  const evacuations = createEvacuationWatch({
+  const evacuations = createEvacuationMonitor({
     log: {info: note, warn: note} as unknown as Log,
     metrics: {setEvacuatedZones: () => undefined},
     isKnownZone: zone => zone !== 'nowhere',
@@ -125,9 +125,9 @@
     copies,
     source,
     spread: 0,
-    onMoment: () => undefined,
+    onReading: () => undefined,
     onChange: () => undefined,
-    onNews: () => undefined,
+    onVersionsOrServices: () => undefined,
     onConfiguration: () => undefined,
   });
   follower.start(stopped.signal);
@@ -155,7 +155,7 @@
       newestChange = version,
       copy?: ConfigurationCopy,
     ) =>
-      follower.hear(
+      follower.receive(
         {
           revision: version,
           newestChange,
@@ -172,7 +172,7 @@
     logged,
     /** What a relay tells of an evacuation in the row of this revision. */
     hearEvacuation: (zone: string, revision: number) =>
-      follower.hear({
+      follower.receive({
         revision,
         newestChange: revision,
         storeTime: now() + STORE_OFFSET,
@@ -190,7 +190,7 @@
 /** A copy of the configuration of a relay that holds `versions`. */
 function copyOf(versions: readonly number[], base: number) {
   const copies = createConfigurationCopies();
-  for (const version of versions) copies.keep(documentOf(version));
+  for (const version of versions) copies.add(documentOf(version));
   return copies.write(base);
 }
 
@@ -423,7 +423,7 @@
   const site = startFollower(() => 'zoneRelay');
   await vi.advanceTimersByTimeAsync(100);
   site.cut();
-  site.follower.hear({
+  site.follower.receive({
     revision: 3,
     newestChange: 3,
     storeTime: Date.now() + STORE_OFFSET,
--- a/test/fleet/operator_watch.test.ts
+++ b/test/fleet/operator_monitor.test.ts
@@ -7,7 +7,7 @@
 import type {OperatorFeed, OperatorReading} from '@hibiscusbeam/fleet';
 import {Err, Ok} from 'ts-results';
 import {afterEach, beforeEach, expect, test, vi} from 'vitest';
-import {createOperatorWatch} from '../../packages/fleet/src/agent/operator_watch';
+import {createOperatorMonitor} from '../../packages/fleet/src/agent/operator_monitor';
 import {servicesDigest} from '../../packages/fleet/src/link/services_digest';
 
 const SERVICES: readonly ServiceDescription[] = [
@@ -29,7 +29,7 @@
 });
 
 /** A watch whose store has `later` at each question after the first. */
-function startWatch(later?: OperatorReading['configuration']) {
+function startMonitor(later?: OperatorReading['configuration']) {
   let questions = 0;
   const reading = {
     revision: 1,
@@ -51,7 +51,7 @@
     decode: () => Err('not asked'),
   };
   const versions = createNamedVersions(8_000);
-  const watch = createOperatorWatch(feed, versions, () => Date.now(), log);
+  const watch = createOperatorMonitor(feed, versions, () => Date.now(), log);
   watch.start(stopped.signal);
   return {watch, questions: () => questions};
 }
@@ -59,10 +59,10 @@
 // Each change of a large configuration goes to each agent, chokes the links
 // between regions, and requests reach their targets seconds late.
 test('asks the store for nothing while entries speak', async () => {
-  const {watch, questions} = startWatch();
+  const {watch, questions} = startMonitor();
   const digest = servicesDigest(SERVICES);
   for (let second = 0; second < 10; second += 1) {
-    watch.noteEntry(digest);
+    watch.recordEntryDigest(digest);
     await vi.advanceTimersByTimeAsync(1_000);
   }
   expect(questions()).toBe(0);
@@ -70,23 +70,23 @@
 });
 
 test('asks once all entries have fallen silent', async () => {
-  const {watch, questions} = startWatch();
-  watch.noteEntry(servicesDigest(SERVICES));
+  const {watch, questions} = startMonitor();
+  watch.recordEntryDigest(servicesDigest(SERVICES));
   await vi.advanceTimersByTimeAsync(3_000);
   expect(questions()).toBe(1);
 });
 
 test('asks at once if an entry knows other services', async () => {
-  const {watch, questions} = startWatch();
+  const {watch, questions} = startMonitor();
   await vi.advanceTimersByTimeAsync(10);
-  watch.noteEntry(servicesDigest([]));
+  watch.recordEntryDigest(servicesDigest([]));
   await vi.advanceTimersByTimeAsync(300);
   expect(questions()).toBe(1);
 });
 
 test('keeps its services when a restored store has an older configuration', async () => {
   const older = {version: 1, services: []} as unknown as RoutingConfiguration;
-  const {watch, questions} = startWatch(older);
+  const {watch, questions} = startMonitor(older);
   await vi.advanceTimersByTimeAsync(20_000);
   expect(questions()).toBeGreaterThan(0);
   expect(watch.services()).toEqual(SERVICES);
--- a/test/fleet/origin_reader.test.ts
+++ b/test/fleet/origin_reader.test.ts
@@ -2,7 +2,7 @@
 import {Err, Ok} from 'ts-results';
 import {expect, test} from 'vitest';
 import {createOriginReader} from '../../packages/fleet/src/agent/origin_reader';
-import type {OperatorWatch} from '../../packages/fleet/src/agent/operator_watch';
+import type {OperatorMonitor} from '../../packages/fleet/src/agent/operator_monitor';
 import type {VersionOrigin} from '../../packages/fleet/src/ports';
 
 const content = {model: 'model', version: 2, digests: ['sha256:0']};
@@ -20,7 +20,7 @@
     },
   };
   const services = () => [{kind: 'weightOrigin', address: '127.0.0.1:1'}];
-  const operator = {services} as unknown as OperatorWatch;
+  const operator = {services} as unknown as OperatorMonitor;
   const reader = createOriginReader({
     origin,
     operator,
--- a/test/fleet/peer_agents.test.ts
+++ b/test/fleet/peer_agents.test.ts
@@ -55,7 +55,7 @@
       fetchChunk: call => call.end(),
     },
   });
-  closers.push(server.close, () => agents.channels.keep(new Set()));
+  closers.push(server.close, () => agents.channels.retain(new Set()));
   const announcement = (life = self.life) => ({
     instance,
     life,
@@ -88,7 +88,9 @@
   knowing.agents.announce('holder', DIGEST, [1]);
   await eventually(() => holder.told.length > 0);
   expect(holder.asked).toEqual([false]);
-  expect(holder.agents.take(knowing.announcement()).held).toEqual([]);
+  expect(holder.agents.handleAnnouncement(knowing.announcement()).held).toEqual(
+    [],
+  );
 });
 
 // All machines lose power and start again. The agents meet by lines that tell of
@@ -98,7 +100,7 @@
   const side = await startSide('side', []);
   const other = await startSide('other', []);
   side.agents.setMembers([{...other.self, life: 'life before'}]);
-  side.agents.take(other.announcement());
+  side.agents.handleAnnouncement(other.announcement());
   side.agents.setMembers([other.self]);
   expect(side.gone).toEqual([]);
 });
@@ -107,8 +109,8 @@
   const side = await startSide('side', []);
   const other = await startSide('other', []);
   side.agents.setMembers([other.self]);
-  side.agents.take(other.announcement());
-  side.agents.take(other.announcement('next life'));
+  side.agents.handleAnnouncement(other.announcement());
+  side.agents.handleAnnouncement(other.announcement('next life'));
   expect(side.gone).toEqual(['other']);
 });
 
@@ -116,7 +118,7 @@
   const side = await startSide('side', []);
   const other = await startSide('other', []);
   side.agents.setMembers([other.self]);
-  side.agents.take(other.announcement());
+  side.agents.handleAnnouncement(other.announcement());
   side.agents.setMembers([{...other.self, life: 'next life'}]);
   expect(side.gone).toEqual(['other']);
 });
@@ -127,7 +129,7 @@
   const frozen = await startSide('frozen', [], true, true);
   const side = await startSide('side', [], true);
   side.agents.setMembers([frozen.self]);
-  side.agents.take(frozen.announcement());
+  side.agents.handleAnnouncement(frozen.announcement());
   side.agents.announce('frozen', DIGEST, [1]);
   side.agents.announce('frozen', DIGEST, [2]);
   await eventually(() => side.gone.length > 0);
--- a/test/fleet/quarantine_restore.test.ts
+++ b/test/fleet/quarantine_restore.test.ts
@@ -43,7 +43,7 @@
   const keeping = createQuarantineStore({
     table,
     quarantine,
-    onRestore: trials.claimAgain,
+    onRestore: trials.reclaim,
     failurePause: createFailurePause(0),
     log,
   });
--- a/test/fleet/quarantine_trials.test.ts
+++ b/test/fleet/quarantine_trials.test.ts
@@ -59,7 +59,7 @@
   await claimAll(site);
   site.pass(LONG);
   expect(await site.entries[0]!.claim('request')).toBe(true);
-  site.entries[0]!.giveBack('request');
+  site.entries[0]!.release('request');
   expect(await site.entries[1]!.claim('request')).toBe(true);
 });
 
--- a/test/fleet/passed_on_rows.test.ts
+++ b/test/fleet/relayed_rows.test.ts
@@ -11,7 +11,7 @@
 import fc from 'fast-check';
 import {createHash} from 'node:crypto';
 import {expect, test} from 'vitest';
-import {createToldRows} from '../../packages/fleet/src/link/numbered_rows';
+import {createSentRows} from '../../packages/fleet/src/link/numbered_rows';
 import {createSiteRecords} from '../../packages/fleet/src/link/site_records';
 import {
   createReportNumbers,
@@ -81,7 +81,7 @@
   fc.assert(
     fc.property(fc.array(changesOfReport, {maxLength: 40}), beats => {
       const note = createReportNumbers();
-      const told = createToldRows();
+      const told = createSentRows();
       const read = createReportReader();
       beats.forEach((beat, index) => {
         const now = index * 100;
@@ -127,7 +127,7 @@
   fc.assert(
     fc.property(fc.array(list, {maxLength: 20}), lists => {
       const number = createTargetNumbers();
-      const told = createToldRows();
+      const told = createSentRows();
       const read = createTargetReader();
       for (const lines of lists) {
         const targets = lines.map(({instance, leaving}) =>
@@ -148,7 +148,7 @@
   fc.assert(
     fc.property(states, words => {
       const number = createStateNumbers();
-      const told = createToldRows();
+      const told = createSentRows();
       const read = createStateReader();
       for (const {entry, ready, age} of words) {
         const state = {instance: `entry-${entry}`, ready, ageMilliseconds: age};
@@ -164,9 +164,9 @@
 // configuration was in force 9 s after its writing.
 test('what a relay of 300 machines passes on fits into its link', () => {
   const note = createReportNumbers();
-  const told = createToldRows();
+  const told = createSentRows();
   const numberState = createStateNumbers();
-  const toldStates = createToldRows();
+  const toldStates = createSentRows();
   let bytes = 0;
   for (let beat = 0; beat < 20; beat += 1) {
     const engines = beat % 3 === 0 ? 135 : 45;
--- a/test/fleet/request_failure.test.ts
+++ b/test/fleet/request_failure.test.ts
@@ -40,7 +40,7 @@
 
 function isInForce(version: number): boolean {
   return site.lines.some(
-    ({sentence, fields}) =>
+    ({message: sentence, fields}) =>
       sentence === 'configuration in force' &&
       (fields as {version: number}).version === version,
   );
--- a/test/fleet/request_run.test.ts
+++ b/test/fleet/request_run.test.ts
@@ -12,11 +12,11 @@
   NO_ADMISSION,
   type EntryAdmission,
 } from '../../packages/fleet/src/entry/entry_admission';
-import {createPlaceQueue} from '../../packages/fleet/src/entry/place_queue';
+import {createSlotQueue} from '../../packages/fleet/src/entry/slot_queue';
 import type {AcceptedRequest} from '../../packages/fleet/src/entry/request_acceptance';
 import type {RequestRunOptions} from '../../packages/fleet/src/entry/request_context';
 import {createRequestRun} from '../../packages/fleet/src/entry/request_run';
-import {createRequestStory} from '../../packages/fleet/src/entry/request_story';
+import {createRequestTrace} from '../../packages/fleet/src/entry/request_trace';
 import {createTimeliness} from '../../packages/fleet/src/entry/timeliness';
 import {requestProtocol} from '../../platform/request_protocol';
 import {eventually} from './fixtures/host_site';
@@ -49,15 +49,15 @@
 
 /** A run of a request that is quarantined and has been given its one trial. */
 function startTrial(admission: EntryAdmission = NO_ADMISSION) {
-  const book = createTargetRegistry({instance: 'entry', zone: 'north'});
-  book.list([target('one'), target('two')], 0);
+  const registry = createTargetRegistry({instance: 'entry', zone: 'north'});
+  registry.list([target('one'), target('two')], 0);
   const clock = (): number => performance.now();
   const answerTimes = createFirstEventTimes();
   const options = {
     protocol: requestProtocol,
-    book,
+    registry,
     operator: {table: () => undefined},
-    places: createPlaceQueue(book, clock),
+    places: createSlotQueue(registry, clock),
     timeliness: createTimeliness(answerTimes),
     answerTimes,
     admission,
@@ -65,7 +65,7 @@
     trials: {
       claim: () => Promise.resolve(true),
       retryAfter: () => 1,
-      giveBack: () => undefined,
+      release: () => undefined,
     },
     clock,
     machineClock: clock,
@@ -105,13 +105,13 @@
     } as unknown as IncomingMessage,
     response: {} as ServerResponse,
     accepted,
-    story: createRequestStory(clock),
+    trace: createRequestTrace(clock),
     progress: {begun: false, lastEventId: undefined, begunAt: undefined},
     buffers: {
       hold: () => undefined,
       note: () => undefined,
       watchTarget: () => undefined,
-      passedOn: () => undefined,
+      releaseAnswers: () => undefined,
     },
     signal: new AbortController().signal,
     endedBy: () => undefined,
--- a/test/fleet/residency.test.ts
+++ b/test/fleet/residency.test.ts
@@ -74,12 +74,12 @@
   expect(text).toBe('noAllowedRegion\n');
   expect(Number(headers['retry-after'])).toBeGreaterThan(0);
   const refused = site.lines.filter(
-    ({sentence, fields}) =>
+    ({message: sentence, fields}) =>
       sentence === 'answered here' &&
       JSON.stringify(fields).includes('noAllowedRegion'),
   );
   expect(refused.length).toBeGreaterThan(0);
-  const warnings = site.lines.filter(({sentence}) =>
+  const warnings = site.lines.filter(({message: sentence}) =>
     sentence.startsWith('no region is allowed'),
   );
   expect(warnings).toMatchObject([
@@ -98,7 +98,7 @@
   const before = north.runs.length;
   site.store.remove('servers', south.instance);
   await eventually(() =>
-    site.lines.some(({sentence}) => sentence === 'target gone'),
+    site.lines.some(({message: sentence}) => sentence === 'target gone'),
   );
   const waiting = send(address, '/bound/a', {
     'x-hibiscusbeam-deadline-ms': '3000',
--- a/test/fleet/restored_store.test.ts
+++ b/test/fleet/restored_store.test.ts
@@ -1,7 +1,7 @@
 import {afterEach, beforeEach, expect, test} from 'vitest';
 import {isReady, send} from './fixtures/host_caller';
 import {startHostEngine, type HostEngine} from './fixtures/host_engine';
-import type {StoreCopy} from './fixtures/host_store';
+import type {StoreSnapshot} from './fixtures/host_store';
 import {
   eventually,
   HOST,
@@ -58,7 +58,7 @@
   site.store.restore(copy);
 }
 
-async function copyAndWrite(): Promise<StoreCopy> {
+async function copyAndWrite(): Promise<StoreSnapshot> {
   const copy = site.store.copy();
   writeOthers();
   await pass(DRAINING);
--- a/test/fleet/silence_watch.test.ts
+++ b/test/fleet/silence_monitor.test.ts
@@ -1,7 +1,7 @@
 import {afterEach, beforeEach, expect, test, vi} from 'vitest';
-import {startSilenceWatch} from '../../packages/fleet/src/entry/silence_watch';
+import {startSilenceMonitor} from '../../packages/fleet/src/entry/silence_monitor';
 
-const LONGEST = 500;
+const MAX_SILENCE = 500;
 
 beforeEach(() => {
   vi.useFakeTimers();
@@ -11,65 +11,65 @@
   vi.useRealTimers();
 });
 
-function startWatch() {
+function startMonitor() {
   const seen: string[] = [];
-  const watch = startSilenceWatch({
-    longestSilence: LONGEST,
+  const watch = startSilenceMonitor({
+    maxSilence: MAX_SILENCE,
     now: () => Date.now(),
     onSilence: () => seen.push('silent'),
-    onGoesOn: () => seen.push('goesOn'),
+    onResumed: () => seen.push('goesOn'),
   });
   return {watch, seen};
 }
 
-function pass(duration: number): void {
+function advance(duration: number): void {
   vi.advanceTimersByTime(duration);
 }
 
 test('a target that sends nothing is silent once', () => {
-  const {seen} = startWatch();
-  pass(LONGEST - 1);
+  const {seen} = startMonitor();
+  advance(MAX_SILENCE - 1);
   expect(seen).toEqual([]);
-  pass(10 * LONGEST);
+  advance(10 * MAX_SILENCE);
   expect(seen).toEqual(['silent']);
 });
 
 test('each byte starts the wait anew', () => {
-  const {watch, seen} = startWatch();
+  const {watch, seen} = startMonitor();
   for (let count = 0; count < 5; count += 1) {
-    pass(LONGEST - 1);
-    watch.noteBytes();
+    advance(MAX_SILENCE - 1);
+    watch.recordBytes();
   }
   expect(seen).toEqual([]);
 });
 
 test('a target that goes on can fall silent again', () => {
-  const {watch, seen} = startWatch();
-  pass(LONGEST + 1);
-  watch.noteBytes();
-  pass(LONGEST - 1);
+  const {watch, seen} = startMonitor();
+  advance(MAX_SILENCE + 1);
+  watch.recordBytes();
+  advance(MAX_SILENCE - 1);
   expect(seen).toEqual(['silent', 'goesOn']);
-  pass(2);
+  advance(2);
   expect(seen).toEqual(['silent', 'goesOn', 'silent']);
 });
 
 test('no silence is counted while nothing is read', () => {
-  const {watch, seen} = startWatch();
-  pass(LONGEST - 1);
+  const {watch, seen} = startMonitor();
+  advance(MAX_SILENCE - 1);
   watch.pause();
-  pass(10 * LONGEST);
+  advance(10 * MAX_SILENCE);
   watch.resume();
-  pass(LONGEST - 1);
+  advance(MAX_SILENCE - 1);
   expect(seen).toEqual([]);
-  pass(2);
+  advance(2);
   expect(seen).toEqual(['silent']);
 });
 
 test('nothing is noticed after the end', () => {
-  const {watch, seen} = startWatch();
+  const {watch, seen} = startMonitor();
   watch.stop();
   watch.resume();
-  watch.noteBytes();
-  pass(10 * LONGEST);
+  watch.recordBytes();
+  advance(10 * MAX_SILENCE);
   expect(seen).toEqual([]);
 });
--- a/test/fleet/silent_target.test.ts
+++ b/test/fleet/silent_target.test.ts
@@ -1,25 +1,25 @@
 import {afterEach, beforeEach, expect, test} from 'vitest';
 import {
   AS_ENGINE,
-  SILENCE,
-  standStill,
-  startQuickSite,
+  SILENCE_MS,
+  blockEventLoop,
+  startShortObjectiveSite,
   WHOLE_STREAM,
-  type QuickSite,
-} from './fixtures/quick_site';
+  type ShortObjectiveSite,
+} from './fixtures/short_objective_site';
 
 /** Together longer than a target may be silent; each of them is shorter. */
 const SHORT_SILENCE = 400;
 const STALL = 300;
 
-let quick: QuickSite;
-const startTarget: QuickSite['startTarget'] = (...args) =>
+let quick: ShortObjectiveSite;
+const startTarget: ShortObjectiveSite['startTarget'] = (...args) =>
   quick.startTarget(...args);
 const serve = () => quick.serve();
-const ask = (route: string) => quick.ask(route);
+const sendRequest = (route: string) => quick.sendRequest(route);
 
 beforeEach(async () => {
-  quick = await startQuickSite();
+  quick = await startShortObjectiveSite();
 });
 
 afterEach(() => quick.close());
@@ -28,10 +28,10 @@
   const plain = await startTarget('plain');
   const model = await startTarget('model', AS_ENGINE);
   await serve();
-  const fault = {kind: 'silent', after: 0, duration: SILENCE} as const;
+  const fault = {kind: 'silent', after: 0, duration: SILENCE_MS} as const;
   for (const engine of [plain, model]) engine.setFault(fault);
   const routes = ['quick', 'once', 'going', 'fixed'];
-  const replies = await Promise.all(routes.map(ask));
+  const replies = await Promise.all(routes.map(sendRequest));
   expect(replies.map(({status}) => status)).toEqual([200, 200, 200, 200]);
 });
 
@@ -39,8 +39,8 @@
   await startTarget('plain');
   const model = await startTarget('model', AS_ENGINE);
   await serve();
-  model.setFault({kind: 'silent', after: 1, duration: SILENCE});
-  const replies = await Promise.all(['going', 'fixed'].map(ask));
+  model.setFault({kind: 'silent', after: 1, duration: SILENCE_MS});
+  const replies = await Promise.all(['going', 'fixed'].map(sendRequest));
   for (const {text} of replies) expect(text).toContain(WHOLE_STREAM);
 });
 
@@ -51,6 +51,6 @@
   await startTarget('model', AS_ENGINE);
   await serve();
   plain.setFault({kind: 'silent', after: 0, duration: SHORT_SILENCE});
-  onAnswered = () => standStill(STALL);
-  expect((await ask('once')).status).toBe(200);
+  onAnswered = () => blockEventLoop(STALL);
+  expect((await sendRequest('once')).status).toBe(200);
 });
--- a/test/fleet/place_queue.test.ts
+++ b/test/fleet/slot_queue.test.ts
@@ -5,27 +5,27 @@
 } from '@hibiscusbeam/core';
 import {expect, test} from 'vitest';
 import {
-  createPlaceQueue,
-  type PlaceRequest,
-} from '../../packages/fleet/src/entry/place_queue';
+  createSlotQueue,
+  type SlotRequest,
+} from '../../packages/fleet/src/entry/slot_queue';
 import {plainNeed, plainTarget} from '../fixtures/placement';
 
 const TARGET = plainTarget('target', {born: 100, slots: 1});
 
 /** A queue on a clock that only `at` moves, so that no wait runs out by itself. */
-function createQueue(order?: WaitingOrder<PlaceRequest>) {
+function createQueue(order?: WaitingOrder<SlotRequest>) {
   let now = 0;
   const book = createTargetRegistry({instance: 'entry', zone: 'north'});
   book.list([TARGET], 0);
   return {
     book,
-    queue: createPlaceQueue(book, () => now, undefined, order),
+    queue: createSlotQueue(book, () => now, undefined, order),
     at: (time: number) => (now = time),
     placeRequest: () => placeRequest(() => now),
   };
 }
 
-function placeRequest(clock: () => number): PlaceRequest {
+function placeRequest(clock: () => number): SlotRequest {
   return {
     need: () => plainNeed({now: clock()}),
     promptTime: 0,
@@ -75,17 +75,17 @@
 
 /** Names of requests in the order in which they get the one place. */
 async function servedInOrder(
-  changes: Readonly<Record<string, Partial<PlaceRequest>>>,
+  changes: Readonly<Record<string, Partial<SlotRequest>>>,
   looksAt = 0,
 ): Promise<readonly string[]> {
   const {queue, at, placeRequest} = createQueue(createFairOrder());
   const first = await queue.take({...placeRequest(), workspace: 'busy'});
   const served: string[] = [];
-  let release = first.kind === 'place' ? first.inHand.end : () => undefined;
+  let release = first.kind === 'place' ? first.inFlight.end : () => undefined;
   for (const [name, change] of Object.entries(changes)) {
     void queue.take({...placeRequest(), ...change}).then(outcome => {
       served.push(name);
-      if (outcome.kind === 'place') release = outcome.inHand.end;
+      if (outcome.kind === 'place') release = outcome.inFlight.end;
     });
   }
   at(looksAt);
--- a/test/fleet/slow_callers.test.ts
+++ b/test/fleet/slow_callers.test.ts
@@ -10,13 +10,13 @@
   type HostSite,
 } from './fixtures/host_site';
 
-const ANSWER = 7_000_000;
+const ANSWER_BYTES = 7_000_000;
 
 /**
  * Room for two whole answers and a little more. What a slow caller's connection
  * does not take is some 3 MB.
  */
-const BOUND = 16_000_000;
+const MAX_BUFFERED_BYTES = 16_000_000;
 
 const SLOW_CALLERS = 6;
 
@@ -31,7 +31,7 @@
 });
 
 /** Asks for a plain answer and reads nothing of it. */
-function askSlowly(address: string, requestId: string): void {
+function sendSlowRequest(address: string, requestId: string): void {
   const [host, port] = address.split(':');
   const socket = connect(Number(port), host);
   socket.on('error', () => undefined);
@@ -50,25 +50,25 @@
 // each until its caller left.
 test('an entry drops callers that do not read whole answers, slowest first', async () => {
   site = await startHostSite();
-  engine = await startHostEngine({instance: 'one', eventSize: ANSWER});
+  engine = await startHostEngine({instance: 'one', eventSize: ANSWER_BYTES});
   site.register(engine);
   site.configure();
-  const {settings} = await site.startEntry({}, {buffers: BOUND});
+  const {settings} = await site.startEntry({}, {buffers: MAX_BUFFERED_BYTES});
   await eventually(() => isReady(settings.readinessAddress));
   const address = settings.callerAddress;
   await eventually(async () => (await send(address, '/safe/a')).status === 200);
   const dropped = () =>
     site.lines
-      .filter(({sentence}) => sentence === 'slow reader dropped')
+      .filter(({message: sentence}) => sentence === 'slow reader dropped')
       .map(({fields}) => (fields as {readonly request: string}).request);
   for (let number = 1; number <= SLOW_CALLERS; number += 1) {
-    askSlowly(address, `slow-${number}`);
+    sendSlowRequest(address, `slow-${number}`);
     await eventually(() =>
       JSON.stringify(site.lines).includes(`slow-${number}`),
     );
     const {status, text} = await send(address, '/safe/a');
     expect(status).toBe(200);
-    expect(text.length).toBeGreaterThan(ANSWER);
+    expect(text.length).toBeGreaterThan(ANSWER_BYTES);
   }
   await eventually(() => dropped().length > 0);
   expect(dropped()[0]).toBe('slow-1');
--- a/test/fleet/staged_chunks.test.ts
+++ b/test/fleet/staged_chunks.test.ts
@@ -80,7 +80,7 @@
 }
 
 async function isWhole(staged: Staged, version: number): Promise<boolean> {
-  const ran = await staged.withWhole(content(version), async () => 'ran');
+  const ran = await staged.withVerified(content(version), async () => 'ran');
   return ran === 'ran';
 }
 
@@ -89,13 +89,13 @@
 // of both; nor may they wait, or version 3 comes after its bound.
 test('keeps the chunks of the next version until the one before is loaded', async () => {
   const {lying, staged} = startStaging();
-  staged.aim(content(2));
+  staged.setStagedVersion(content(2));
   await putAll(staged, 2);
   staged.prepare(content(3));
   await putAll(staged, 3);
   expect(lying.get(1)).toEqual(chunk(2, 1));
   expect(await isWhole(staged, 2)).toBe(true);
-  staged.aim(content(3));
+  staged.setStagedVersion(content(3));
   expect(await isWhole(staged, 3)).toBe(true);
   expect(lying.get(1)).toEqual(chunk(3, 1));
 });
@@ -104,7 +104,7 @@
 // origin once more, it comes after seconds in which others wait for it too.
 test('mends staged chunks that have turned bad', async () => {
   const {lying, staged} = startStaging();
-  staged.aim(content(2));
+  staged.setStagedVersion(content(2));
   await putAll(staged, 2);
   lying.set(1, Buffer.from('bad'));
   expect(await isWhole(staged, 2)).toBe(true);
@@ -113,7 +113,7 @@
 
 test('keeps nothing in memory once the engine has taken a version', async () => {
   const {lying, staged} = startStaging();
-  staged.aim(content(2));
+  staged.setStagedVersion(content(2));
   await putAll(staged, 2);
   staged.forget(content(2));
   lying.set(1, Buffer.from('bad'));
@@ -122,7 +122,7 @@
 
 test('passes on chunks that wait in memory', async () => {
   const {staged} = startStaging();
-  staged.aim(content(2));
+  staged.setStagedVersion(content(2));
   staged.prepare(content(3));
   await putAll(staged, 3);
   const parts: Uint8Array[] = [];
@@ -138,10 +138,10 @@
 
 test('forgets the chunks of a version that is skipped', async () => {
   const {staged} = startStaging();
-  staged.aim(content(2));
+  staged.setStagedVersion(content(2));
   staged.prepare(content(3));
   await putAll(staged, 3);
-  staged.aim(content(4));
+  staged.setStagedVersion(content(4));
   const listed = await staged.store.list();
   expect(listed.unwrap().digests).toEqual([]);
   expect(await isWhole(staged, 4)).toBe(false);
@@ -149,7 +149,7 @@
 
 test('refuses chunks of versions that nobody asked for', async () => {
   const {staged} = startStaging();
-  staged.aim(content(2));
+  staged.setStagedVersion(content(2));
   const bytes = chunk(9, 0);
   const stored = await staged.store.put(digest(bytes), [bytes]);
   expect(stored).toMatchObject({err: true, val: {kind: 'refused'}});
@@ -160,7 +160,7 @@
 test('keeps the chunks of an engine that is not up yet', async () => {
   const {lying, staged, setUp} = startStaging();
   setUp(false);
-  staged.aim(content(1));
+  staged.setStagedVersion(content(1));
   await putAll(staged, 1);
   expect(lying.size).toBe(0);
   const held = (await staged.store.list()).unwrap();
@@ -176,7 +176,7 @@
     lying.set(position, chunk(2, position));
   }
   const staged = startAnew();
-  staged.aim(content(2));
+  staged.setStagedVersion(content(2));
   silenceAfter(2);
   expect((await staged.store.list()).err).toBe(true);
   silenceAfter(Infinity);
@@ -191,7 +191,7 @@
   }
   refused.add(1);
   const staged = startAnew();
-  staged.aim(content(2));
+  staged.setStagedVersion(content(2));
   const listed = (await staged.store.list()).unwrap();
   const {digests} = content(2);
   const others = digests.filter((_digest, position) => position !== 1);
@@ -204,7 +204,7 @@
     lying.set(position, chunk(2, position));
   }
   const staged = startAnew();
-  staged.aim(content(2));
+  staged.setStagedVersion(content(2));
   (await staged.store.list()).unwrap();
   silenceAfter(2);
   expect(await isWhole(staged, 2)).toBe(false);
@@ -214,7 +214,7 @@
 
 test('an engine that falls silent while it is staged to needs no chunk again', async () => {
   const {lying, staged, silenceAfter} = startStaging();
-  staged.aim(content(2));
+  staged.setStagedVersion(content(2));
   (await staged.store.list()).unwrap();
   silenceAfter(1);
   await putAll(staged, 2);
@@ -228,10 +228,10 @@
 
 test('nothing of the next version is staged while an order has no answer', async () => {
   const {lying, staged} = startStaging();
-  staged.aim(content(2));
+  staged.setStagedVersion(content(2));
   await putAll(staged, 2);
   staged.hold(content(2));
-  staged.aim(content(3));
+  staged.setStagedVersion(content(3));
   await putAll(staged, 3);
   expect(await isWhole(staged, 3)).toBe(false);
   expect(lying.get(1)).toEqual(chunk(2, 1));
--- a/test/fleet/stream_handover.test.ts
+++ b/test/fleet/stream_handover.test.ts
@@ -9,7 +9,7 @@
 const SLOTS = 16;
 
 /** Streams at the engine that is to load: the rest of each in milliseconds. */
-const RESTS = [80, 150, 240, 350, 500, 700, 950, 1_300, 1_800, 2_300];
+const REMAINING_TIMES = [80, 150, 240, 350, 500, 700, 950, 1_300, 1_800, 2_300];
 
 beforeEach(() => {
   vi.useFakeTimers();
@@ -35,7 +35,11 @@
   const book = createTargetRegistry({instance: 'entry', zone: 'north'});
   const [loading, other] = [engine('loading'), engine('other')];
   book.list([loading, other], clock());
-  const handover = createStreamHandover({book, clock, movesLate: true});
+  const handover = createStreamHandover({
+    registry: book,
+    clock,
+    movesLateStreams: true,
+  });
   const moved: number[] = [];
   let movesLeft = movesAllowed;
 
@@ -54,7 +58,7 @@
       // A stream that goes on elsewhere is not alone any more.
       mayMove: () => !moved.includes(rest),
       takeMove: () => (movesLeft -= 1) >= 0,
-      handOn: () => {
+      handOver: () => {
         moved.push(rest);
         const sent = {promptTime: 50, onIncarnationEnded: () => undefined};
         book.begin(other, sent);
@@ -65,9 +69,9 @@
 
   /** Reports come ten times a second, as agents send them. */
   function report(running = 0): void {
-    book.report(load('loading', isLoading, RESTS.length), clock());
+    book.report(load('loading', isLoading, REMAINING_TIMES.length), clock());
     book.report(load('other', false, running), clock());
-    handover.look();
+    handover.check();
   }
 
   function run(duration: number, running = 0): void {
@@ -86,10 +90,10 @@
 // done: an engine is away for 0.8 s in place of 2.6.
 test('long streams leave an engine that is to load, the longest first', () => {
   const {offer, run, moved} = startSite();
-  for (const rest of RESTS) offer(rest);
+  for (const rest of REMAINING_TIMES) offer(rest);
   run(500);
   expect(moved.slice(0, 3)).toEqual([2_300, 1_800, 1_300]);
-  const left = RESTS.filter(rest => !moved.includes(rest));
+  const left = REMAINING_TIMES.filter(rest => !moved.includes(rest));
   expect(Math.max(...left)).toBeLessThanOrEqual(500);
 });
 
@@ -111,7 +115,7 @@
 
 test('nothing is moved beyond what the site allows', () => {
   const {offer, run, moved} = startSite(2);
-  for (const rest of RESTS) offer(rest);
+  for (const rest of REMAINING_TIMES) offer(rest);
   run(500);
   expect(moved).toHaveLength(2);
 });
@@ -144,7 +148,7 @@
   let moves = 0;
   offer(2_300, {
     mayMove: () => moves < 3,
-    handOn: () => void (moves += 1),
+    handOver: () => void (moves += 1),
   });
   run(300);
   expect(moves).toBe(2);
