--- a/test/fleet/target_follower.test.ts
+++ b/test/fleet/target_follower.test.ts
@@ -60,7 +60,7 @@
 ) {
   const now = () => Date.now();
   const startedAt = now();
-  const book = createTargetRegistry({instance: 'entry', zone: 'north'});
+  const registry = createTargetRegistry({instance: 'entry', zone: 'north'});
   let losesLeft = losesNext;
   let reads = 0;
   const read = async (timeout: number) => {
@@ -89,7 +89,7 @@
   const follower = startTargetFollower(
     {
       list: {read},
-      book,
+      registry,
       clock: now,
       machineClock: now,
       storeClock,
@@ -108,11 +108,11 @@
     stopped.signal,
   );
   const isChosen = () =>
-    book.choose(plainNeed({expectedRun: 0, now: now()})).kind === 'chosen';
+    registry.choose(plainNeed({expectedRun: 0, now: now()})).kind === 'chosen';
   /** What a relay tells that has read the list at `readAt`. */
   const hearFromRelay = (readAt: number): void => {
     const leaving = readAt - startedAt >= leavesAt;
-    follower.hear({
+    follower.receive({
       revision: leaving ? 2 : 1,
       era: 0,
       storeTime: readAt + STORE_OFFSET,
@@ -121,7 +121,7 @@
   };
   /** What a relay tells that has read `targets` just now. */
   const hear = (revision: number, targets: readonly ListedTarget[]): void =>
-    follower.hear({
+    follower.receive({
       revision,
       era: 0,
       storeTime: now() + STORE_OFFSET,
--- a/test/fleet/timeliness.test.ts
+++ b/test/fleet/timeliness.test.ts
@@ -3,7 +3,7 @@
 import type {AcceptedRequest} from '../../packages/fleet/src/entry/request_acceptance';
 import {
   createTimeliness,
-  spreadReturn,
+  spreadRetryAfter,
 } from '../../packages/fleet/src/entry/timeliness';
 
 const OBJECTIVE = 400;
@@ -72,7 +72,7 @@
 test('who is told to come back after a pause comes after it, not all at once', () => {
   const route = {objective: OBJECTIVE} as Route;
   const returns = Array.from({length: 50}, (_, index) =>
-    spreadReturn(`request-${index}`, route, 3_000),
+    spreadRetryAfter(`request-${index}`, route, 3_000),
   );
   expect(Math.min(...returns)).toBeGreaterThanOrEqual(3_000);
   expect(new Set(returns).size).toBe(returns.length);
--- a/test/fleet/version_namings.test.ts
+++ b/test/fleet/version_namings.test.ts
@@ -16,7 +16,7 @@
 const channels = createEntryChannels();
 
 afterEach(async () => {
-  channels.keep(new Set());
+  channels.retain(new Set());
   await site.close();
 });
 
@@ -73,7 +73,7 @@
   const engine = await startHostEngine({instance: 'one', version: 1});
   await site.startAgent(engine);
   await eventually(() =>
-    site.lines.some(({sentence}) => sentence === 'version named'),
+    site.lines.some(({message: sentence}) => sentence === 'version named'),
   );
   const knownAt = performance.now();
   await new Promise(resolve => setTimeout(resolve, LATER));
@@ -95,9 +95,10 @@
   const engine = await startHostEngine({instance: 'one', version: 1});
   await site.startAgent(engine);
   const heard = () =>
-    site.lines.filter(({sentence}) => sentence === 'version named').length;
+    site.lines.filter(({message: sentence}) => sentence === 'version named')
+      .length;
   await eventually(() =>
-    site.lines.some(({sentence}) => sentence === 'members'),
+    site.lines.some(({message: sentence}) => sentence === 'members'),
   );
   await new Promise(resolve => setTimeout(resolve, LATER));
   const asked = site.store.calls.get('/rows-feed');
@@ -115,12 +116,12 @@
   storeClock.record({askedAt: 0, answeredAt: 4, storeTime: 700_000});
   const exchange = createNamingExchange(versions, () => 6_000, log, storeClock);
   const naming = {model: 'model', version: 2, ageMilliseconds: 100};
-  exchange.take([{...naming, storeTime: 701_000}]);
+  exchange.merge([{...naming, storeTime: 701_000}]);
   expect(
     versions.oldestAllowed('model', 999 + VERSION_BOUND, 0),
   ).toBeUndefined();
   expect(versions.oldestAllowed('model', 1_000 + VERSION_BOUND, 0)).toBe(2);
-  expect(exchange.tell()).toEqual([
+  expect(exchange.list()).toEqual([
     {...naming, ageMilliseconds: 5_000, storeTime: 701_000},
   ]);
 });
--- a/test/placement/retry_budgets.test.ts
+++ b/test/placement/retry_budgets.test.ts
@@ -1,4 +1,4 @@
-import {createRepeatBudgets} from '../../packages/fleet/src/entry/repeat_budgets';
+import {createRetryBudgets} from '../../packages/fleet/src/entry/retry_budgets';
 import {expect, test} from 'vitest';
 
 // All entries of a site start anew at the same time. Each knows no other one
@@ -6,42 +6,42 @@
 // repeats than the site may.
 test('repeats nothing before the other entries are known, then its part', () => {
   const known: {entries: number | undefined} = {entries: undefined};
-  const budgets = createRepeatBudgets({
+  const budgets = createRetryBudgets({
     share: 0.2,
     slack: 104,
     entries: () => known.entries,
   });
-  budgets.recordFirst('engines');
-  expect(budgets.takeRepeat('engines')).toBe(false);
+  budgets.recordFirstAttempt('engines');
+  expect(budgets.takeRetry('engines')).toBe(false);
   known.entries = 8;
   let taken = 0;
-  while (budgets.takeRepeat('engines')) taken += 1;
+  while (budgets.takeRetry('engines')) taken += 1;
   expect(taken).toBeGreaterThan(0);
   expect(taken * 8).toBeLessThanOrEqual(104);
 });
 
 test('the part of the slack shrinks as entries join', () => {
   let entries = 2;
-  const budgets = createRepeatBudgets({
+  const budgets = createRetryBudgets({
     share: 0.2,
     slack: 100,
     entries: () => entries,
   });
-  budgets.recordFirst('model');
+  budgets.recordFirstAttempt('model');
   entries = 20;
   let taken = 0;
-  while (budgets.takeRepeat('model')) taken += 1;
+  while (budgets.takeRetry('model')) taken += 1;
   expect(taken * entries).toBeLessThanOrEqual(100);
 });
 
 /** Budgets of one entry that have nothing left and earn one by five requests. */
 function usedUpBudgets() {
-  const budgets = createRepeatBudgets({
+  const budgets = createRetryBudgets({
     share: 0.34,
     slack: 10,
     entries: () => 1,
   });
-  while (budgets.takeRepeat('engines'));
+  while (budgets.takeRetry('engines'));
   return budgets;
 }
 
@@ -52,10 +52,12 @@
   const {signal} = new AbortController();
   const granted: string[] = [];
   for (const name of ['one', 'other']) {
-    void budgets.awaitRepeat('engines', signal).then(() => granted.push(name));
+    void budgets.awaitRetry('engines', signal).then(() => granted.push(name));
   }
   const record = async (count: number) => {
-    for (let done = 0; done < count; done += 1) budgets.recordFirst('engines');
+    for (let done = 0; done < count; done += 1) {
+      budgets.recordFirstAttempt('engines');
+    }
     await Promise.resolve();
   };
   await record(4);
@@ -69,9 +71,9 @@
 test('a repeat that is wanted no more is not taken', async () => {
   const budgets = usedUpBudgets();
   const withdrawal = new AbortController();
-  const repeat = budgets.awaitRepeat('engines', withdrawal.signal);
+  const repeat = budgets.awaitRetry('engines', withdrawal.signal);
   withdrawal.abort();
   expect(await repeat).toBe(false);
-  for (let done = 0; done < 5; done += 1) budgets.recordFirst('engines');
-  expect(budgets.takeRepeat('engines')).toBe(true);
+  for (let done = 0; done < 5; done += 1) budgets.recordFirstAttempt('engines');
+  expect(budgets.takeRetry('engines')).toBe(true);
 });
--- a/test/settings/settings_check.test.ts
+++ b/test/settings/settings_check.test.ts
@@ -1,7 +1,7 @@
 import type {Log} from '@hibiscusbeam/daemon';
 import {loadFleetSettings} from '@hibiscusbeam/fleet';
 import {expect, test} from 'vitest';
-import {checkSettingsAgain} from '../../packages/fleet/src/settings/settings_check';
+import {recheckSettings} from '../../packages/fleet/src/settings/settings_check';
 
 const TEXT = `
 role: agent
@@ -26,7 +26,7 @@
   const note = (sentence: string, fields?: unknown) =>
     void lines.push(`${sentence} ${JSON.stringify(fields ?? {})}`);
   const log: Log = {debug: note, info: note, warn: note, error: note};
-  checkSettingsAgain(read, loadFleetSettings(TEXT).unwrap(), log);
+  recheckSettings(read, loadFleetSettings(TEXT).unwrap(), log);
   return lines;
 }
 
--- a/test/soak/oracles.ts
+++ b/test/soak/oracles.ts
@@ -210,7 +210,7 @@
       const caller = callerOf(records, requestId);
       if (caller === undefined) return [];
       const isTold = engine.arrivals.some(earlier => {
-        if (!earlier.saidLeaving) return false;
+        if (!earlier.reportedLeaving) return false;
         const told = callerOf(records, earlier.requestId);
         if (told?.entry !== caller.entry) return false;
         if (told.seal !== `seal-of-${engine.instance}`) return false;
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -1,7 +1,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {request} from 'undici';
 import {startHostEngine, type HostEngine} from '../fleet/fixtures/host_engine';
-import type {StoreCopy} from '../fleet/fixtures/host_store';
+import type {StoreSnapshot} from '../fleet/fixtures/host_store';
 import {
   eventually,
   freeAddress,
@@ -204,7 +204,7 @@
   const zones = new Map<HostEngine, string>();
   /** When the store began or ended to misbehave. */
   const storeFaults: number[] = [];
-  let copy: StoreCopy | undefined;
+  let copy: StoreSnapshot | undefined;
   let isRouteServed = false;
   let enginesEnded = 0;
   let isOver = false;
