--- a/packages/core/src/distribution/bit_set.ts
+++ b/packages/core/src/distribution/bit_set.ts
@@ -1,4 +1,4 @@
-/** A fixed-size set of small numbers, one bit each. */
+/** A fixed-size set of small integers, one bit each. */
 export interface BitSet {
   readonly size: number;
   readonly has: (position: number) => boolean;
--- a/packages/core/src/distribution/commands/announce.ts
+++ b/packages/core/src/distribution/commands/announce.ts
@@ -4,10 +4,16 @@
 import * as bounds from '../bounds';
 import {wakeAt, type SwarmState, type WantedVersion} from '../state';
 
-/** Share of a chunk's time that a gain may wait for others to go with it. */
+/**
+ * Fraction of a chunk's transfer time that a gained chunk waits to be announced
+ * together with others.
+ */
 const ANNOUNCE_DELAY_SHARE = 1 / 4;
 
-/** Sends the whole have-map; also when empty, which says "I want it too". */
+/**
+ * Sends the complete have-map. An empty one is sent as well, since it tells the
+ * neighbours that this node wants the version.
+ */
 export function announceHeld(
   state: SwarmState,
   version: WantedVersion,
@@ -23,12 +29,14 @@
 }
 
 /**
- * Tells of a chunk those that are to copy it into the other zones, at once.
+ * Announces a chunk immediately to the nodes that should copy it into the other
+ * zones.
  *
- * Gain: a chunk that came from the origin used to reach another zone only once it
- * had come to one of the few neighbours that its copier has here, after 0.5 to 2 s.
- * The last of 41 engines has a version after 5.0 s in place of 5.5, and 2.0 copies
- * go between three zones in place of 2.3 (laboratory, whole link).
+ * Otherwise a chunk from the origin reaches another zone only after 0.5 to 2 s,
+ * when it arrives at one of the few neighbours that its copier has in this
+ * zone. With the direct announcement the last of 41 engines has a version after
+ * 5.0 s instead of 5.5 s, and 2.0 instead of 2.3 copies are sent between three
+ * zones (simulated, at the full link rate).
  */
 export function offerToCopiers(
   state: SwarmState,
@@ -48,7 +56,7 @@
   });
 }
 
-/** The first in rank of each other zone for a chunk. */
+/** The first-ranked holder of a chunk in each other zone. */
 function zoneCopiers(
   state: SwarmState,
   version: WantedVersion,
@@ -67,7 +75,7 @@
   return [...best.values()].map(({instance}) => instance);
 }
 
-/** Notes a gain to be announced shortly, together with the next ones. */
+/** Queues a gained chunk to be announced together with the next ones. */
 export function queueAnnouncement(
   state: SwarmState,
   version: WantedVersion,
@@ -77,7 +85,9 @@
   version.announceAt ??= state.now + announceDelay(state);
 }
 
-/** Sends the gains that are due, to all who still miss chunks. */
+/**
+ * Announces the gains that are due to all neighbours that still miss chunks.
+ */
 export function sendDueAnnouncements(state: SwarmState): void {
   for (const version of state.versions.values()) {
     if (version.announceAt === undefined) continue;
--- a/packages/core/src/distribution/commands/availability.ts
+++ b/packages/core/src/distribution/commands/availability.ts
@@ -1,7 +1,7 @@
 import {createBitSet} from '../bit_set';
 import type {Neighbour, SwarmState, WantedVersion} from '../state';
 
-/** Notes that a chunk is held here or by a neighbour for the first time. */
+/** Records when a chunk is first held here or by a neighbour. */
 export function recordFirstSeen(
   state: SwarmState,
   version: WantedVersion,
@@ -14,8 +14,8 @@
   const self = state.options.instance;
   const expected = ownerDueAt(state, version, position);
   if (version.holders[owner] !== self) {
-    // An outage of the origin makes all chunks late at once; taken whole, it
-    // would make the patience many times too long.
+    // An outage of the origin delays all chunks at once. Uncapped, these delays
+    // would make the takeover timeout many times too long.
     const longest = 2 * state.patience.bound();
     const late = Math.max(0, state.now - expected);
     state.patience.addSample(Math.min(longest, late));
@@ -23,18 +23,20 @@
   version.lastOwnerProgress[owner] = state.now;
 }
 
-/** When the owner of a chunk should have asked the origin for it. */
+/**
+ * Time at which the owner of a chunk should have requested it from the origin.
+ */
 export function ownerDueAt(
   state: SwarmState,
   version: WantedVersion,
   position: number,
 ): number {
   const owner = version.ranks.owner[position]!;
-  const lastSign = owner < 0 ? 0 : version.lastOwnerProgress[owner]!;
-  return Math.max(scheduledAt(state, version, position), lastSign);
+  const lastProgress = owner < 0 ? 0 : version.lastOwnerProgress[owner]!;
+  return Math.max(scheduledAt(state, version, position), lastProgress);
 }
 
-/** The instant of a chunk's turn at the origin. */
+/** Time at which a chunk is scheduled to be requested from the origin. */
 export function scheduledAt(
   state: SwarmState,
   version: WantedVersion,
@@ -43,12 +45,12 @@
   const rate = state.originRate;
   if (rate === undefined) return version.wantedAt;
   const size = version.manifest.chunks[position]!.size;
-  const turn =
+  const order =
     version.originOrder?.[position] ?? version.ranks.originOrder[position]!;
-  return version.wantedAt + (turn * size * 1000) / rate;
+  return version.wantedAt + (order * size * 1000) / rate;
 }
 
-/** Takes in positions that a neighbour holds. */
+/** Adds positions that a neighbour holds. */
 export function addHave(
   state: SwarmState,
   version: WantedVersion,
@@ -64,7 +66,7 @@
   }
 }
 
-/** Takes back one position of a neighbour. */
+/** Removes one position that a neighbour no longer holds. */
 export function removeHave(
   state: SwarmState,
   version: WantedVersion,
@@ -78,7 +80,7 @@
   }
 }
 
-/** Stops counting a neighbour's chunks as reachable until `until`. */
+/** Counts a neighbour's chunks as unreachable until `until`. */
 export function suspend(
   state: SwarmState,
   neighbour: Neighbour,
@@ -108,7 +110,7 @@
   }
 }
 
-/** Forgets a neighbour's have-map of one version. */
+/** Discards a neighbour's have-map of one version. */
 export function forgetHave(
   state: SwarmState,
   version: WantedVersion,
--- a/packages/core/src/distribution/commands/chunks.ts
+++ b/packages/core/src/distribution/commands/chunks.ts
@@ -10,7 +10,7 @@
 import {recordFirstSeen, resume} from './availability';
 import {recordBadChunk, cancelChunk, endTransfer} from './transfers';
 
-/** Takes in the whole bytes of a chunk, verified or found bad. */
+/** Handles the complete bytes of a chunk, whether verified or corrupted. */
 export function acceptChunk(
   state: SwarmState,
   id: TransferId,
@@ -19,9 +19,9 @@
 ): void {
   const transfer = endTransfer(state, id);
   if (transfer === undefined) return;
-  // Bytes count only for the chunk that this transfer asked for, and only
-  // when their digest is that chunk's. Otherwise a crossed answer or a bad
-  // link would put wrong bytes under a good name.
+  // The bytes are accepted only for the chunk that this transfer requested, and
+  // only if they match its digest. Otherwise a misrouted response or a faulty
+  // link would store wrong bytes under a valid digest.
   if (!verified || digest !== transfer.digest) {
     recordBadChunk(state, transfer);
     return;
@@ -39,15 +39,15 @@
   });
 }
 
-/** Takes in that the store of life `life` has confirmed a chunk. */
+/** Handles the confirmation of a stored chunk by store incarnation `life`. */
 export function confirmStored(
   state: SwarmState,
   digest: Digest,
   life: StoreIncarnation,
 ): void {
   state.storing.delete(digest);
-  // A store that restarted has lost the chunk; its late confirmation would
-  // make a version ready that misses a chunk.
+  // A restarted store has lost the chunk. Its late confirmation would mark a
+  // version with a missing chunk as ready.
   if (life !== state.life) return;
   state.storeFailures = 0;
   if (state.held.has(digest)) return;
@@ -58,14 +58,16 @@
   }
 }
 
-/** The store did not take a chunk; it will be fetched again, not at once. */
+/**
+ * Handles a failed store operation; the chunk is fetched again after a backoff.
+ */
 export function recordStoreFailure(state: SwarmState, digest: Digest): void {
   state.storing.delete(digest);
   state.storeBackoffUntil = state.now + backoff(state.storeFailures);
   state.storeFailures += 1;
 }
 
-/** Replaces what is held by what the store itself reports. */
+/** Replaces the held chunks with those that the store reports. */
 export function replaceHeld(
   state: SwarmState,
   life: StoreIncarnation,
@@ -81,7 +83,7 @@
   }
 }
 
-/** Sets a version's positions from what is held. */
+/** Recomputes the held and missing positions of a version. */
 export function refreshHeld(state: SwarmState, version: WantedVersion): void {
   version.missing = [];
   version.ready = false;
@@ -99,16 +101,16 @@
 }
 
 /**
- * Turns of the chunks that are missing alone: members that hold an older
- * version miss the same few, and turns of the others would pass unused.
+ * Orders only the missing chunks. Members that hold an older version miss the
+ * same few chunks, and the time slots of all other chunks would pass unused.
  */
 function orderMissing(version: WantedVersion): Int32Array {
-  const {originOrder: turn} = version.ranks;
+  const {originOrder} = version.ranks;
   const order = [...version.missing];
-  order.sort((left, right) => turn[left]! - turn[right]!);
-  const turns = new Int32Array(turn.length);
-  order.forEach((position, place) => (turns[position] = place));
-  return turns;
+  order.sort((left, right) => originOrder[left]! - originOrder[right]!);
+  const missingOrder = new Int32Array(originOrder.length);
+  order.forEach((position, index) => (missingOrder[position] = index));
+  return missingOrder;
 }
 
 function addGainedChunk(
@@ -126,8 +128,8 @@
 }
 
 function reportReady(state: SwarmState, version: WantedVersion): void {
-  // A version with a chunk missing would be served partially or mixed with
-  // an older one; only the complete set of this manifest's digests is ready.
+  // A version with a missing chunk would be served partially or mixed with an
+  // older one, so it is ready only if all digests of its manifest are held.
   if (version.ready || version.missing.length > 0) return;
   version.ready = true;
   const {versionDigest} = version;
--- a/packages/core/src/distribution/commands/live_load.ts
+++ b/packages/core/src/distribution/commands/live_load.ts
@@ -1,11 +1,11 @@
 import type {SwarmState} from '../state';
 
-/** Share of the slots that transfers keep while live requests wait. */
+/** Fraction of the slots that transfers keep while live requests are queued. */
 const SHARE_WHILE_QUEUED = 0.5;
 
 /**
- * Makes room for live requests: as the target's queue grows from empty to
- * one request per slot, transfers go down to their last slot.
+ * Leaves slots to live requests: as the target's queue grows from empty to one
+ * request per slot, transfers are reduced to a single slot.
  */
 export function applyLiveLoad(
   state: SwarmState,
--- a/packages/core/src/distribution/commands/neighbours.ts
+++ b/packages/core/src/distribution/commands/neighbours.ts
@@ -8,7 +8,9 @@
 import {announceHeld} from './announce';
 import {cancelTransfer} from './transfers';
 
-/** Takes in the live agents; chooses the neighbours of every version anew. */
+/**
+ * Updates the live agents and chooses the neighbours of every version again.
+ */
 export function updateMembers(
   state: SwarmState,
   members: readonly SwarmMember[],
@@ -27,7 +29,7 @@
   }
 }
 
-/** Ranks the fetchers anew, and chooses the neighbours. */
+/** Updates the ranks of the fetchers and chooses the neighbours again. */
 export function refreshNeighbours(
   state: SwarmState,
   version: WantedVersion,
@@ -48,7 +50,8 @@
   const before = version.neighbours;
   const names = new Set(live.map(member => member.instance));
   for (const instance of before) {
-    // Kept although no longer chosen: its have-map is known on both sides.
+    // Kept although no longer chosen, because both sides know each other's
+    // have-map.
     if (names.has(instance)) chosen.add(instance);
   }
   version.neighbours = chosen;
@@ -62,8 +65,8 @@
 }
 
 /**
- * Brings the holders up to date. Agents that learn of a version at different times
- * must agree on who fetches each chunk, or nobody does.
+ * Updates the holders. Agents that learn of a version at different times must
+ * agree on which one fetches each chunk, or none of them does.
  */
 function refreshHolders(state: SwarmState, version: WantedVersion): void {
   const {wantedHolders} = version;
@@ -73,9 +76,9 @@
       : wantedHolders;
   if (isSameList(next, version.holders)) return;
   const lastProgress = new Map(
-    version.holders.map((name, place) => [
+    version.holders.map((name, index) => [
       name,
-      version.lastOwnerProgress[place]!,
+      version.lastOwnerProgress[index]!,
     ]),
   );
   version.holders = next;
@@ -83,7 +86,8 @@
     next,
     name => lastProgress.get(name) ?? 0,
   );
-  // A chunk's new fetcher has its time before the next in rank asks.
+  // A chunk's new fetcher gets its full timeout before the next one in rank
+  // takes over.
   version.availability.forEach((holders, position) => {
     if (holders === 0) version.unreachableSince[position] = state.now;
   });
@@ -95,11 +99,11 @@
 ): boolean {
   return (
     one.length === other.length &&
-    one.every((name, place) => name === other[place])
+    one.every((name, index) => name === other[index])
   );
 }
 
-/** Takes in chunks that a neighbour gained. */
+/** Handles chunks that a neighbour gained. */
 export function applyHave(
   state: SwarmState,
   instance: InstanceName,
@@ -118,7 +122,7 @@
   addHave(state, version, neighbour, gained);
 }
 
-/** A session began: the other side must learn what this node holds. */
+/** Handles a new session: the other side must learn what this node holds. */
 export function connectNeighbour(
   state: SwarmState,
   instance: InstanceName,
@@ -132,8 +136,8 @@
 }
 
 /**
- * A session ended: what the neighbour held is unknown until it says so again.
- * Its next session starts with the whole have-map.
+ * Handles the end of a session: what the neighbour holds is unknown until it
+ * reports it again. Its next session starts with the complete have-map.
  */
 export function disconnectNeighbour(
   state: SwarmState,
@@ -168,7 +172,7 @@
   neighbour.suspendedUntil = undefined;
 }
 
-/** What is known of a neighbour, created on first use. */
+/** Returns the state of a neighbour and creates it on first use. */
 export function neighbourOf(
   state: SwarmState,
   instance: InstanceName,
@@ -213,12 +217,11 @@
 }
 
 /**
- * Those that can fetch a part for the others.
- *
- * Failure: a member freezes soon after a version was named. Its part is asked
- * for by the next in rank only after a patience of seconds, and the version comes
- * after its bound everywhere. Guard: who is not reached has no rank. A node that
- * has lost half of the others is itself cut off, and takes over nothing.
+ * Members that can fetch chunks for the others. Unreachable members get no
+ * rank: otherwise, if a member freezes soon after a version was named, the next
+ * in rank requests its chunks only after a takeover timeout of seconds, and the
+ * version misses its bound everywhere. A node that has lost at least half of
+ * the others is cut off itself and takes over nothing.
  */
 function reachableMembers(
   state: SwarmState,
@@ -230,7 +233,7 @@
   return reachable.length > live.length / 2 ? reachable : live;
 }
 
-/** Live members that should hold a version, this node among them. */
+/** Live members that should hold a version, including this node. */
 function liveHolders(
   state: SwarmState,
   version: WantedVersion,
@@ -244,7 +247,10 @@
     .filter((member): member is SwarmMember => member.zone !== undefined);
 }
 
-/** A member that chose us by its own view of the members is a neighbour. */
+/**
+ * A member that chose this node according to its own member list becomes a
+ * neighbour.
+ */
 function admitNeighbour(
   state: SwarmState,
   version: WantedVersion,
@@ -263,7 +269,10 @@
   return true;
 }
 
-/** Whether a member of another zone tells of chunks to be copied in by this one. */
+/**
+ * Whether a member of another zone announces chunks that this node should copy
+ * into its zone.
+ */
 function isCrossZoneOffer(
   state: SwarmState,
   version: WantedVersion,
--- a/packages/core/src/distribution/commands/schedule_limits.ts
+++ b/packages/core/src/distribution/commands/schedule_limits.ts
@@ -1,7 +1,7 @@
 import type {Bytes, Digest} from '../../types';
 import type {SwarmState} from '../state';
 
-/** Whether a chunk is held, being stored, or on its way. */
+/** Whether a chunk is held, being stored or being downloaded. */
 export function isHeldOrInFlight(state: SwarmState, digest: Digest): boolean {
   return (
     state.active.has(digest) ||
@@ -12,7 +12,7 @@
 
 /**
  * Whether one more chunk fits the transfer buffer. A chunk larger than the
- * whole buffer may go alone, or it could never be fetched.
+ * whole buffer is fetched alone, because it could never be fetched otherwise.
  */
 export function fitsTransferBuffer(state: SwarmState, size: Bytes): boolean {
   let used = 0;
--- a/packages/core/src/distribution/commands/schedule_neighbours.ts
+++ b/packages/core/src/distribution/commands/schedule_neighbours.ts
@@ -14,7 +14,7 @@
   readonly sender: Neighbour;
 }
 
-/** Asks neighbours for the locally rarest chunks while slots are free. */
+/** Requests the locally rarest chunks from neighbours while slots are free. */
 export function scheduleNeighbours(
   state: SwarmState,
   version: WantedVersion,
@@ -37,7 +37,9 @@
   }
 }
 
-/** Reachable neighbours without a download; one at a time from each. */
+/**
+ * Reachable neighbours without a current download; each serves one at a time.
+ */
 function freeNeighbours(
   state: SwarmState,
   version: WantedVersion,
@@ -82,8 +84,9 @@
 }
 
 /**
- * The free holder that was asked least recently, so that load spreads. A holder in
- * another zone only if the own zone has none and it is this node's turn.
+ * Chooses the free holder with the oldest request, which spreads the load. A
+ * holder in another zone is chosen only if this zone has none and this node's
+ * rank allows it.
  */
 function chooseSender(
   state: SwarmState,
@@ -110,8 +113,9 @@
 }
 
 /**
- * Without this bound each member of a zone would copy a new chunk in from
- * another zone, and the link between the zones would carry many copies.
+ * Whether this node may copy a chunk from another zone. Without this limit each
+ * member of a zone would do so, and the link between the zones would carry many
+ * copies.
  */
 function mayCrossZones(
   state: SwarmState,
--- a/packages/core/src/distribution/commands/schedule_origin.ts
+++ b/packages/core/src/distribution/commands/schedule_origin.ts
@@ -11,7 +11,7 @@
 import {fitsTransferBuffer, isHeldOrInFlight} from './schedule_limits';
 import {startTransfer} from './transfers';
 
-/** Asks the origin for the chunks that are this node's turn to fetch. */
+/** Requests the chunks that this node should fetch from the origin. */
 export function scheduleOrigin(
   state: SwarmState,
   version: WantedVersion,
@@ -46,10 +46,10 @@
 }
 
 /**
- * When this node may ask the origin for a chunk. Rank 0 asks at the chunk's
- * turn. A higher rank waits its rank's patience and asks only if no reachable
- * neighbour holds the chunk; so a dead fetcher costs one patience, and a live
- * one no second copy.
+ * Time at which this node may request a chunk from the origin. Rank 0 requests
+ * it at its scheduled time. A higher rank waits one takeover timeout per rank
+ * and then requests the chunk only if no reachable neighbour holds it. A dead
+ * fetcher thus costs one timeout, and a live one causes no second copy.
  */
 function dueAt(
   state: SwarmState,
@@ -70,7 +70,10 @@
   return base + rank * takeoverTimeout(state);
 }
 
-/** Time that the origin needs for one copy; 0 if its rate is not known. */
+/**
+ * Time that the origin needs to send one complete copy; 0 if its rate is
+ * unknown.
+ */
 function fullCopyTime(state: SwarmState, version: WantedVersion): number {
   const rate = state.originRate;
   if (rate === undefined) return 0;
@@ -80,8 +83,9 @@
 }
 
 /**
- * A node that joins late, or comes back, must hear what its neighbours hold
- * before it asks the origin, or it would fetch its turn's chunks once more.
+ * Time from which this node may send requests to the origin. A node that joins
+ * late or restarts must first learn what its neighbours hold, or it would fetch
+ * its share of the chunks again.
  */
 function originAllowedAt(state: SwarmState, version: WantedVersion): number {
   const settled = version.haves.size >= version.neighbours.size;
@@ -90,13 +94,16 @@
   return Math.max(settledAt, state.originBackoffUntil);
 }
 
-/** One at a time after a failure, when many ask for what is overdue. */
+/**
+ * Max downloads from the origin; one after a failure, when many nodes request
+ * overdue chunks.
+ */
 function originSlots(state: SwarmState): number {
   const isFailing = state.originFailures > 0 || state.originStalls > 0;
   return isFailing ? 1 : availableSlots(state, bounds.ORIGIN_SLOTS);
 }
 
-/** Downloads from the origin; a stalled one still burdens its link. */
+/** Number of downloads from the origin; a stalled one still loads its link. */
 function originTransfers(state: SwarmState): number {
   let count = 0;
   for (const transfer of state.transfers.values()) {
--- a/packages/core/src/distribution/commands/transfers.ts
+++ b/packages/core/src/distribution/commands/transfers.ts
@@ -12,7 +12,7 @@
 import type {RequestFailure, TransferId} from '../types';
 import {removeHave, resume, suspend} from './availability';
 
-/** Starts to download a chunk from `sender`. */
+/** Starts the download of a chunk from `sender`. */
 export function startTransfer(
   state: SwarmState,
   digest: Digest,
@@ -49,7 +49,7 @@
   });
 }
 
-/** Forgets a download that has ended; its chunk may be asked for again. */
+/** Removes a download that has ended; its chunk may be requested again. */
 export function endTransfer(
   state: SwarmState,
   id: TransferId,
@@ -63,20 +63,20 @@
   return transfer;
 }
 
-/** Ends a download that nobody needs or that will not come. */
+/** Cancels a download that is no longer needed or will not complete. */
 export function cancelTransfer(state: SwarmState, id: TransferId): void {
   if (endTransfer(state, id) === undefined) return;
   state.effects.push({kind: 'cancel', transfer: id});
 }
 
-/** Ends all downloads of a chunk. */
+/** Cancels all downloads of a chunk. */
 export function cancelChunk(state: SwarmState, digest: Digest): void {
   for (const transfer of [...state.transfers.values()]) {
     if (transfer.digest === digest) cancelTransfer(state, transfer.id);
   }
 }
 
-/** Takes in that a request brought no chunk. */
+/** Handles a failed chunk request. */
 export function failTransfer(
   state: SwarmState,
   id: TransferId,
@@ -105,7 +105,7 @@
   }
 }
 
-/** Takes in a sender's chunk whose digest is wrong. */
+/** Handles a chunk that does not match its digest. */
 export function recordBadChunk(state: SwarmState, transfer: Transfer): void {
   const neighbour = senderOf(state, transfer);
   if (neighbour === undefined) {
@@ -113,15 +113,15 @@
     return;
   }
   neighbour.badChunks += 1;
-  // A sender of bad chunks costs a download each time and would be asked
-  // again for ever, since it claims to hold them. One bad chunk may be the
-  // link's fault; a second one ends all requests to that instance.
+  // A sender of bad chunks costs a download each time and would be requested
+  // again forever, because it claims to hold them. One bad chunk may be a link
+  // error; a second one ends all requests to that instance.
   if (neighbour.badChunks < bounds.BAD_CHUNKS_UNTIL_CUT_OFF) {
     forgetChunk(state, neighbour, transfer.digest);
     return;
   }
-  // It stays a neighbour that hears what is held here: its own downloads may
-  // be whole, and without have-maps it would never complete.
+  // It remains a neighbour that receives announcements: its own downloads may
+  // be intact, and without have-maps it would never complete.
   state.cutOff.add(neighbour.instance);
   suspend(state, neighbour, Infinity);
   for (const version of state.versions.values()) {
@@ -130,7 +130,7 @@
   state.effects.push({kind: 'cutOff', neighbour: neighbour.instance});
 }
 
-/** Notes bytes of a download. */
+/** Records progress of a download. */
 export function recordProgress(state: SwarmState, id: TransferId): void {
   const transfer = state.transfers.get(id);
   if (transfer === undefined) return;
@@ -142,9 +142,10 @@
 }
 
 /**
- * Finds downloads without progress. A frozen sender keeps its connection open
- * and would hold the chunk for ever; after a learned time the chunk may be
- * asked of another, and after twice that time the download is given up.
+ * Handles downloads without progress. A frozen sender keeps its connection open
+ * and would block the chunk forever. After an estimated time the chunk may be
+ * requested from another sender, and after twice that time the download is
+ * cancelled.
  */
 export function handleStalls(state: SwarmState): void {
   for (const transfer of [...state.transfers.values()]) {
@@ -182,9 +183,9 @@
 
 function stallLimit(state: SwarmState, transfer: Transfer): number {
   if (transfer.sender.kind === 'neighbour') return state.neighbourTime.bound();
-  // Many fetchers at once make each download from the origin slow. Giving up
-  // after a fixed time, all would start over again for ever and none would
-  // end; with twice the time after each, they end.
+  // Many concurrent fetchers slow down each download from the origin. With a
+  // fixed timeout all would cancel, restart and never finish. Doubling the
+  // timeout after each cancelled download lets them finish.
   const limit = state.originTime.bound() * 2 ** state.originStalls;
   return Math.min(bounds.MAX_ORIGIN_STALL_TIMEOUT_MS, limit);
 }
@@ -196,9 +197,9 @@
       : backoff(state.originFailures, state.options.longestOriginWait);
   state.originFailures += 1;
   state.originBackoffUntil = state.now + wait;
-  // While the origin answers nobody, the patience of every rank runs out at
-  // once, and after the outage all would ask for the same chunks. Counting it
-  // anew from the last failure keeps the ranks apart.
+  // While the origin is down, the takeover timeouts of all ranks expire
+  // together, and after the outage all nodes would request the same chunks.
+  // Counting from the last failure again keeps the ranks apart.
   state.takeoverBase = state.originBackoffUntil;
 }
 
--- a/packages/core/src/distribution/commands/uploads.ts
+++ b/packages/core/src/distribution/commands/uploads.ts
@@ -5,7 +5,7 @@
 import {announceHeld} from './announce';
 import {forgetHave} from './availability';
 
-/** Admits, queues or refuses an upload that a neighbour asks for. */
+/** Starts, queues or refuses an upload that a neighbour requests. */
 export function requestUpload(
   state: SwarmState,
   id: UploadId,
@@ -17,8 +17,8 @@
     return;
   }
   resetStaleHave(state, neighbour, digest);
-  // The others of its zone wait for this copy, which comes once; those of the
-  // own zone can have the chunk from one another too.
+  // A node in another zone goes first: its whole zone waits for this single
+  // copy, while nodes in this zone can also get the chunk from one another.
   const isPrioritized = state.zones.get(neighbour) !== state.options.zone;
   if (hasUpload(state, neighbour) || (isQueueFull(state) && !isPrioritized)) {
     refuse(state, id, {kind: 'busy', retryAfter: retryAfter(state)});
@@ -31,13 +31,13 @@
   startWaitingUploads(state);
 }
 
-/** Notes that a piece of an upload was taken by the other side. */
+/** Records that the other side received a piece of an upload. */
 export function recordUploadProgress(state: SwarmState, id: UploadId): void {
   const upload = state.uploads.get(id);
   if (upload !== undefined) upload.lastProgress = state.now;
 }
 
-/** Frees the slot of an upload that ended, whether whole or not. */
+/** Frees the slot of an upload that has ended, complete or not. */
 export function endUpload(state: SwarmState, id: UploadId): void {
   const upload = state.uploads.get(id);
   if (upload !== undefined) {
@@ -51,7 +51,7 @@
 
 /**
  * Stops uploads that the other side does not read. A frozen reader keeps its
- * stream open and would hold an upload slot for ever.
+ * stream open and would occupy an upload slot forever.
  */
 export function stopStalledUploads(state: SwarmState): void {
   const limit = state.uploadTime.bound();
@@ -82,7 +82,10 @@
   }
 }
 
-/** A neighbour that asks for what it once held has lost its chunks. */
+/**
+ * Resets the have-map of a neighbour that requests a chunk it has announced: it
+ * has lost its chunks.
+ */
 function resetStaleHave(
   state: SwarmState,
   instance: InstanceName,
@@ -111,7 +114,7 @@
   return state.waitingUploads.length >= bounds.MAX_WAITING_UPLOADS;
 }
 
-/** Time until about half of the waiting uploads are through. */
+/** Estimated time until about half of the waiting uploads are done. */
 function retryAfter(state: SwarmState): Milliseconds {
   const uploadTime = state.uploadTime.mean() ?? bounds.INITIAL_BACKOFF_MS;
   const slots = availableSlots(
--- a/packages/core/src/distribution/commands/versions.ts
+++ b/packages/core/src/distribution/commands/versions.ts
@@ -9,7 +9,7 @@
 import {refreshNeighbours, applyHave} from './neighbours';
 import {cancelTransfer} from './transfers';
 
-/** Starts to fetch a version, or changes how one in progress is fetched. */
+/** Starts to fetch a version, or updates one that is in progress. */
 export function wantVersion(
   state: SwarmState,
   versionDigest: VersionDigest,
@@ -44,8 +44,8 @@
 }
 
 /**
- * Stops fetching a version. Chunks already held stay held, so a version that
- * shares them starts with them; downloads of shared chunks go on.
+ * Stops fetching a version. Chunks already held are kept, so a version that
+ * shares them starts with them; downloads of shared chunks continue.
  */
 export function dropVersion(
   state: SwarmState,
--- a/packages/core/src/distribution/duration_estimate.ts
+++ b/packages/core/src/distribution/duration_estimate.ts
@@ -1,20 +1,23 @@
 import type {Milliseconds} from '../types';
 
-/** Weights of one sample, as in TCP's retransmission timer (RFC 6298). */
+/** Smoothing factors as in TCP's retransmission timer (RFC 6298). */
 const MEAN_GAIN = 1 / 8;
 const DEVIATION_GAIN = 1 / 4;
 const DEVIATIONS = 4;
 
-/** A duration learned from samples, with a bound that few samples exceed. */
+/**
+ * Estimates a duration from samples, with an upper bound that few samples
+ * exceed.
+ */
 export interface DurationEstimate {
   readonly addSample: (sample: Milliseconds) => void;
-  /** Mean of the samples; undefined before the first. */
+  /** Smoothed mean; undefined before the first sample. */
   readonly mean: () => Milliseconds | undefined;
-  /** Mean and four deviations, within the limits. */
+  /** Mean plus four deviations, clamped to the limits. */
   readonly bound: () => Milliseconds;
 }
 
-/** Creates a learned time that answers `first` until it has a sample. */
+/** Creates an estimate whose bound is `first` until a sample is added. */
 export function createDurationEstimate(limits: {
   readonly first: Milliseconds;
   readonly shortest: Milliseconds;
--- a/packages/core/src/distribution/neighbour_choice.ts
+++ b/packages/core/src/distribution/neighbour_choice.ts
@@ -3,7 +3,7 @@
 import {mixHashes} from './ranks';
 import type {SwarmMember} from './types';
 
-/** How many members each node picks. */
+/** Number of members that each node picks. */
 export interface NeighbourPicks {
   readonly ownZone: number;
   readonly crossZone: number;
@@ -15,9 +15,9 @@
 
 /**
  * Chooses a node's neighbours among the live members. Two members are
- * neighbours if either picks the other, so both ends agree without a message,
- * and a member that leaves changes only its own edges. A zone with too few
- * members is filled up from the others.
+ * neighbours if either one picks the other, so both ends agree without
+ * exchanging messages, and a member that leaves affects only its own edges. A
+ * zone with too few members is topped up from other zones.
  */
 export function chooseNeighbours(
   self: SwarmMember,
@@ -37,7 +37,10 @@
   return [...picked].sort();
 }
 
-/** Whether `from` picks `to`; counts, since sorting for each would be slow. */
+/**
+ * Whether `from` picks `to`. It counts better candidates, because sorting all
+ * members for each pair would be slow.
+ */
 function wouldPick(
   from: HashedMember,
   to: HashedMember,
@@ -83,7 +86,7 @@
   return [...own, ...cross].map(member => member.instance);
 }
 
-/** Equal for both ends of a pair. */
+/** Symmetric, so that both ends compute the same score. */
 function pairScore(left: number, right: number): number {
   return mixHashes(Math.min(left, right), Math.max(left, right));
 }
--- a/packages/core/src/distribution/queries/check_manifest.ts
+++ b/packages/core/src/distribution/queries/check_manifest.ts
@@ -9,7 +9,7 @@
 import {canonicalJson} from '../../utils/canonical_json';
 import * as bounds from '../bounds';
 
-/** One thing wrong with a manifest; positions count from 0. */
+/** One fault in a manifest; positions count from 0. */
 export type ManifestFault =
   | {readonly kind: 'versionMissing'}
   | {
@@ -34,7 +34,7 @@
 
 const DIGEST_PATTERN = /^sha256:[0-9a-f]{64}$/;
 
-/** A manifest fit to be distributed, or every fault that it has. */
+/** Returns the manifest if it can be distributed, or all of its faults. */
 export function checkManifest(
   versionDigest: VersionDigest,
   manifest: Manifest | undefined,
--- a/packages/core/src/distribution/queries/progress.ts
+++ b/packages/core/src/distribution/queries/progress.ts
@@ -3,12 +3,12 @@
 import type {SwarmState, WantedVersion} from '../state';
 import type {SwarmDump, VersionProgress} from '../types';
 
-/** How far each wanted version has come. */
+/** Download progress of each wanted version. */
 export function progressOf(state: SwarmState): readonly VersionProgress[] {
   return [...state.versions.values()].map(versionProgress);
 }
 
-/** Neighbours over all wanted versions, sorted. */
+/** Sorted neighbours across all wanted versions. */
 export function neighboursOf(state: SwarmState): readonly InstanceName[] {
   const found = new Set<InstanceName>();
   for (const version of state.versions.values()) {
@@ -17,7 +17,7 @@
   return [...found].sort();
 }
 
-/** Positions held of a wanted version; none of any other. */
+/** Chunk positions held of a wanted version; empty for any other version. */
 export function heldPositionsOf(
   state: SwarmState,
   versionDigest: VersionDigest,
@@ -25,7 +25,10 @@
   return state.versions.get(versionDigest)?.held.positions() ?? [];
 }
 
-/** Whether each chunk of a wanted version is here or with a neighbour. */
+/**
+ * Whether each missing chunk of a wanted version is held by a reachable
+ * neighbour; false for any other version.
+ */
 export function isFullyReachable(
   state: SwarmState,
   versionDigest: VersionDigest,
@@ -35,7 +38,7 @@
   return version.missing.every(position => version.availability[position]! > 0);
 }
 
-/** Whether it is known what a neighbour holds of a wanted version. */
+/** Whether the neighbour's have-map of a wanted version is known. */
 export function isHaveKnown(
   state: SwarmState,
   neighbour: InstanceName,
@@ -44,7 +47,7 @@
   return state.versions.get(versionDigest)?.haves.has(neighbour) === true;
 }
 
-/** The node's state for an operator. */
+/** State of the node for diagnostics. */
 export function dumpOf(state: SwarmState): SwarmDump {
   return {
     versions: progressOf(state),
--- a/packages/core/src/distribution/queries/takeover_timeout.ts
+++ b/packages/core/src/distribution/queries/takeover_timeout.ts
@@ -3,20 +3,22 @@
 import type {SwarmState} from '../state';
 
 /**
- * Times of a chunk after which the next in rank asks for it: one at the origin,
- * one to a neighbour, and one to spare.
+ * Number of chunk times after which the next in rank requests a chunk: one at
+ * the origin, one to a neighbour and one in reserve.
  *
- * Failure: a member freezes or dies while a version moves, and those that take
- * its part over don't all know it. With eight times, enough for the hops of
- * hundreds of members, the last of 19 had the version after 10.9 s; with three
- * after 6.1 s, and the origin sent 1 to 3 in 100 more (laboratory, one frozen at
- * 300 ms, worst of ten seeds). Of 80 members none fails: 5 in 100 more.
+ * If a member freezes or dies during a rollout, not all members that take over
+ * its chunks know it. With eight chunk times, enough for the hops between
+ * hundreds of members, the last of 19 members had the version after 10.9 s.
+ * With three it had it after 6.1 s, and the origin sent 1% to 3% more
+ * (simulated, one member frozen at 300 ms, worst of ten seeds). With 80 members
+ * and no failure the origin sends 5% more.
  */
 const TAKEOVER_STEPS = 3;
 
 /**
- * Times that the origin's whole link needs for a chunk, taken as one step
- * before a step was measured: a link of a member is slower, and uploads queue.
+ * Assumed length of one step before any is measured, as a multiple of the time
+ * in which the origin's full link sends a chunk. Members have slower links, and
+ * uploads queue.
  */
 const ORIGIN_TIMES_PER_STEP = 8;
 
--- a/packages/core/src/distribution/ranks.ts
+++ b/packages/core/src/distribution/ranks.ts
@@ -9,22 +9,25 @@
   return (mixed ^ (mixed >>> 16)) >>> 0;
 }
 
-/** Who asks the origin for each chunk, as one node sees it. */
+/** Which fetcher requests each chunk from the origin, as seen by one node. */
 export interface OriginRanks {
-  /** Position in `fetchers` of the fetcher of rank 0, per chunk. */
+  /**
+   * Position in `fetchers` of the rank 0 fetcher, per chunk; -1 if there is
+   * none.
+   */
   readonly owner: Int32Array;
   /** This node's rank, per chunk. */
   readonly ownRank: Int32Array;
-  /** Place of each chunk in the order that the origin is asked in. */
+  /** Position of each chunk in the order of origin requests. */
   readonly originOrder: Int32Array;
 }
 
 /**
- * Ranks the fetchers of every chunk by rendezvous hash. Rank 0 is balanced:
- * in each round of as many chunks as there are fetchers, every fetcher gets
- * one chunk. The chunks of a fetcher that is not live go to its next in rank,
- * and all others keep theirs, so that nodes with different views of who is
- * live differ in few chunks only.
+ * Ranks the fetchers of every chunk by rendezvous hashing. Rank 0 is balanced:
+ * each fetcher gets one chunk in every round of as many chunks as there are
+ * fetchers. The chunks of a fetcher that is not live move to the next one in
+ * rank while all other chunks stay, so nodes with different views of the live
+ * fetchers disagree on few chunks.
  */
 export function rankFetchers(
   chunks: readonly Digest[],
@@ -38,25 +41,25 @@
   const selfPosition = fetchers.indexOf(self);
   const owner = new Int32Array(chunks.length).fill(-1);
   const ownRank = new Int32Array(chunks.length).fill(fetchers.length);
-  const turn = new Int32Array(chunks.length);
-  if (fetchers.length === 0) return {owner, ownRank, originOrder: turn};
+  const originOrder = new Int32Array(chunks.length);
+  if (fetchers.length === 0) return {owner, ownRank, originOrder};
   const used = new Uint8Array(fetchers.length);
   const scores = new Uint32Array(fetchers.length);
-  sortByHash(chunkHashes).forEach((chunk, place) => {
-    if (place % fetchers.length === 0) used.fill(0);
+  sortByHash(chunkHashes).forEach((chunk, index) => {
+    if (index % fetchers.length === 0) used.fill(0);
     fetcherHashes.forEach((hash, fetcher) => {
       scores[fetcher] = mixHashes(hash, chunkHashes[chunk]!);
     });
     const balanced = findBest(scores, used);
     used[balanced] = 1;
-    turn[chunk] = place;
+    originOrder[chunk] = index;
     owner[chunk] = lost[balanced] === 0 ? balanced : findBest(scores, lost);
     ownRank[chunk] = rankOf(selfPosition, owner[chunk]!, scores, lost);
   });
-  return {owner, ownRank, originOrder: turn};
+  return {owner, ownRank, originOrder};
 }
 
-/** This node's rank per chunk among `members`, by bare rendezvous hash. */
+/** This node's rank per chunk among `members`, by plain rendezvous hashing. */
 export function rankAmong(
   chunks: readonly Digest[],
   members: readonly InstanceName[],
@@ -83,7 +86,7 @@
     .sort((left, right) => chunkHashes[left]! - chunkHashes[right]!);
 }
 
-/** The fetcher of the best score that is not excluded; -1 if all are. */
+/** The fetcher with the highest score that is not excluded; -1 if all are. */
 function findBest(scores: Uint32Array, excluded: Uint8Array): number {
   let best = -1;
   for (let fetcher = 0; fetcher < scores.length; fetcher += 1) {
--- a/packages/core/src/distribution/state.ts
+++ b/packages/core/src/distribution/state.ts
@@ -25,12 +25,12 @@
   VersionHolders,
 } from './types';
 
-/** Where a chunk is fetched from. */
+/** Source that a chunk is downloaded from. */
 export type Sender =
   | {readonly kind: 'origin'}
   | {readonly kind: 'neighbour'; readonly instance: InstanceName};
 
-/** A download that has not ended. */
+/** A download in progress. */
 export interface Transfer {
   readonly id: TransferId;
   readonly digest: Digest;
@@ -38,62 +38,72 @@
   readonly sender: Sender;
   readonly startedAt: number;
   lastProgress: number;
-  /** True once the chunk may be asked of another sender too. */
+  /** True once the chunk may also be requested from another sender. */
   stalled: boolean;
 }
 
-/** What is known of one neighbour, over all versions. */
+/** State of one neighbour, across all versions. */
 export interface Neighbour {
   readonly instance: InstanceName;
-  /** No request before this time. */
+  /** No requests are sent to the neighbour before this time. */
   busyUntil: number;
   lastRequestedAt: number;
-  /** Its chunks do not count as reachable before this time. */
+  /** The neighbour's chunks count as unreachable until this time. */
   suspendedUntil: number | undefined;
   failures: number;
   badChunks: number;
-  /** The one download from it, if any. */
+  /** The current download from this neighbour; at most one at a time. */
   transfer: TransferId | undefined;
-  /** Have-maps of versions that are not wanted here yet. */
+  /** Have-maps of versions that this node does not want yet. */
   readonly unknownVersions: Map<VersionDigest, Set<number>>;
 }
 
-/** One wanted version. */
+/** Download state of one wanted version. */
 export interface WantedVersion {
   readonly versionDigest: VersionDigest;
   readonly manifest: Manifest;
   prefer: RolloutPreference;
-  /** As asked for; `holders` are worked out from it. */
+  /** The requested holders, from which `holders` is derived. */
   wantedHolders: VersionHolders;
-  /** All that should hold the version; the candidates for asking the origin. */
+  /**
+   * All instances that should hold the version, and thus the candidates for
+   * fetching from the origin.
+   */
   holders: readonly InstanceName[];
   readonly wantedAt: number;
   readonly positions: ReadonlyMap<Digest, number>;
   readonly held: BitSet;
-  /** Positions not held, in no order. */
+  /** Positions of the chunks not held, unordered. */
   missing: number[];
   ranks: OriginRanks;
   /**
-   * Place of each chunk among those not held when the store first reported,
-   * in the order that the origin is asked in; undefined before that.
+   * Position of each chunk in the order of origin requests, counting only the
+   * chunks that were missing at the store's first report; undefined before that
+   * report.
    */
   originOrder: Int32Array | undefined;
-  /** This node's rank among its own zone's holders, per chunk. */
+  /** This node's rank among the holders in its own zone, per chunk. */
   zoneRank: Int32Array;
   neighbours: Set<InstanceName>;
   /**
-   * Neighbours of other zones that have told of a chunk that this node is to copy
-   * into its zone. They are not told of what it gains.
+   * Neighbours in other zones that announced a chunk which this node should
+   * copy into its zone. This node does not announce its own gains to them.
    */
   readonly crossZoneSources: Set<InstanceName>;
   readonly haves: Map<InstanceName, BitSet>;
-  /** Reachable neighbours that hold each chunk. */
+  /** Number of reachable neighbours that hold each chunk. */
   readonly availability: Uint16Array;
-  /** Since when no reachable neighbour holds each chunk. */
+  /** Time since which no reachable neighbour holds the chunk, per chunk. */
   readonly unreachableSince: Float64Array;
-  /** When each chunk was first held here or by a neighbour; -1 before. */
+  /**
+   * Time at which the chunk was first held here or by a neighbour, per chunk;
+   * -1 before that.
+   */
   readonly firstSeen: Float64Array;
-  /** When a chunk of each holder was last first seen, by its place. */
+  /**
+   * Time at which a chunk owned by the holder was last seen for the first time,
+   * indexed by position in `holders`.
+   */
   lastOwnerProgress: Float64Array;
   readonly tieBreak: Uint32Array;
   readonly gained: number[];
@@ -104,7 +114,7 @@
   crossZoneBytes: Bytes;
 }
 
-/** An upload that runs or waits. */
+/** An upload that is running or waiting for a slot. */
 export interface Upload {
   readonly id: UploadId;
   readonly neighbour: InstanceName;
@@ -113,39 +123,44 @@
   lastProgress: number;
 }
 
-/** The whole state of a swarm node. */
+/** Complete state of a swarm node. */
 export interface SwarmState {
   readonly options: SwarmNodeOptions;
   now: number;
   wakeUp: number | undefined;
   effects: SwarmEffect[];
   nextTransfer: TransferId;
-  /** Life of the chunk store; undefined until it reports what it holds. */
+  /**
+   * Incarnation of the chunk store; undefined until the store reports what it
+   * holds.
+   */
   life: StoreIncarnation | undefined;
   readonly held: Set<Digest>;
-  /** Chunks that came from the origin itself. */
+  /** Chunks downloaded from the origin that are not stored yet. */
   readonly fromOrigin: Set<Digest>;
-  /** Chunks handed to the store that it has not confirmed. */
+  /** Sizes of the chunks passed to the store and not yet confirmed by it. */
   readonly storing: Map<Digest, Bytes>;
-  /** Nothing is fetched before this time, since the store fails. */
+  /** No downloads start before this time, because the store has failed. */
   storeBackoffUntil: number;
-  /** Rate of the origin, once it is known. */
+  /** This site's share of the origin's bandwidth, once it is known. */
   originRate: BytesPerSecond | undefined;
   storeFailures: number;
   zones: ReadonlyMap<InstanceName, ZoneName>;
   readonly versions: Map<VersionDigest, WantedVersion>;
   readonly neighbours: Map<InstanceName, Neighbour>;
   readonly cutOff: Set<InstanceName>;
-  /** Members whose session ended and that were not heard of since. */
+  /** Members whose session ended and that have sent nothing since. */
   readonly disconnected: Set<InstanceName>;
   readonly transfers: Map<TransferId, Transfer>;
-  /** Downloads per chunk that are not stalled. */
+  /** Number of downloads per chunk that are not stalled. */
   readonly active: Map<Digest, number>;
   originBackoffUntil: number;
   originFailures: number;
-  /** Downloads from the origin given up since the last whole one. */
+  /**
+   * Downloads from the origin that were cancelled since the last complete one.
+   */
   originStalls: number;
-  /** Ranks above 0 count their patience from here at the earliest. */
+  /** Earliest time from which ranks above 0 count their takeover timeout. */
   takeoverBase: number;
   readonly uploads: Map<UploadId, Upload>;
   readonly waitingUploads: Upload[];
@@ -153,7 +168,7 @@
   readonly originTime: DurationEstimate;
   readonly neighbourTime: DurationEstimate;
   readonly uploadTime: DurationEstimate;
-  /** Share of the slots that live requests leave, from 0 to 1. */
+  /** Fraction of the slots that live requests leave free, from 0 to 1. */
   slotShare: number;
 }
 
@@ -163,7 +178,7 @@
   longest: bounds.MAX_STALL_TIMEOUT_MS,
 };
 
-/** The state of a node that has just started. */
+/** Creates the state of a node that has just started. */
 export function createSwarmState(options: SwarmNodeOptions): SwarmState {
   return {
     options,
@@ -203,17 +218,17 @@
   };
 }
 
-/** Notes that something is due at `time`. */
+/** Requests a wake-up at `time`, unless an earlier one is pending. */
 export function wakeAt(state: SwarmState, time: number): void {
   if (state.wakeUp === undefined || time < state.wakeUp) state.wakeUp = time;
 }
 
-/** Slots of `full` that live requests leave; at least one. */
+/** Number of `full` slots that live requests leave free; at least one. */
 export function availableSlots(state: SwarmState, full: number): number {
   return Math.max(1, Math.floor(full * state.slotShare));
 }
 
-/** Wait after the `failures`-th failure in a row. */
+/** Exponential backoff after `failures` earlier failures in a row. */
 export function backoff(
   failures: number,
   longest: Milliseconds = bounds.MAX_BACKOFF_MS,
--- a/packages/core/src/distribution/swarm_node.ts
+++ b/packages/core/src/distribution/swarm_node.ts
@@ -40,7 +40,7 @@
   SwarmNodeOptions,
 } from './types';
 
-/** Creates the decisions of one agent in the swarm. */
+/** Creates the decision logic of one agent in the swarm. */
 export function createSwarmNode(options: SwarmNodeOptions): SwarmNode {
   const state = createSwarmState(options);
 
@@ -119,7 +119,7 @@
   }
 }
 
-/** Progress alone frees no slot and makes no chunk due. */
+/** Progress events free no slot and make no chunk due. */
 function isOnlyProgress(event: SwarmEvent): boolean {
   return event.kind === 'progress' || event.kind === 'uploadProgress';
 }
@@ -128,8 +128,8 @@
   state.wakeUp = undefined;
   stopStalledUploads(state);
   handleStalls(state);
-  // Nothing is fetched before the store has said what it holds: it might be
-  // down, and then there is nowhere to put a chunk.
+  // Nothing is fetched before the store has reported what it holds. The store
+  // may be down, and then chunks could not be stored.
   if (state.life !== undefined) scheduleDownloads(state);
   sendDueAnnouncements(state);
 }
--- a/packages/core/src/distribution/transfer_pacer.ts
+++ b/packages/core/src/distribution/transfer_pacer.ts
@@ -5,19 +5,22 @@
   MonotonicInstant,
 } from '../types';
 
-/** Time that a pace may make up for after a pause. */
+/** Max unused time that transfers may catch up on after a pause. */
 const MAX_BURST: Milliseconds = 100;
 
-/** Holds transfers to their share of one direction of a link. */
+/** Limits transfers to their share of one direction of a link. */
 export interface TransferPacer {
-  /** Takes `bytes` more; returns when the share has carried them. */
+  /**
+   * Reserves bandwidth for `bytes` and returns the time at which they have been
+   * sent.
+   */
   readonly reserve: (bytes: Bytes, now: MonotonicInstant) => MonotonicInstant;
 }
 
 /**
- * Creates the pace of a link; with no known rate nothing waits. Live requests
- * share the link: without a bound, a rollout would fill it on both ends and
- * their answers would queue behind chunks.
+ * Creates the pacer of one direction of a link; without a known rate it never
+ * delays. Live requests share the link: unpaced, a rollout would saturate it at
+ * both ends and their responses would queue behind chunks.
  */
 export function createTransferPacer(
   linkBytesPerSecond: BytesPerSecond | undefined,
--- a/packages/core/src/distribution/transfer_policy.ts
+++ b/packages/core/src/distribution/transfer_policy.ts
@@ -1,42 +1,54 @@
 import type {Bytes, Milliseconds} from '../types';
 
-/** How an agent beside an engine moves chunks. */
+/** Transfer settings of an agent that runs alongside an engine. */
 export interface TransferPolicy {
-  /** Chunk bytes that downloads may hold in memory at once. */
+  /** Max chunk bytes that downloads may hold in memory at the same time. */
   readonly transferBuffer: Bytes;
-  /** Downloads and uploads at once; few, so that little queues on the link. */
+  /**
+   * Max concurrent downloads and uploads; low, so that little queues on the
+   * link.
+   */
   readonly downloadSlots: number;
   readonly uploadSlots: number;
-  /** Members of a zone that may copy a chunk in from another one at once. */
+  /**
+   * Max members of a zone that copy the same chunk from another zone at once.
+   */
   readonly crossZoneRanks: number;
-  /** Wait for the other agents' have-maps before the origin is asked. */
+  /**
+   * Time to wait for the other agents' have-maps before requesting chunks from
+   * the origin.
+   */
   readonly settleTime: Milliseconds;
-  /** Longest wait before a lost origin is asked again. */
+  /** Max backoff before an unreachable origin is requested again. */
   readonly longestOriginWait: Milliseconds;
-  /** Share of a link, from 0 to 1, that transfers leave free at all times. */
+  /** Fraction of a link, from 0 to 1, that transfers always leave free. */
   readonly headroom: number;
-  /** Share of its link that an engine's agent takes while the engine serves. */
+  /**
+   * Fraction of its link that an agent uses while its engine serves requests.
+   */
   readonly shareBesideLive: number;
-  /** Bytes of a chunk that are sent at once. */
+  /** Bytes of a chunk that are sent in one piece. */
   readonly pieceSize: Bytes;
 }
 
 /**
- * The policy that agents serve with.
+ * Transfer policy of the agents.
  *
- * - Six downloads keep a link busy while senders queue; two uploads, so that
- *   little queues on the link.
- * - One member of a zone copies a chunk in, since bytes between zones cost.
- * - Agents learn of a version within 100 ms of one another, and settle a bit
- *   longer.
- * - A version has 8 s in all and needs 4 s of them: with waits for a lost origin
- *   of up to 5 s, engines had one 4.9 s after the origin's return, and no request
- *   could begin anywhere for 3.4 s.
- * - Beside live requests 0.7 of a link: an event that waits behind chunks is late
- *   for its caller. An engine that serves nothing has none, and its agent leaves
- *   only what reports need.
- * - A whole chunk takes a link of 6.6 Mbit/s for 60 ms, and an event of a live
- *   answer would wait behind it.
+ * - Six downloads keep a link busy while senders queue. Two uploads keep the
+ *   queue on the link short.
+ * - One member of a zone copies a chunk from another zone, because traffic
+ *   between zones is costly.
+ * - Agents learn of a version within 100 ms of one another; the settle time is
+ *   slightly longer.
+ * - A version must arrive within 8 s and needs 4 s of them. With origin
+ *   backoffs of up to 5 s, engines had a version only 4.9 s after the origin
+ *   came back, and no request could start anywhere for 3.4 s.
+ * - Alongside live requests, transfers use 0.7 of a link, because a response
+ *   event that queues behind chunks reaches its caller late. An engine that
+ *   serves nothing has no such events, and its agent leaves free only what
+ *   reports need.
+ * - A whole chunk occupies a link of 6.6 Mbit/s for 60 ms, and an event of a
+ *   live response would wait for it. Chunks are therefore sent in pieces.
  */
 export const AGENT_TRANSFER_POLICY: TransferPolicy = {
   transferBuffer: 16 * 1024 * 1024,
--- a/packages/core/src/distribution/types.ts
+++ b/packages/core/src/distribution/types.ts
@@ -13,10 +13,13 @@
 /** Identifies one download of one chunk; unique within a swarm node. */
 export type TransferId = number;
 
-/** Identifies one upload; chosen by the driver, unique within its life. */
+/** Identifies one upload; chosen by the driver and unique while it runs. */
 export type UploadId = number;
 
-/** Number of a chunk store's life; a new one means that it lost its chunks. */
+/**
+ * Identifies one incarnation of a chunk store; a new one means that the store
+ * has lost its chunks.
+ */
 export type StoreIncarnation = string;
 
 /** A live agent that may take part in the swarm. */
@@ -25,60 +28,66 @@
   readonly zone: ZoneName;
 }
 
-/** Who should hold a version. */
+/** Instances that should hold a version. */
 export type VersionHolders =
-  /** All members, this node among them, also those that join later. */
+  /** All members, including this node and members that join later. */
   | 'members'
   /** These instances, live or not. */
   | readonly InstanceName[];
 
-/** Bounds and preferences of one swarm node. */
+/** Configuration of one swarm node. */
 export interface SwarmNodeOptions {
   readonly instance: InstanceName;
   readonly zone: ZoneName;
   /** Seed of the tie-break between equally rare chunks. */
   readonly seed: number;
-  /** Most chunk bytes that downloads may hold in memory at once. */
+  /** Max chunk bytes that downloads may hold in memory at the same time. */
   readonly transferBuffer: Bytes;
   /**
-   * The site's share of the origin's link. When known, fetchers start their
-   * chunks one after the other at this rate, not all at once.
+   * This site's share of the origin's bandwidth. If it is known, fetchers
+   * request their chunks one after the other at this rate instead of all at
+   * once.
    */
   readonly originBytesPerSecond?: BytesPerSecond;
-  /** Downloads at once; default `DOWNLOAD_SLOTS`. */
+  /** Max concurrent downloads; default `DOWNLOAD_SLOTS`. */
   readonly downloadSlots?: number;
-  /** Uploads at once; default `UPLOAD_SLOTS`. */
+  /** Max concurrent uploads; default `UPLOAD_SLOTS`. */
   readonly uploadSlots?: number;
-  /** Members of the own zone that this node picks as neighbours. */
+  /** Number of neighbours that this node picks in its own zone. */
   readonly ownZonePicks?: number;
-  /** Members of other zones that this node picks as neighbours. */
+  /** Number of neighbours that this node picks in other zones. */
   readonly crossZonePicks?: number;
   /**
-   * Members of a zone that may copy a chunk in from another zone at once;
-   * default `CROSS_ZONE_RANKS`.
+   * Max members of a zone that copy the same chunk from another zone at the
+   * same time; default `CROSS_ZONE_RANKS`.
    */
   readonly crossZoneRanks?: number;
-  /** Wait for the first have-maps; default `SETTLE_TIME`. */
+  /**
+   * Time to wait for the neighbours' first have-maps; default `SETTLE_TIME_MS`.
+   */
   readonly settleTime?: Milliseconds;
   /**
-   * Share of a link, from 0 to 1, that transfers leave free at all times;
-   * default `HEADROOM`.
+   * Fraction of a link, from 0 to 1, that transfers always leave free; default
+   * `DEFAULT_HEADROOM`.
    */
   readonly headroom?: number;
-  /** Longest wait before a lost origin is asked again; default `LONGEST_BACKOFF`. */
+  /**
+   * Max backoff before an unreachable origin is requested again; default
+   * `MAX_BACKOFF_MS`.
+   */
   readonly longestOriginWait?: Milliseconds;
 }
 
-/** Why a request for a chunk brought none. */
+/** Why a chunk request failed. */
 export type RequestFailure =
-  /** The sender has no free slot; ask again after `retryAfter`. */
+  /** The sender has no free upload slot; retry after `retryAfter`. */
   | {readonly kind: 'busy'; readonly retryAfter: Milliseconds}
   /** The sender no longer holds the chunk. */
   | {readonly kind: 'notHeld'}
   /** The sender cannot be reached, or the stream broke. */
   | {readonly kind: 'unavailable'};
 
-/** What a swarm node is told; each comes with the time it is handled at. */
+/** Input of a swarm node; the caller passes the time at which it is handled. */
 export type SwarmEvent =
   | {readonly kind: 'tick'}
   | {readonly kind: 'membersChanged'; readonly members: readonly SwarmMember[]}
@@ -88,7 +97,9 @@
       readonly manifest: Manifest;
       readonly prefer: RolloutPreference;
       readonly holders: VersionHolders;
-      /** Replaces the rate of the options, where it is learned later. */
+      /**
+       * Overrides the rate in the options, which may only become known later.
+       */
       readonly originBytesPerSecond?: BytesPerSecond;
     }
   | {readonly kind: 'versionSuperseded'; readonly versionDigest: VersionDigest}
@@ -96,10 +107,10 @@
       readonly kind: 'neighbourHave';
       readonly neighbour: InstanceName;
       readonly versionDigest: VersionDigest;
-      /** Positions in the manifest. */
+      /** Chunk positions in the manifest. */
       readonly gained: readonly number[];
     }
-  /** A session with the neighbour began. */
+  /** A session with the neighbour was established. */
   | {readonly kind: 'neighbourConnected'; readonly neighbour: InstanceName}
   | {readonly kind: 'neighbourGone'; readonly neighbour: InstanceName}
   | {
@@ -111,7 +122,7 @@
       readonly kind: 'chunkArrived';
       readonly transfer: TransferId;
       readonly digest: Digest;
-      /** True if the bytes' digest is the chunk's. */
+      /** Whether the received bytes match the chunk's digest. */
       readonly verified: boolean;
     }
   | {
@@ -122,7 +133,7 @@
   | {
       readonly kind: 'chunkStored';
       readonly digest: Digest;
-      /** Life of the store that took the chunk. */
+      /** Incarnation of the store that stored the chunk. */
       readonly life: StoreIncarnation;
     }
   | {readonly kind: 'storeFailed'; readonly digest: Digest}
@@ -146,7 +157,7 @@
   | {readonly kind: 'uploadProgress'; readonly upload: UploadId}
   | {readonly kind: 'uploadEnded'; readonly upload: UploadId};
 
-/** What a swarm node asks its driver to do. */
+/** Action that a swarm node requests from its driver. */
 export type SwarmEffect =
   | {
       readonly kind: 'askOrigin';
@@ -162,7 +173,10 @@
       readonly size: Bytes;
     }
   | {readonly kind: 'cancel'; readonly transfer: TransferId}
-  /** Store the bytes that `transfer` brought; drop them if not asked to. */
+  /**
+   * Store the bytes received by `transfer`. Without this effect the driver
+   * discards them.
+   */
   | {
       readonly kind: 'storeChunk';
       readonly transfer: TransferId;
@@ -185,7 +199,7 @@
     }
   | {readonly kind: 'stopUpload'; readonly upload: UploadId};
 
-/** How far a wanted version has come on this node. */
+/** Download progress of a wanted version on this node. */
 export interface VersionProgress {
   readonly versionDigest: VersionDigest;
   readonly chunksHeld: number;
@@ -196,30 +210,40 @@
   readonly ready: boolean;
 }
 
-/** The decisions of one agent in the swarm. Pure: no I/O and no clock. */
+/**
+ * Decision logic of one agent in the swarm. It performs no I/O and reads no
+ * clock.
+ */
 export interface SwarmNode {
-  /** Takes in one event at `now`; returns what to do, in order. */
+  /**
+   * Handles one event at time `now` and returns the resulting effects in order.
+   */
   readonly handle: (event: SwarmEvent, now: number) => readonly SwarmEffect[];
-  /** When a `tick` is next due; undefined while nothing waits for time. */
+  /** Time at which the next `tick` is due; undefined if no timer is pending. */
   readonly nextWakeUp: () => number | undefined;
   readonly progress: () => readonly VersionProgress[];
-  /** Instances to hold a session with, over all wanted versions. */
+  /** Instances to keep a session with, across all wanted versions. */
   readonly neighbours: () => readonly InstanceName[];
-  /** Positions held of a wanted version; none of any other. */
+  /** Chunk positions held of a wanted version; empty for any other version. */
   readonly heldPositions: (versionDigest: VersionDigest) => readonly number[];
-  /** Whether it is known what a neighbour holds of a wanted version. */
+  /** Whether the neighbour's have-map of a wanted version is known. */
   readonly isHaveKnown: (
     neighbour: InstanceName,
     versionDigest: VersionDigest,
   ) => boolean;
-  /** Whether each chunk of a wanted version is here or with a neighbour. */
+  /**
+   * Whether each missing chunk of a wanted version is held by a reachable
+   * neighbour; false for any other version.
+   */
   readonly isFullyReachable: (versionDigest: VersionDigest) => boolean;
-  /** Share of each link's rate that transfers may take now, from 0 to 1. */
+  /**
+   * Fraction of each link's bandwidth that transfers may use now, from 0 to 1.
+   */
   readonly transferShare: () => number;
   readonly dump: () => SwarmDump;
 }
 
-/** A swarm node's state for an operator. */
+/** State of a swarm node for diagnostics. */
 export interface SwarmDump {
   readonly versions: readonly VersionProgress[];
   readonly downloads: readonly {
--- a/packages/core/src/distribution/version_plan.ts
+++ b/packages/core/src/distribution/version_plan.ts
@@ -2,99 +2,102 @@
 import type {Milliseconds, MonotonicInstant} from '../types';
 import {committedAge, loadAge, type LoadOffset} from './load_offsets';
 
-/** A version as the plan sees it. */
+/** The properties of a version that the plan uses. */
 export interface PlannedVersion {
   readonly version: number;
   /** When this process learned of it. */
   readonly knownSince: MonotonicInstant;
 }
 
-/** How the engine stands. */
+/** Status of the engine. */
 export interface PlannedEngine {
-  /** The version that it serves; undefined if it serves none. */
+  /** The version that the engine serves; undefined if it serves none. */
   readonly served: number | undefined;
-  /** Whether it loads one now. */
+  /** Whether the engine is loading a version. */
   readonly isLoading: boolean;
 }
 
-/** What follows from a step of the plan. */
+/** Action that a plan requests after a change. */
 export type PlanStep<Version> =
-  /** The version is staged from now on; the others are given up. */
+  /** Stage the version; drop the versions that it replaces. */
   | {
       readonly kind: 'stage';
       readonly version: Version;
       readonly replacedVersions: readonly Version[];
     }
-  /** The version is fetched, and staged after the one in hand. */
+  /** Fetch the version now and stage it after the current one. */
   | {
       readonly kind: 'prepare';
       readonly version: Version;
       readonly replacedVersions: readonly Version[];
     };
 
-/** What the plan needs. */
+/** Options of {@link createVersionPlan}. */
 export interface VersionPlanOptions<Version extends PlannedVersion> {
-  /** Time after a version's naming in which all must have it. */
+  /** Time after a version is named within which all engines must have it. */
   readonly bound: Milliseconds;
   readonly place: () => LoadOffset;
-  /** Whether all chunks of a version can be had without its origin. */
+  /** Whether all chunks of a version are available without the origin. */
   readonly isIndependentOfOrigin: (version: Version) => boolean;
-  /** Whether a version's chunks can wait outside the staging area. */
+  /** Whether a version's chunks can be kept outside the staging area. */
   readonly fitsOutsideStaging: (version: Version) => boolean;
 }
 
-/** Which versions an engine is given, one after the other. */
+/** Decides which versions an engine loads, and in which order. */
 export interface VersionPlan<Version extends PlannedVersion> {
-  /** Takes a newer version; undefined if it is none. */
+  /** Adds a newer version; returns undefined if it is not newer. */
   readonly addVersion: (
     version: Version,
     now: MonotonicInstant,
   ) => PlanStep<Version> | undefined;
-  /** Takes in how the engine stands; may turn to the version that follows. */
+  /** Updates the engine's status; may switch to the next version. */
   readonly observe: (
     engine: PlannedEngine,
     now: MonotonicInstant,
   ) => PlanStep<Version> | undefined;
   /** The version that is staged or served. */
   readonly current: () => Version | undefined;
-  /** The versions that are fetched or there. */
+  /** The versions that are being fetched or already complete. */
   readonly wanted: () => readonly Version[];
-  /** The newest version known; 0 before the first. */
+  /** Number of the newest known version; 0 if there is none. */
   readonly newest: () => number;
-  /** Whether the version in hand keeps the staging area from a newer one. */
+  /** Whether the current version keeps the staging area from a newer one. */
   readonly occupiesStaging: (now: MonotonicInstant) => boolean;
-  /** Whether the engine already serves the version in hand. */
+  /** Whether the engine already serves the current version. */
   readonly isServed: () => boolean;
-  /** Notes that all chunks of the version in hand are there. */
+  /** Records that all chunks of the current version have arrived. */
   readonly recordTransferred: (now: MonotonicInstant) => void;
-  /** Whether the chunks of the version in hand come later than they should. */
+  /** Whether the chunks of the current version arrive later than planned. */
   readonly isBehindSchedule: (now: MonotonicInstant) => boolean;
-  /** Whether the engine may be told to load the version in hand now. */
+  /** Whether the engine may load the current version now. */
   readonly mayLoad: (now: MonotonicInstant) => boolean;
-  /** Time until the load; undefined if none is near. */
+  /**
+   * Time until the engine loads the current version; undefined if no load is
+   * due.
+   */
   readonly loadsIn: (now: MonotonicInstant) => Milliseconds | undefined;
 }
 
 /**
- * Share of a version's bound at which its chunks should have been moved at 0.7
- * of a link; later than that they get all of it.
+ * Fraction of a version's bound by which its chunks should have arrived at 0.7
+ * of a link's rate. After that they use the whole link.
  */
 const BEHIND_SCHEDULE_SHARE = 0.5;
 
 /**
- * Creates the plan of one engine.
+ * Creates the version plan of one engine.
  *
- * Each version has its bound from its own naming. One that is named soon after
- * another takes its place; later than that the one in hand is loaded first, or
- * skipped by the engines whose turn is late, while the newer one is fetched
- * already.
+ * Each version has its own bound, counted from the time it was named. A version
+ * that is named soon after the current one replaces it. If it is named later,
+ * the current version is loaded first, or skipped by engines with a late load
+ * offset, and the newer one is already fetched meanwhile.
  *
- * Failure: a version is given up for a newer one, and the origin is lost before
- * it has sent that. Engines have neither, and may start nothing from the older
- * one's bound until the origin's return: six seconds were seen. Guard: a version
- * that no longer needs its origin is given up, or skipped, only for one that
- * doesn't either. One that still needs it is given up at once: two names that
- * come together would have both versions moved, one behind the other.
+ * A version that no longer needs its origin is replaced or skipped only for one
+ * that does not need it either. Otherwise, if the origin fails before it has
+ * sent the newer version, engines have neither and can start nothing from the
+ * older version's bound until the origin returns; this took six seconds. A
+ * version that still needs its origin is replaced at once, because two versions
+ * named together would otherwise be transferred one after the other.
  */
 export function createVersionPlan<Version extends PlannedVersion>(
   options: VersionPlanOptions<Version>,
@@ -102,10 +105,10 @@
   const {bound} = options;
   let current: Version | undefined;
   let next: Version | undefined;
-  /** When all chunks of the version in hand were there. */
+  /** When all chunks of the current version had arrived. */
   let transferredAt: MonotonicInstant | undefined;
   let engine: PlannedEngine = {served: undefined, isLoading: false};
-  /** All versions that were taken and that the engine does not serve yet. */
+  /** All added versions that are newer than the one the engine serves. */
   let unservedVersions: readonly PlannedVersion[] = [];
 
   const newest = (): number => (next ?? current)?.version ?? 0;
@@ -115,7 +118,9 @@
     return engine.served >= current.version;
   }
 
-  /** Whether the one that follows was named at most so long after this one. */
+  /**
+   * Whether the next version was named less than `limit` after the current one.
+   */
   function isFollowedWithin(limit: Milliseconds): boolean {
     if (current === undefined || next === undefined) return false;
     if (!options.isIndependentOfOrigin(next)) return false;
@@ -128,8 +133,8 @@
     isFollowedWithin(committedAge(options.place(), bound));
 
   /**
-   * One that is skipped stays for the others to fetch, until what the engine
-   * serves may start nothing more.
+   * A skipped version stays staged so that others can fetch it, until the
+   * version that the engine serves may no longer start requests.
    */
   function occupiesStaging(now: MonotonicInstant): boolean {
     if (current === undefined || isServed() || engine.isLoading) return false;
@@ -176,7 +181,9 @@
     return switchTo(next);
   }
 
-  /** From when on what the engine serves may start nothing. */
+  /**
+   * Time from which the version that the engine serves may start no requests.
+   */
   function outdatedAt(): MonotonicInstant {
     const earliest = Math.min(
       ...unservedVersions.map(({knownSince}) => knownSince),
@@ -184,7 +191,7 @@
     return earliest + bound - VERSION_BOUND_MARGIN;
   }
 
-  /** An engine that may start nothing as it is loads at once. */
+  /** An engine whose version may no longer start requests loads at once. */
   function mayLoad(now: MonotonicInstant): boolean {
     if (current === undefined || engine.isLoading || isServed()) return false;
     if (engine.served === undefined || now >= outdatedAt()) return true;
@@ -192,12 +199,12 @@
   }
 
   function loadsAt({knownSince}: Version): MonotonicInstant {
-    const moved =
+    const transferAge =
       transferredAt === undefined ? undefined : transferredAt - knownSince;
-    return knownSince + loadAge(options.place(), moved, bound);
+    return knownSince + loadAge(options.place(), transferAge, bound);
   }
 
-  /** Chunks that come this late leave no time for those of other transfers. */
+  /** Chunks that arrive this late leave no time for other transfers. */
   function isBehindSchedule(now: MonotonicInstant): boolean {
     if (current === undefined || isServed()) return false;
     return (
--- a/test/distribution/driver.test.ts
+++ b/test/distribution/driver.test.ts
@@ -32,22 +32,22 @@
 }
 
 function createMesh(count: number, version: GeneratedVersion) {
-  const names = Array.from({length: count}, (_, place) => `agent-${place}`);
-  const peers: readonly SwarmPeer[] = names.map((instance, place) => ({
+  const names = Array.from({length: count}, (_, index) => `agent-${index}`);
+  const peers: readonly SwarmPeer[] = names.map((instance, index) => ({
     instance,
-    zone: `zone-${place % 2}`,
+    zone: `zone-${index % 2}`,
     address: instance,
     incarnation: 1,
   }));
   const stores = names.map(createMemoryStore);
   const origin = {chunks: 0};
-  names.forEach((instance, place) => {
+  names.forEach((instance, index) => {
     const driver = createSwarmDriver({
       instance,
-      zone: peers[place]!.zone,
-      seed: place,
+      zone: peers[index]!.zone,
+      seed: index,
       transferBuffer: 1 << 20,
-      store: stores[place]!,
+      store: stores[index]!,
       weights: {
         async *chunk(digest) {
           origin.chunks += 1;
@@ -77,8 +77,8 @@
 });
 
 describe('swarm driver', () => {
-  test('brings a version to every agent with one copy from the origin', async () => {
-    const chunkNames = Array.from({length: 32}, (_, place) => `chunk-${place}`);
+  test('distributes a version to every agent with one copy from the origin', async () => {
+    const chunkNames = Array.from({length: 32}, (_, index) => `chunk-${index}`);
     const version = generateVersion('1', chunkNames);
     const {names, peers, stores, origin} = createMesh(8, version);
     await Promise.all([...drivers.values()].map(driver => driver.start()));
@@ -103,8 +103,8 @@
     expect(origin.chunks).toBe(32);
   });
 
-  // An agent runs out of memory. Order of events: a sender's stream for one
-  // chunk never ends. Cause: bytes are kept until the stream ends.
+  // A sender's stream for one chunk never ends. Buffering it to its end would
+  // exhaust the agent's memory.
   test('reads no more of a chunk than its size', async () => {
     let sent = 0;
     async function* endless() {
--- a/test/distribution/faults.test.ts
+++ b/test/distribution/faults.test.ts
@@ -5,16 +5,16 @@
 import {generateVersion} from './versions';
 
 function chunkNames(prefix: string, count: number): readonly string[] {
-  return Array.from({length: count}, (_, place) => `${prefix}-${place}`);
+  return Array.from({length: count}, (_, index) => `${prefix}-${index}`);
 }
 
 const version = generateVersion('1', chunkNames('chunk', 32));
 
-/** The patience of a node that has learned nothing yet. */
+/** Takeover timeout of a node without measurements. */
 const INITIAL_TAKEOVER_TIMEOUT_MS = 3_000;
 
 describe('swarm', () => {
-  test('asks the origin for each chunk once when nothing fails', () => {
+  test('requests each chunk from the origin only once if nothing fails', () => {
     fc.assert(
       fc.property(fc.nat(), fc.integer({min: 1, max: 12}), (seed, nodes) => {
         const mesh = createMesh({nodes, seed, versions: [version]});
@@ -25,10 +25,9 @@
     );
   });
 
-  // A rollout stands still for minutes. Order of events: an instance dies or
-  // freezes, and the chunks that were its turn at the origin come from no one.
-  // Cause: only one instance is to ask for each chunk.
-  test('a dead or frozen fetcher costs at most one patience', () => {
+  // Only one instance is to request each chunk from the origin. If it dies or
+  // freezes, its chunks arrive from nowhere and the rollout stalls for minutes.
+  test('a dead or frozen fetcher costs at most one takeover timeout', () => {
     fc.assert(
       fc.property(fc.nat(), fc.boolean(), (seed, frozen) => {
         const mesh = createMesh({nodes: 6, seed, versions: [version]});
@@ -36,7 +35,9 @@
           ? ({kind: 'freeze', node: 0, time: Infinity} as const)
           : ({kind: 'kill', node: 0} as const);
         expect(mesh.run([{at: 0, fault}])).toBe(true);
-        const last = Math.max(...mesh.originRequests().map(ask => ask.at));
+        const last = Math.max(
+          ...mesh.originRequests().map(request => request.at),
+        );
         expect(last).toBeLessThanOrEqual(INITIAL_TAKEOVER_TIMEOUT_MS + 600);
         expect(mesh.originRequests().length).toBeLessThanOrEqual(34);
       }),
@@ -44,10 +45,10 @@
     );
   });
 
-  // A rollout loads the network for nothing. Order of events: an instance's
-  // memory is bad, so each of its chunks fails its digest and is asked for
-  // again. Cause: it still says that it holds them. It must itself complete:
-  // the others stop asking it, but go on telling it what they hold.
+  // An instance with faulty memory announces chunks that fail their digest, so
+  // they are requested from it again and again. Once cut off it must still
+  // complete itself: the others stop requesting chunks from it but keep
+  // announcing theirs to it.
   test('a sender of bad chunks is cut off after two', () => {
     fc.assert(
       fc.property(fc.nat(), seed => {
@@ -58,10 +59,10 @@
           badSenders: [0],
         });
         expect(mesh.run()).toBe(true);
-        expect(mesh.wrongReady).toEqual([]);
+        expect(mesh.readyViolations).toEqual([]);
         expect(mesh.now()).toBeLessThan(15_000);
         for (let by = 1; by < 6; by += 1) {
-          const bad = mesh.served.filter(
+          const bad = mesh.servedUploads.filter(
             upload => upload.by === by && upload.from === 'agent-0',
           );
           expect(bad.length).toBeLessThanOrEqual(2);
@@ -71,11 +72,10 @@
     );
   });
 
-  // After an outage of the origin its link is blocked for minutes. Order of
-  // events: the origin fails, every instance's patience runs out, the origin
-  // comes back and all ask it for the same chunks. Cause: the time of the
-  // outage counted as the fetchers' fault.
-  test('an outage of the origin does not make all ask for the same', () => {
+  // The takeover timeouts of all instances expire during an origin outage. If
+  // that time counted against the fetchers, all instances would request the
+  // same chunks afterwards and block the origin's link for minutes.
+  test('an origin outage does not make all nodes request the same chunks', () => {
     fc.assert(
       fc.property(fc.nat(), fc.integer({min: 10, max: 40}), (seed, at) => {
         const mesh = createMesh({nodes: 8, seed, versions: [version]});
@@ -83,14 +83,14 @@
         expect(mesh.run([{at, fault: outage}])).toBe(true);
         const served = mesh
           .originRequests()
-          .filter(ask => ask.at < at || ask.at >= at + outage.time);
+          .filter(request => request.at < at || request.at >= at + outage.time);
         expect(served.length).toBeLessThanOrEqual(38);
       }),
       propertySettings(15),
     );
   });
 
-  test('a node that joins late fetches nothing more from the origin', () => {
+  test('a node that joins late fetches nothing from the origin', () => {
     fc.assert(
       fc.property(fc.nat(), seed => {
         const mesh = createMesh({nodes: 6, seed, versions: [version]});
@@ -107,7 +107,7 @@
     );
   });
 
-  test('keeps the chunks that a superseding version shares', () => {
+  test('keeps the chunks that it shares with a superseding version', () => {
     const next = generateVersion('2', [
       ...chunkNames('chunk', 24),
       ...chunkNames('new', 8),
@@ -123,7 +123,7 @@
     );
   });
 
-  test('completes from the swarm alone while the origin is down for ever', () => {
+  test('completes from the swarm alone while the origin stays down', () => {
     fc.assert(
       fc.property(fc.nat(), seed => {
         const mesh = createMesh({nodes: 6, seed, versions: [version]});
@@ -146,10 +146,10 @@
         const zoneOf = new Map(
           mesh.nodes.map(({instance, zone}) => [instance, zone]),
         );
-        const across = mesh.asks.filter(
-          ask =>
-            ask.from !== 'origin' &&
-            zoneOf.get(ask.from) !== mesh.nodes[ask.by]!.zone,
+        const across = mesh.chunkRequests.filter(
+          request =>
+            request.from !== 'origin' &&
+            zoneOf.get(request.from) !== mesh.nodes[request.by]!.zone,
         );
         expect(across.length / 32).toBeLessThanOrEqual(2.5);
       }),
--- a/test/distribution/grpc_chunks.test.ts
+++ b/test/distribution/grpc_chunks.test.ts
@@ -22,7 +22,9 @@
 
 const PIECE_BYTES = 64 * 1024;
 
-/** Flow-control windows and socket buffers between two processes. */
+/**
+ * Limit for the flow-control windows and socket buffers between two processes.
+ */
 const MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
 const closers: (() => void)[] = [];
@@ -57,7 +59,7 @@
 }
 
 describe('chunks over gRPC', () => {
-  test('a slow reader holds the sender back', async () => {
+  test('a slow reader slows down the sender', async () => {
     let sentBytes = 0;
     async function* endless() {
       while (sentBytes < 64 * MAX_BUFFERED_BYTES) {
@@ -83,7 +85,7 @@
     {kind: 'busy', retryAfter: 250},
     {kind: 'notHeld'},
     {kind: 'unavailable'},
-  ])('carries the refusal $kind to the reader', async failure => {
+  ])('forwards the refusal $kind to the reader', async failure => {
     const client = await serve(async () => Err(failure));
     const {signal} = new AbortController();
     const seen = [];
@@ -93,10 +95,10 @@
     expect(seen).toEqual([failure]);
   });
 
-  // A rollout copies chunks twice. Order of events: a chunk waits in a long
-  // queue, its reader takes the sender for frozen and asks another. Cause: a
-  // queue is as silent as a frozen sender.
-  test('gives signs of life while a chunk waits for its slot', async () => {
+  // A chunk that waits in a long queue is as silent as a frozen sender. Without
+  // keep-alive pieces its reader would request it from another sender, and the
+  // rollout would copy it twice.
+  test('sends keep-alive pieces while a chunk waits for its slot', async () => {
     let admit = () => {};
     const admitted = new Promise<void>(resolve => (admit = resolve));
     async function* chunk() {
@@ -116,11 +118,11 @@
     expect(rest.join('')).toBe('bytes');
   });
 
-  test('tells the sender who asks, and that the reader is gone', async () => {
-    let asker = '';
+  test('reports the reader to the sender, and when it is gone', async () => {
+    let reader = '';
     let isGone = false;
     const client = await serve(async (instance, _digest, signal) => {
-      asker = instance;
+      reader = instance;
       await new Promise(resolve => signal.addEventListener('abort', resolve));
       isGone = true;
       return Err({kind: 'unavailable'});
@@ -128,10 +130,10 @@
     const controller = new AbortController();
     const pieces = fetchChunkOver(client, 'agent-7', 'd', controller.signal);
     const first = pieces.next();
-    while (asker === '') await sleep(5);
+    while (reader === '') await sleep(5);
     controller.abort();
     await first;
     while (!isGone) await sleep(5);
-    expect(asker).toBe('agent-7');
+    expect(reader).toBe('agent-7');
   });
 });
--- a/test/distribution/invariants.test.ts
+++ b/test/distribution/invariants.test.ts
@@ -8,7 +8,7 @@
 const NODES = 5;
 const node = fc.nat({max: NODES - 1});
 
-/** Faults that leave at least one path to every chunk: the origin. */
+/** Faults that leave at least one source of every chunk: the origin. */
 const fault: fc.Arbitrary<Fault> = fc.oneof(
   fc.record({kind: fc.constant('kill' as const), node}),
   fc.record({
@@ -39,7 +39,7 @@
 });
 
 function chunkNames(prefix: string, count: number): readonly string[] {
-  return Array.from({length: count}, (_, place) => `${prefix}-${place}`);
+  return Array.from({length: count}, (_, index) => `${prefix}-${index}`);
 }
 
 const first = generateVersion('1', chunkNames('shared', 16));
@@ -49,11 +49,10 @@
 ]);
 
 describe('swarm under any faults', () => {
-  // A counter's assistant answers from half an old and half a new version, or
-  // from bytes that a bad link changed. Order of events: chunks arrive bad,
-  // crossed, doubled or late, versions change and engines restart while
-  // transfers run. Cause: counting a chunk that this store does not hold.
-  test('no node is ready with partial, mixed or wrong weights', () => {
+  // Chunks arrive corrupted, misrouted, duplicated or late while versions
+  // change and engines restart. Counting a chunk that the store does not hold
+  // would serve a mix of versions or corrupted weights.
+  test('no node is ready with partial, mixed or corrupted weights', () => {
     fc.assert(
       fc.property(fc.nat(), faults, (seed, list) => {
         const mesh = createMesh({
@@ -62,16 +61,16 @@
           versions: [first, second],
         });
         mesh.run(list);
-        expect(mesh.wrongReady).toEqual([]);
+        expect(mesh.readyViolations).toEqual([]);
       }),
       propertySettings(150),
     );
   });
 
-  // A rollout stays at 97% for ever on one instance. Order of events: agents
-  // die, freeze, restart and lose sessions while the origin comes and goes.
-  // Cause: a chunk that waits for a sender which will never send it.
-  test('every live node gets the version while the origin answers', () => {
+  // Agents die, freeze, restart and lose sessions while the origin goes down
+  // and returns. A chunk that waits for a sender that never sends it would
+  // leave a rollout at, for example, 97% forever.
+  test('every live node gets the version if the origin answers', () => {
     fc.assert(
       fc.property(fc.nat(), faults, (seed, list) => {
         const mesh = createMesh({
@@ -85,9 +84,9 @@
     );
   });
 
-  // A node freezes for good and then, for the machine, a second time and
-  // shortly. It is lost; the others get the version without it.
-  test('a node that is frozen for good is not woken by a shorter freeze', () => {
+  // A second, shorter freeze of a permanently frozen node must not wake it up.
+  // That node is lost; the others get the version without it.
+  test('a permanently frozen node is not woken by a shorter freeze', () => {
     const mesh = createMesh({nodes: NODES, seed: 0, versions: [first, second]});
     const freeze = {kind: 'freeze', node: 3} as const;
     const isComplete = mesh.run([
@@ -98,13 +97,13 @@
     expect(mesh.nodes[3]!.frozenUntil).toBe(Infinity);
   });
 
-  test('a late confirmation of a restarted engine counts for nothing', () => {
+  test('a late confirmation from before an engine restart is ignored', () => {
     fc.assert(
       fc.property(fc.nat(), fc.nat({max: 400}), (seed, at) => {
         const mesh = createMesh({nodes: 3, seed, versions: [first]});
         const restart = {kind: 'restartEngine', node: 0} as const;
         expect(mesh.run([{at, fault: restart}])).toBe(true);
-        expect(mesh.wrongReady).toEqual([]);
+        expect(mesh.readyViolations).toEqual([]);
       }),
       propertySettings(100),
     );
--- a/test/distribution/load_offsets.test.ts
+++ b/test/distribution/load_offsets.test.ts
@@ -19,22 +19,22 @@
   return members.map(member => loadOffset(member, members));
 }
 
-// All engines of a zone load at once, and its callers are refused until they
-// are done.
-test('the loads of each zone are spread over the whole time', () => {
+// If all engines of a zone load at the same time, requests to that zone are
+// refused until they are done.
+test('the loads of each zone are spread over the whole load period', () => {
   const sites = fc.array(fc.constantFrom('north', 'south', 'west'), {
     minLength: 2,
     maxLength: 30,
   });
   fc.assert(
     fc.property(sites, zones => {
-      const places = offsetsOf(zones);
+      const offsets = offsetsOf(zones);
       for (const zone of new Set(zones)) {
-        const own = places.filter((_place, index) => zones[index] === zone);
+        const own = offsets.filter((_place, index) => zones[index] === zone);
         own.sort((one, other) => one - other);
-        own.forEach((place, turn) => {
-          expect(place).toBeGreaterThanOrEqual(turn / own.length);
-          expect(place).toBeLessThan((turn + 1) / own.length);
+        own.forEach((offset, turn) => {
+          expect(offset).toBeGreaterThanOrEqual(turn / own.length);
+          expect(offset).toBeLessThan((turn + 1) / own.length);
         });
       }
     }),
@@ -46,21 +46,21 @@
   expect(offsetsOf(['north', 'south'])).toEqual([0, 0.5]);
 });
 
-test('the first one loads when its chunks are there', () => {
+test('the first engine loads as soon as its chunks have arrived', () => {
   expect(loadAge(0, 3_700, BOUND)).toBe(3_700);
 });
 
-test('the last one begins within the bound', () => {
+test('the last engine starts its load within the bound', () => {
   expect(loadAge(0.99, 4_000, BOUND)).toBeLessThan(0.9 * BOUND);
 });
 
-// Chunks came late, since the origin was away. Waiting for a turn would only
-// put the load off beyond the bound.
-test('who has its chunks late loads at once', () => {
+// Chunks arrive late after an origin outage. Waiting for the load offset would
+// only delay the load beyond the bound.
+test('an engine whose chunks arrive late loads at once', () => {
   expect(loadAge(0.9, 7_900, BOUND)).toBe(7_900);
 });
 
-test('later places are committed later', () => {
+test('a version is committed later on engines with a later offset', () => {
   expect(committedAge(0, BOUND)).toBe(2_400);
   expect(committedAge(0.9, BOUND)).toBeGreaterThan(committedAge(0.1, BOUND));
 });
--- a/test/distribution/manifest.test.ts
+++ b/test/distribution/manifest.test.ts
@@ -10,23 +10,23 @@
 }
 
 describe('manifest check', () => {
-  test('accepts a whole manifest', () => {
+  test('accepts a valid manifest', () => {
     expect(faultsOf(manifest)).toEqual([]);
   });
 
-  test('refuses a missing version', () => {
+  test('rejects a missing version', () => {
     expect(faultsOf(undefined)).toEqual(['versionMissing']);
   });
 
-  test('refuses a manifest whose digest is another', () => {
+  test('rejects a manifest with a different digest', () => {
     expect(faultsOf({...manifest, label: '2'})).toEqual(['wrongDigest']);
   });
 
-  test('refuses a manifest without chunks', () => {
+  test('rejects a manifest without chunks', () => {
     expect(faultsOf({...manifest, chunks: []})).toContain('noChunks');
   });
 
-  test('lists every fault of the chunks with its position', () => {
+  test('reports every chunk fault with its position', () => {
     const [first, second] = manifest.chunks;
     const checked = checkManifest(
       versionDigest,
@@ -51,9 +51,9 @@
     ]);
   });
 
-  test('refuses too many chunks and too large a version', () => {
-    const chunks = Array.from({length: 65_537}, (_, place) => ({
-      digest: `sha256:${place.toString(16).padStart(64, '0')}`,
+  test('rejects too many chunks and a version that is too large', () => {
+    const chunks = Array.from({length: 65_537}, (_, index) => ({
+      digest: `sha256:${index.toString(16).padStart(64, '0')}`,
       size: 256 * 1024 * 1024,
     }));
     const found = faultsOf({...manifest, chunks});
--- a/test/distribution/mesh.ts
+++ b/test/distribution/mesh.ts
@@ -10,17 +10,15 @@
 import type {MeshRequest, Fault, MeshNode, MeshOptions} from './mesh_types';
 import type {GeneratedVersion} from './versions';
 
-/** Longest simulated time before a mesh counts as stuck, in milliseconds. */
+/** Max simulated time before a mesh counts as stuck, in milliseconds. */
 const MAX_RUN_MS = 900_000;
 
-/** Pure swarm nodes joined by links that lose, delay, double and cross. */
+/**
+ * Connects swarm nodes by simulated links that lose, delay, duplicate and
+ * misroute messages.
+ */
 export function createMesh(options: MeshOptions) {
-  const {
-    now,
-    randomBelow: draw,
-    schedule: later,
-    runUntil,
-  } = createMeshClock(options.seed);
+  const {now, randomBelow, schedule, runUntil} = createMeshClock(options.seed);
   const chunkRequests: MeshRequest[] = [];
   const cutOffs: {by: number; neighbour: InstanceName}[] = [];
   const readyViolations: string[] = [];
@@ -35,12 +33,12 @@
   let nextUpload = 1;
 
   const names = Array.from({length: options.nodes}, (_, i) => `agent-${i}`);
-  const nodes: MeshNode[] = names.map((instance, place) => {
-    const zone = `zone-${place % (options.zones ?? 2)}`;
+  const nodes: MeshNode[] = names.map((instance, index) => {
+    const zone = `zone-${index % (options.zones ?? 2)}`;
     return {
       instance,
       zone,
-      node: createNode(instance, zone, place),
+      node: createNode(instance, zone, index),
       agentIncarnation: 0,
       storeIncarnation: 0,
       store: new Map(),
@@ -62,44 +60,53 @@
     });
   }
 
-  /** Delivers to one life of a node; a frozen node gets it when it wakes. */
-  function dispatch(place: number, life: number, event: SwarmEvent): void {
-    const target = nodes[place]!;
-    if (!target.alive || target.agentIncarnation !== life) return;
+  /**
+   * Delivers an event to one incarnation of a node; a frozen node receives it
+   * when it wakes up.
+   */
+  function dispatch(
+    index: number,
+    incarnation: number,
+    event: SwarmEvent,
+  ): void {
+    const target = nodes[index]!;
+    if (!target.alive || target.agentIncarnation !== incarnation) return;
     if (target.frozenUntil > now()) {
       if (target.frozenUntil === Infinity) return;
-      later(target.frozenUntil - now(), () => dispatch(place, life, event));
+      schedule(target.frozenUntil - now(), () =>
+        dispatch(index, incarnation, event),
+      );
       return;
     }
     for (const effect of target.node.handle(event, now())) {
-      runEffect(place, effect);
+      runEffect(index, effect);
     }
     const at = target.node.nextWakeUp();
     if (at === undefined || at === target.wakeUp) return;
     target.wakeUp = at;
-    later(Math.max(1, at - now()), () => {
+    schedule(Math.max(1, at - now()), () => {
       target.wakeUp = Infinity;
-      dispatch(place, life, {kind: 'tick'});
+      dispatch(index, incarnation, {kind: 'tick'});
     });
   }
 
   function deliver(
-    place: number,
-    life: number,
+    index: number,
+    incarnation: number,
     transfer: number,
     digest: Digest,
-    good: boolean,
+    isIntact: boolean,
   ): void {
-    const isBad = !good || consumeFault('corrupt');
+    const isBad = !isIntact || consumeFault('corrupt');
     const other = [...options.versions[0]!.content.keys()][0]!;
     const arriving = consumeFault('cross') ? other : digest;
     const bytes = isBad ? 'bad' : arriving;
     const times = consumeFault('double') ? 2 : 1;
-    const delay = consumeFault('late') ? 20_000 : 5 + draw(20);
+    const delay = consumeFault('late') ? 20_000 : 5 + randomBelow(20);
     for (let time = 0; time < times; time += 1) {
-      later(delay + time * 50, () => {
-        nodes[place]!.pieces.set(transfer, bytes);
-        dispatch(place, life, {
+      schedule(delay + time * 50, () => {
+        nodes[index]!.pieces.set(transfer, bytes);
+        dispatch(index, incarnation, {
           kind: 'chunkArrived',
           transfer,
           digest: arriving,
@@ -116,42 +123,42 @@
   }
 
   function fail(
-    place: number,
-    life: number,
+    index: number,
+    incarnation: number,
     transfer: number,
     failure: RequestFailure,
   ): void {
     const event = {kind: 'requestFailed', transfer, failure} as const;
-    later(2 + draw(5), () => dispatch(place, life, event));
+    schedule(2 + randomBelow(5), () => dispatch(index, incarnation, event));
   }
 
-  function runEffect(place: number, effect: SwarmEffect): void {
-    const own = nodes[place]!;
-    const life = own.agentIncarnation;
+  function runEffect(index: number, effect: SwarmEffect): void {
+    const own = nodes[index]!;
+    const incarnation = own.agentIncarnation;
     switch (effect.kind) {
       case 'askOrigin': {
         const {transfer, digest} = effect;
-        chunkRequests.push({at: now(), by: place, from: 'origin', digest});
+        chunkRequests.push({at: now(), by: index, from: 'origin', digest});
         if (originDownUntil > now()) {
-          fail(place, life, transfer, {kind: 'unavailable'});
-        } else deliver(place, life, transfer, digest, true);
+          fail(index, incarnation, transfer, {kind: 'unavailable'});
+        } else deliver(index, incarnation, transfer, digest, true);
         return;
       }
       case 'askNeighbour': {
         const {transfer, digest, neighbour} = effect;
-        chunkRequests.push({at: now(), by: place, from: neighbour, digest});
+        chunkRequests.push({at: now(), by: index, from: neighbour, digest});
         const sender = names.indexOf(neighbour);
-        later(1 + draw(5), () => {
+        schedule(1 + randomBelow(5), () => {
           const target = nodes[sender]!;
           if (!target.alive) {
-            fail(place, life, transfer, {kind: 'unavailable'});
+            fail(index, incarnation, transfer, {kind: 'unavailable'});
             return;
           }
           const upload = nextUpload;
           nextUpload += 1;
           uploads.set(`${sender}:${upload}`, {
-            by: place,
-            life,
+            by: index,
+            life: incarnation,
             transfer,
             digest,
           });
@@ -165,32 +172,40 @@
         return;
       }
       case 'startUpload': {
-        const upload = uploads.get(`${place}:${effect.upload}`)!;
-        const good = options.badSenders?.includes(place) !== true;
+        const upload = uploads.get(`${index}:${effect.upload}`)!;
+        const isIntact = options.badSenders?.includes(index) !== true;
         servedUploads.push({by: upload.by, from: own.instance});
-        deliver(upload.by, upload.life, upload.transfer, upload.digest, good);
+        deliver(
+          upload.by,
+          upload.life,
+          upload.transfer,
+          upload.digest,
+          isIntact,
+        );
         const reads = nodes[upload.by]!.frozenUntil <= now();
         if (!reads) return;
         const ended = {kind: 'uploadEnded', upload: effect.upload} as const;
-        later(25, () => dispatch(place, life, ended));
+        schedule(25, () => dispatch(index, incarnation, ended));
         return;
       }
       case 'refuseUpload': {
-        const upload = uploads.get(`${place}:${effect.upload}`)!;
+        const upload = uploads.get(`${index}:${effect.upload}`)!;
         fail(upload.by, upload.life, upload.transfer, effect.failure);
         return;
       }
       case 'storeChunk': {
         const bytes = own.pieces.get(effect.transfer)!;
         const {digest, life: storeLife} = effect;
-        later(1 + draw(20), () => {
+        schedule(1 + randomBelow(20), () => {
           own.store.set(digest, bytes);
           const stored = {
             kind: 'chunkStored',
             digest,
             life: storeLife,
           } as const;
-          later(1 + draw(20), () => dispatch(place, life, stored));
+          schedule(1 + randomBelow(20), () =>
+            dispatch(index, incarnation, stored),
+          );
         });
         return;
       }
@@ -198,21 +213,21 @@
         const {versionDigest, gained} = effect;
         for (const neighbour of effect.neighbours) {
           const target = names.indexOf(neighbour);
-          const targetLife = nodes[target]!.agentIncarnation;
+          const targetIncarnation = nodes[target]!.agentIncarnation;
           const have = {
             kind: 'neighbourHave',
             neighbour: own.instance,
             versionDigest,
             gained,
           } as const;
-          later(3, () => dispatch(target, targetLife, have));
+          schedule(3, () => dispatch(target, targetIncarnation, have));
         }
         return;
       }
       case 'ready':
         return checkReady(own, effect.versionDigest);
       case 'cutOff':
-        cutOffs.push({by: place, neighbour: effect.neighbour});
+        cutOffs.push({by: index, neighbour: effect.neighbour});
         return;
       case 'cancel':
       case 'stopUpload':
@@ -231,26 +246,26 @@
     }
   }
 
-  function startNode(place: number): void {
-    const own = nodes[place]!;
-    const life = own.agentIncarnation;
-    dispatch(place, life, {kind: 'membersChanged', members: nodes});
-    reportHeld(place);
-    want(place, options.versions[current]!);
+  function startNode(index: number): void {
+    const own = nodes[index]!;
+    const incarnation = own.agentIncarnation;
+    dispatch(index, incarnation, {kind: 'membersChanged', members: nodes});
+    reportHeld(index);
+    want(index, options.versions[current]!);
   }
 
-  function reportHeld(place: number): void {
-    const own = nodes[place]!;
+  function reportHeld(index: number): void {
+    const own = nodes[index]!;
     const report = {
       kind: 'heldReported',
       life: String(own.storeIncarnation),
       digests: [...own.store.keys()],
     } as const;
-    dispatch(place, own.agentIncarnation, report);
+    dispatch(index, own.agentIncarnation, report);
   }
 
-  function want(place: number, version: GeneratedVersion): void {
-    dispatch(place, nodes[place]!.agentIncarnation, {
+  function want(index: number, version: GeneratedVersion): void {
+    dispatch(index, nodes[index]!.agentIncarnation, {
       kind: 'versionWanted',
       versionDigest: version.versionDigest,
       manifest: version.manifest,
@@ -259,26 +274,28 @@
     });
   }
 
-  function endSession(place: number, other: number): void {
-    const own = nodes[place]!;
-    const life = own.agentIncarnation;
+  function endSession(index: number, other: number): void {
+    const own = nodes[index]!;
+    const incarnation = own.agentIncarnation;
     const neighbour = names[other]!;
-    later(2, () => dispatch(place, life, {kind: 'neighbourGone', neighbour}));
-    later(50, () => {
+    schedule(2, () =>
+      dispatch(index, incarnation, {kind: 'neighbourGone', neighbour}),
+    );
+    schedule(50, () => {
       if (!nodes[other]!.alive) return;
-      dispatch(place, life, {kind: 'neighbourConnected', neighbour});
+      dispatch(index, incarnation, {kind: 'neighbourConnected', neighbour});
     });
   }
 
-  function loseSessions(place: number): void {
+  function loseSessions(index: number): void {
     names.forEach((_name, other) => {
-      if (other !== place) endSession(other, place);
+      if (other !== index) endSession(other, index);
     });
   }
 
   /**
-   * Freezes overlap: the later end counts. What reaches a node that is frozen
-   * for ever is lost, so such a freeze must not be cut short by another one.
+   * If freezes overlap, the later end counts. Messages to a node that is frozen
+   * forever are lost, so another freeze must not shorten such a freeze.
    */
   function freeze(own: MeshNode, until: number): void {
     own.frozenUntil = Math.max(own.frozenUntil, until);
@@ -300,7 +317,7 @@
         own.node = createNode(own.instance, own.zone, fault.node);
         own.ready.clear();
         loseSessions(fault.node);
-        later(10 + draw(100), () => startNode(fault.node));
+        schedule(10 + randomBelow(100), () => startNode(fault.node));
         return;
       }
       case 'restartEngine': {
@@ -321,11 +338,14 @@
         if (current + 1 >= options.versions.length) return;
         current += 1;
         const {versionDigest} = old;
-        nodes.forEach((_node, place) => {
-          later(draw(200), () => {
-            const life = nodes[place]!.agentIncarnation;
-            dispatch(place, life, {kind: 'versionSuperseded', versionDigest});
-            want(place, options.versions[current]!);
+        nodes.forEach((_node, index) => {
+          schedule(randomBelow(200), () => {
+            const incarnation = nodes[index]!.agentIncarnation;
+            dispatch(index, incarnation, {
+              kind: 'versionSuperseded',
+              versionDigest,
+            });
+            want(index, options.versions[current]!);
           });
         });
         return;
@@ -357,10 +377,12 @@
   function run(
     faults: readonly {readonly at: number; readonly fault: Fault}[] = [],
   ): boolean {
-    names.forEach((_name, place) => later(draw(10), () => startNode(place)));
+    names.forEach((_name, index) =>
+      schedule(randomBelow(10), () => startNode(index)),
+    );
     let left = faults.length;
     for (const {at, fault} of faults) {
-      later(at, () => {
+      schedule(at, () => {
         left -= 1;
         inject(fault);
       });
@@ -371,12 +393,13 @@
   return {
     nodes,
     names,
-    asks: chunkRequests,
+    chunkRequests,
     cutOffs,
-    served: servedUploads,
-    wrongReady: readyViolations,
+    servedUploads,
+    readyViolations,
     run,
     now,
-    originRequests: () => chunkRequests.filter(ask => ask.from === 'origin'),
+    originRequests: () =>
+      chunkRequests.filter(request => request.from === 'origin'),
   };
 }
--- a/test/distribution/mesh_clock.ts
+++ b/test/distribution/mesh_clock.ts
@@ -1,16 +1,24 @@
 import {hash32} from '@hibiscusbeam/core';
 
-/** Time and chance of a mesh: its own queue of events, and seeded draws. */
+/**
+ * Simulated time and randomness of a mesh: an event queue and a seeded random
+ * number generator.
+ */
 export interface MeshClock {
   readonly now: () => number;
-  /** A number from 0 to `range`, exclusive. */
+  /** Returns a random integer from 0 to `range`, exclusive. */
   readonly randomBelow: (range: number) => number;
   readonly schedule: (delay: number, run: () => void) => void;
-  /** Runs events until `isDone`; false if none is left, or at `longest`. */
+  /**
+   * Runs events until `isDone`; returns false if no event is left or the time
+   * `longest` is reached.
+   */
   readonly runUntil: (isDone: () => boolean, longest: number) => boolean;
 }
 
-/** Creates a clock at 0 whose draws depend on `seed` alone. */
+/**
+ * Creates a clock that starts at 0. Its random numbers depend on `seed` alone.
+ */
 export function createMeshClock(seed: number): MeshClock {
   const queue: {at: number; order: number; run: () => void}[] = [];
   let now = 0;
--- a/test/distribution/mesh_types.ts
+++ b/test/distribution/mesh_types.ts
@@ -7,7 +7,7 @@
 } from '@hibiscusbeam/core';
 import type {GeneratedVersion} from './versions';
 
-/** Something that goes wrong at one instant. */
+/** A fault that is injected at one point in time. */
 export type Fault =
   | {readonly kind: 'kill'; readonly node: number}
   | {readonly kind: 'freeze'; readonly node: number; readonly time: number}
@@ -18,16 +18,19 @@
   | {readonly kind: 'supersede'}
   | {readonly kind: 'corruptNext' | 'crossNext' | 'doubleNext' | 'lateNext'};
 
-/** A mesh and what is wrong with it from the start. */
+/** Size, seed, versions and permanent faults of a mesh. */
 export interface MeshOptions {
   readonly nodes: number;
   readonly zones?: number;
   readonly seed: number;
-  /** The first is wanted at the start, each next one at a `supersede`. */
+  /**
+   * The first version is wanted from the start, the next one after each
+   * `supersede`.
+   */
   readonly versions: readonly GeneratedVersion[];
   readonly prefer?: RolloutPreference;
   readonly node?: Partial<SwarmNodeOptions>;
-  /** Nodes that send only bad chunks. */
+  /** Nodes that send only corrupted chunks. */
   readonly badSenders?: readonly number[];
 }
 
@@ -36,10 +39,13 @@
   readonly instance: InstanceName;
   readonly zone: string;
   node: SwarmNode;
-  /** Counts restarts of the agent: messages for an older life are lost. */
+  /**
+   * Counts the restarts of the agent; messages for an earlier incarnation are
+   * lost.
+   */
   agentIncarnation: number;
   storeIncarnation: number;
-  /** Bytes as stored, by the digest that they were stored under. */
+  /** Stored bytes, by the digest that they were stored under. */
   store: Map<Digest, string>;
   alive: boolean;
   frozenUntil: number;
--- a/test/distribution/node.test.ts
+++ b/test/distribution/node.test.ts
@@ -4,16 +4,16 @@
 
 const version = generateVersion(
   '1',
-  Array.from({length: 32}, (_, place) => `chunk-${place}`),
+  Array.from({length: 32}, (_, position) => `chunk-${position}`),
 );
 
-/** The stall time of a node that has learned nothing yet. */
+/** Stall timeout of a node without measurements. */
 const INITIAL_STALL_TIMEOUT_MS = 3_000;
 
 describe('swarm node', () => {
-  // A rollout stays at 99%. Order of events: a sender freezes in the middle of
-  // a chunk with its connection open. Cause: nothing ends that download.
-  test('a chunk on a frozen link is asked of another after a stall time', () => {
+  // A sender freezes in the middle of a chunk and keeps its connection open.
+  // Unless that download is abandoned, the rollout stalls at 99%.
+  test('a chunk on a frozen link is requested from another sender after the stall timeout', () => {
     const digest = version.manifest.chunks[0]!.digest;
     const node = startNode(['a', 'b']);
     dispatch(node, {kind: 'neighbourHave', neighbour: 'a', ...have([0])}, 10);
@@ -33,9 +33,9 @@
     );
   });
 
-  // An answer on a shared connection belongs to another request. Cause: its
-  // bytes are whole, so only the digest asked for tells that it is crossed.
-  test('a crossed chunk is not stored for the one asked for', () => {
+  // A response on a shared connection may belong to another request. Its bytes
+  // are intact, so only the requested digest reveals the mix-up.
+  test('a misrouted chunk is not stored as the requested one', () => {
     const node = startNode(['a']);
     dispatch(node, {kind: 'neighbourHave', neighbour: 'a', ...have([0])}, 10);
     const digest = version.manifest.chunks[1]!.digest;
@@ -47,7 +47,7 @@
     expect(effects).toEqual([]);
   });
 
-  test('a download of a shared chunk goes on when the version changes', () => {
+  test('a download of a shared chunk continues when the version changes', () => {
     const node = startNode(['a']);
     const next = generateVersion('2', ['chunk-0', 'new']);
     dispatch(node, {kind: 'neighbourHave', neighbour: 'a', ...have([0])}, 10);
@@ -64,12 +64,14 @@
     expect(node.dump().downloads.length).toBe(1);
   });
 
-  // A new instance costs the origin a part of a copy. Order of events: it
-  // joins when all others hold the version, and hears so a moment later.
-  test('hears its neighbours before it asks the origin', () => {
+  // An instance that joins when all others hold the version learns so slightly
+  // later. If it did not wait, it would fetch part of a copy from the origin.
+  test('learns what its neighbours hold before it sends requests to the origin', () => {
     const node = startNode(['a', 'b'], {holders: ['self', 'a', 'b']});
     expect(node.dump().downloads).toEqual([]);
-    const all = have(version.manifest.chunks.map((_chunk, place) => place));
+    const all = have(
+      version.manifest.chunks.map((_chunk, position) => position),
+    );
     dispatch(node, {kind: 'neighbourHave', neighbour: 'a', ...all}, 100);
     dispatch(node, {kind: 'neighbourHave', neighbour: 'b', ...all}, 110);
     dispatch(node, {kind: 'tick'}, 1_000);
@@ -77,9 +79,10 @@
     expect(senders).toEqual(['a', 'b']);
   });
 
-  // An instance whose memory spoils what it sends never completes. Order of
-  // events: its neighbours cut it off. Cause: they stop telling it, too.
-  test('still tells what it holds to a sender that it cut off', () => {
+  // An instance whose memory corrupts what it sends is cut off by its
+  // neighbours. If they also stopped announcing chunks to it, it would never
+  // complete.
+  test('still announces its chunks to a sender that it cut off', () => {
     const node = startNode(['a', 'b']);
     dispatch(
       node,
@@ -103,11 +106,11 @@
     );
   });
 
-  test('holds no more chunks in memory than its buffer takes', () => {
+  test('keeps no more chunks in memory than fit its buffer', () => {
     const node = startNode([], {transferBuffer: 128, holders: ['self']});
-    const asked = dispatch(node, {kind: 'tick'}, 1_000);
+    const requested = dispatch(node, {kind: 'tick'}, 1_000);
     const started = node.dump().downloads.length;
-    expect(asked.length).toBeLessThanOrEqual(2);
+    expect(requested.length).toBeLessThanOrEqual(2);
     expect(started).toBe(2);
     for (let transfer = 1; transfer <= 2; transfer += 1) {
       const digest = node.dump().downloads[0]!.digest;
@@ -120,52 +123,52 @@
     expect(node.dump().downloads).toEqual([]);
   });
 
-  // After an outage nothing moves although the origin answers. Order of
-  // events: all ask at once, so each download is slow; all give up and start
-  // over. Cause: the time until giving up did not grow.
-  test('gives a slow origin more time after each download given up', () => {
+  // After an outage all nodes send requests to the origin at once, so each
+  // download is slow. If the timeout did not grow, all would cancel and restart
+  // forever.
+  test('gives a slow origin more time after each cancelled download', () => {
     const node = startNode([], {transferBuffer: 64, holders: ['self']});
-    const asks: number[] = [];
+    const times: number[] = [];
     for (let at = 0; at <= 60_000; at += 100) {
       const effects = dispatch(node, {kind: 'tick'}, at);
-      if (effects.some(effect => effect.kind === 'askOrigin')) asks.push(at);
+      if (effects.some(effect => effect.kind === 'askOrigin')) times.push(at);
     }
-    expect(asks).toEqual([6_000, 18_000, 42_000]);
+    expect(times).toEqual([6_000, 18_000, 42_000]);
   });
 
-  // An update of a few chunks takes as long as a whole version. Cause: chunks
-  // that all hold already keep their turns at the origin.
-  test('waits for no turns of chunks that it holds', () => {
+  // If chunks that all nodes already hold kept their slots in the request
+  // order, an update of a few chunks would take as long as a complete version.
+  test('does not wait for the request slots of chunks that it holds', () => {
     const digests = version.manifest.chunks.map(chunk => chunk.digest);
     const node = startNode([], {
       holders: ['self'],
       held: digests.slice(4),
       originBytesPerSecond: 64,
     });
-    const asked: string[] = [];
+    const requested: string[] = [];
     for (let at = 0; at <= 3_000; at += 100) {
       for (const effect of dispatch(node, {kind: 'tick'}, at)) {
         if (effect.kind !== 'askOrigin') continue;
         const {transfer, digest} = effect;
-        asked.push(digest);
+        requested.push(digest);
         const whole = {transfer, digest, verified: true} as const;
         dispatch(node, {kind: 'chunkArrived', ...whole}, at);
       }
     }
-    expect(new Set(asked).size).toBe(3);
+    expect(new Set(requested).size).toBe(3);
   });
 
-  // One instance that stops reading slows all its neighbours. Order of events:
-  // it asks for a chunk, freezes, and its upload keeps a slot. Cause: an open
-  // stream alone counts as an upload in progress.
+  // A neighbour requests a chunk and freezes. If the open stream counted as an
+  // upload in progress, it would occupy the slot and slow down all other
+  // neighbours.
   test('stops an upload that the other side does not read', () => {
     const digests = version.manifest.chunks.map(chunk => chunk.digest);
     const node = startNode(['a', 'b', 'c'], {held: digests, uploadSlots: 1});
     const digest = digests[0]!;
-    const ask = (upload: number, neighbour: string) =>
+    const request = (upload: number, neighbour: string) =>
       dispatch(node, {kind: 'uploadAsked', upload, neighbour, digest}, 10);
-    expect(ask(1, 'a')).toEqual([{kind: 'startUpload', upload: 1}]);
-    expect(ask(2, 'b')).toEqual([]);
+    expect(request(1, 'a')).toEqual([{kind: 'startUpload', upload: 1}]);
+    expect(request(2, 'b')).toEqual([]);
     expect(
       dispatch(node, {kind: 'tick'}, 10 + INITIAL_STALL_TIMEOUT_MS),
     ).toEqual([
@@ -174,27 +177,27 @@
     ]);
   });
 
-  test('tells a neighbour again that has lost its chunks', () => {
+  test('announces its chunks again to a neighbour that has lost its own', () => {
     const digests = version.manifest.chunks.map(chunk => chunk.digest);
     const node = startNode(['a'], {held: digests});
     dispatch(node, {kind: 'neighbourHave', neighbour: 'a', ...have([3])}, 5);
-    const ask = {
+    const request = {
       kind: 'uploadAsked',
       upload: 1,
       neighbour: 'a',
       digest: digests[3]!,
     } as const;
-    expect(dispatch(node, ask, 10)).toContainEqual(
+    expect(dispatch(node, request, 10)).toContainEqual(
       expect.objectContaining({kind: 'announce', neighbours: ['a']}),
     );
   });
 
-  test('leaves its slots to live requests while they queue', () => {
+  test('leaves its slots to live requests while these are queued', () => {
     const node = startNode(['a', 'b', 'c', 'd']);
     const load = {running: 4, queued: 4, slots: 4};
     dispatch(node, {kind: 'liveRequestLoad', ...load}, 1);
-    ['a', 'b', 'c', 'd'].forEach((neighbour, place) => {
-      const gained = have([place]);
+    ['a', 'b', 'c', 'd'].forEach((neighbour, position) => {
+      const gained = have([position]);
       dispatch(node, {kind: 'neighbourHave', neighbour, ...gained}, 10);
     });
     expect(node.dump().downloads.length).toBe(1);
@@ -217,7 +220,10 @@
   return node.handle(event, at).filter(effect => effect.kind !== 'cancel');
 }
 
-/** A node that wants the version; others own every turn at the origin. */
+/**
+ * Starts a node that wants the version, while the other holders own every chunk
+ * at the origin.
+ */
 function startNode(
   others: readonly string[],
   settings: {
--- a/test/distribution/version_plan.test.ts
+++ b/test/distribution/version_plan.test.ts
@@ -11,23 +11,26 @@
 
 const BOUND = 8_000;
 
-/** Times of a site: to move a version, to load one, and with nothing running. */
+/**
+ * Times of a site to transfer a version, to load one, and to load one on an
+ * idle engine.
+ */
 const TRANSFER_TIME = 4_400;
 const LOAD_TIME = 2_300;
 const IDLE_LOAD_TIME = 400;
 
 const STEP = 100;
 
-/** The place of the last of many engines. */
+/** Load offset of the last of many engines. */
 const LAST_OFFSET = 0.95;
 
 function planOf(
-  place: LoadOffset,
+  loadOffset: LoadOffset,
   changes: Partial<VersionPlanOptions<PlannedVersion>> = {},
 ) {
   return createVersionPlan<PlannedVersion>({
     bound: BOUND,
-    place: () => place,
+    place: () => loadOffset,
     isIndependentOfOrigin: () => true,
     fitsOutsideStaging: () => true,
     ...changes,
@@ -47,7 +50,7 @@
   expect(plan.mayLoad(0)).toBe(true);
 });
 
-test('a version that is named soon after another takes its place', () => {
+test('a version that is named soon after another replaces it', () => {
   const plan = planOf(0);
   plan.observe(serving(1), 0);
   plan.addVersion(named(2, 0), 0);
@@ -56,10 +59,10 @@
   expect(step).toMatchObject({kind: 'stage', replacedVersions: [{version: 2}]});
 });
 
-// Version 3 is named two seconds after version 2, and the origin is lost before
-// it has sent all of it. Given up for it, version 2 would be there, and engines
-// could begin nothing for six seconds.
-test('a version is given up only for one that can be had', () => {
+// Version 3 is named two seconds after version 2, and the origin fails before
+// it has sent all of it. If version 2 were dropped for it, engines could start
+// nothing for six seconds although version 2 is available.
+test('a version is replaced only by one that is available without its origin', () => {
   let isSecured = false;
   const plan = planOf(0, {
     isIndependentOfOrigin: ({version}) => version === 2 || isSecured,
@@ -77,7 +80,7 @@
   expect(step).toMatchObject({kind: 'stage', version: {version: 3}});
 });
 
-test('a version is skipped only for one that can be had', () => {
+test('a version is skipped only for one that is available without its origin', () => {
   const mayLoad = [true, false].map(isSecured => {
     const plan = planOf(0.5, {
       isIndependentOfOrigin: ({version}) => version === 2 || isSecured,
@@ -91,9 +94,10 @@
   expect(mayLoad).toEqual([false, true]);
 });
 
-// The store comes back and tells of two versions at the same moment. Moved one
-// behind the other, the newer one comes seconds later than alone.
-test('a version that still needs its origin is given up at once', () => {
+// The store comes back and announces two versions at once. If they were
+// transferred one after the other, the newer one would arrive seconds later
+// than alone.
+test('a version that still needs its origin is replaced at once', () => {
   const plan = planOf(0, {isIndependentOfOrigin: () => false});
   plan.observe(serving(1), 0);
   plan.addVersion(named(2, 0), 0);
@@ -101,7 +105,7 @@
   expect(step).toMatchObject({kind: 'stage', replacedVersions: [{version: 2}]});
 });
 
-test('a version too large to wait is staged in place of one just named', () => {
+test('a version too large to wait outside staging replaces one just named', () => {
   const plan = planOf(0, {fitsOutsideStaging: () => false});
   plan.observe(serving(1), 0);
   plan.addVersion(named(2, 0), 0);
@@ -109,15 +113,16 @@
   expect(step).toMatchObject({kind: 'stage', replacedVersions: [{version: 2}]});
 });
 
-test('an older version than known changes nothing', () => {
+test('a version older than the newest known one is ignored', () => {
   const plan = planOf(0);
   plan.addVersion(named(3, 0), 0);
   expect(plan.addVersion(named(2, 10), 10)).toBeUndefined();
   expect(plan.newest()).toBe(3);
 });
 
-// Version 3 is named while version 2 waits for its load. Staged at once, its
-// chunks would overwrite those of version 2, which then comes after its bound.
+// Version 3 is named while version 2 waits for its load. If it were staged at
+// once, its chunks would overwrite those of version 2, which would then miss
+// its bound.
 test('the first engine loads a version before the one that follows it', () => {
   const plan = planOf(0);
   plan.observe(serving(1), 0);
@@ -133,8 +138,8 @@
   expect(step).toMatchObject({kind: 'stage', version: {version: 3}});
 });
 
-// Two loads within four seconds would each stop the engine for two of them.
-test('the last engine skips a version that is soon replaced', () => {
+// Two loads within four seconds would block the engine for two seconds each.
+test('the last engine skips a version that is soon superseded', () => {
   const plan = planOf(LAST_OFFSET);
   plan.observe(serving(1), 0);
   plan.addVersion(named(2, 0), 0);
@@ -148,9 +153,9 @@
   expect(plan.mayLoad(end)).toBe(true);
 });
 
-/** An engine at a place, with the times of a site. */
-function simulateEngine(place: LoadOffset) {
-  const plan = planOf(place);
+/** Simulates an engine with a load offset and the times of a site. */
+function simulateEngine(loadOffset: LoadOffset) {
+  const plan = planOf(loadOffset);
   const namedAt = new Map<number, number>([[1, -Infinity]]);
   let served: number | undefined = 1;
   let loading: {version: number; until: number} | undefined;
@@ -188,7 +193,10 @@
   };
 }
 
-/** Sum over engines of the time in which each may start nothing. */
+/**
+ * Measures the time during which no engine, and on average each engine, may
+ * start nothing.
+ */
 function measureBlockedTime(
   engines: readonly ReturnType<typeof simulateEngine>[],
   gap: number,
@@ -205,15 +213,15 @@
     if (blocked === engines.length) allBlockedTime += STEP;
     meanBlockedTime += (blocked * STEP) / engines.length;
   }
-  return {allDark: allBlockedTime, standing: meanBlockedTime};
+  return {allBlockedTime, standing: meanBlockedTime};
 }
 
-// All engines stand still at the same time, and all callers are refused.
-test('all engines are dark together for 0.7 s at most', () => {
+// If all engines are blocked at the same time, all requests are refused.
+test('all engines are blocked together for at most 0.7 s', () => {
   fc.assert(
     fc.property(fc.integer({min: 0, max: 200}), gap => {
       const engines = [0, 0.25, 0.5, 0.75].map(simulateEngine);
-      const {allDark: allBlockedTime} = measureBlockedTime(engines, gap);
+      const {allBlockedTime} = measureBlockedTime(engines, gap);
       expect(engines.map(engine => engine.served())).toEqual([3, 3, 3, 3]);
       expect(allBlockedTime).toBeLessThanOrEqual(700);
     }),
--- a/test/distribution/versions.ts
+++ b/test/distribution/versions.ts
@@ -11,12 +11,14 @@
   return `sha256:${createHash('sha256').update(content).digest('hex')}`;
 }
 
-/** A version with its chunks' bytes. */
+/** A version with the bytes of its chunks. */
 export interface GeneratedVersion extends IdentifiedManifest {
   readonly content: ReadonlyMap<Digest, Uint8Array>;
 }
 
-/** A version of `names.length` chunks; equal names give equal chunks. */
+/**
+ * Generates a version of `names.length` chunks; equal names give equal chunks.
+ */
 export function generateVersion(
   label: string,
   names: readonly string[],
