--- a/packages/core/src/activation/activation_row.ts
+++ b/packages/core/src/activation/activation_row.ts
@@ -13,20 +13,20 @@
   state: z.enum(['serving', 'swapping']),
   instance: z.string(),
   incarnation: z.number().int(),
-  /** Unique to one taking of a permit; empty while serving. */
+  /** Unique to each permit; empty while serving. */
   permit: z.string(),
 });
 
 const activationRowSchema = z.object({
-  /** Highest generation that a writer acted by. */
+  /** Highest configuration generation that any writer has used. */
   generation: z.number().int(),
   targets: z.record(z.string(), entrySchema),
 });
 
-/** One target in a model's activation row. */
+/** Entry of one target in a model's activation row. */
 export type ActivationEntry = Readonly<z.infer<typeof entrySchema>>;
 
-/** What a model's activation row holds. */
+/** Content of a model's activation row. */
 export interface ActivationRow {
   readonly generation: Generation;
   readonly targets: {readonly [target: TargetName]: ActivationEntry};
@@ -34,12 +34,14 @@
 
 type RowResult = Result<ActivationRow, ActivationError>;
 
-/** The row in which the targets of a model agree on who swaps. */
+/**
+ * Key of the row in which the targets of a model agree on which of them swap.
+ */
 export function activationKey(model: ModelName): TableKey {
   return `activation/${model}`;
 }
 
-/** Checks a row's shape; an absent row is an empty one. */
+/** Parses a row; an absent row is an empty one. */
 export function parseActivationRow(row: TableRow | undefined): RowResult {
   if (row === undefined) return Ok({generation: 0, targets: {}});
   const parsed = activationRowSchema.safeParse(row.value);
@@ -47,21 +49,21 @@
   return Err({kind: 'malformedRow', detail: `${row.key} holds no activation`});
 }
 
-/** The row with this target swapping, if enough others serve. */
+/** Returns the row with this target swapping, if enough others serve. */
 export function withPermit(
   row: ActivationRow,
   settings: ActivationSettings,
   request: SwapRequest,
   permit: string,
 ): RowResult {
-  // Guards against a count by an old configuration, which would show as
-  // capacity under the floor: a target that has dropped the model since, or a
-  // floor raised since, is not known to it.
+  // An old configuration does not know a target that has dropped the model or a
+  // floor that was raised since, and counting by it would let capacity fall
+  // below the floor.
   if (request.generation < row.generation) return configurationBehind(row);
   const {capacityFloor} = request;
   const serving = othersServing(row, settings.target, request);
-  // Guards against too many swaps at once. The row's condition makes the count
-  // and the permit one step, however many targets ask.
+  // The version condition of the row makes the count and the permit one atomic
+  // step, so concurrent requests never start too many swaps.
   if (serving < capacityFloor) {
     return Err({kind: 'floorReached', serving, capacityFloor});
   }
@@ -75,7 +77,7 @@
   return Ok({generation: request.generation, targets});
 }
 
-/** The row with this target serving. */
+/** Returns the row with this target serving. */
 export function withServing(
   row: ActivationRow,
   settings: ActivationSettings,
@@ -89,7 +91,7 @@
   });
 }
 
-/** The row without this target. */
+/** Returns the row without this target. */
 export function withoutTarget(
   row: ActivationRow,
   target: TargetName,
@@ -109,8 +111,9 @@
 ): number {
   return request.configured.filter(target => {
     if (target === self || request.gone.has(target)) return false;
-    // A permit whose holder died is not counted as serving until a later agent
-    // of that target has fenced it off and seen the engine's report.
+    // A target whose permit holder died counts as serving only after a later
+    // agent of that target has fenced off the dead one and received the
+    // engine's report.
     return row.targets[target]?.state === 'serving';
   }).length;
 }
--- a/packages/core/src/activation/commands/change_row.ts
+++ b/packages/core/src/activation/commands/change_row.ts
@@ -23,10 +23,12 @@
   ActivationSettings,
 } from '../types';
 
-/** Tries before giving way to other targets that write the same row. */
+/**
+ * Attempts before giving up because other targets keep writing the same row.
+ */
 const MAX_ATTEMPTS = 16;
 
-/** A change of the row and how to tell that it has taken effect. */
+/** A change of the row and a check whether it has taken effect. */
 export interface RowChange {
   readonly apply: (
     row: ActivationRow,
@@ -42,13 +44,15 @@
   Result<Value, ActivationError>
 >;
 
-/** What a commit came to. */
+/** Outcome of a commit. */
 type CommitResult =
   | {readonly kind: 'committed'}
   | {readonly kind: 'overtaken'; readonly row: TableRow | undefined}
   | {readonly kind: 'unknown'};
 
-/** Changes a model's activation row; lost replies are read back. */
+/**
+ * Changes a model's activation row. After a lost reply the row is read again.
+ */
 export function* changeRow(
   settings: ActivationSettings,
   change: RowChange,
@@ -56,8 +60,8 @@
   const key = activationKey(settings.model);
   let lastResult: CommitResult = {kind: 'unknown'};
   for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
-    // Guards against a swap begun on a permit that the table does not show:
-    // after a lost reply the row is read, and only the row counts.
+    // Only the row counts: after a lost reply it is read again, so that no swap
+    // starts with a permit that the table does not contain.
     const row: Result<TableRow | undefined, ActivationError> =
       lastResult.kind === 'overtaken' ? Ok(lastResult.row) : yield* read(key);
     if (row.err) return row;
@@ -88,8 +92,8 @@
 ): ChangeFlow<CommitResult> {
   const key = activationKey(settings.model);
   const result = yield* commit({
-    // Guards against a replaced agent's write: its count of itself as
-    // serving would show as capacity that is not there.
+    // Without this condition, a replaced agent could count itself as serving,
+    // which would report capacity that does not exist.
     conditions: [unchangedCondition(key, row?.version), settings.stillCurrent],
     writes: [{kind: 'put', key, value: toJson(changed)}],
   });
--- a/packages/core/src/activation/create_activation.ts
+++ b/packages/core/src/activation/create_activation.ts
@@ -9,12 +9,17 @@
   SwapRequest,
 } from './types';
 
-/** One target's part in the swaps of one model. */
+/**
+ * Creates the activation of one target: the permits and reports that coordinate
+ * the swaps of one model.
+ */
 export function createActivation(settings: ActivationSettings): Activation {
   let lastFlow = 0;
   let holdsPermit = false;
 
-  /** Begins a flow: earlier ones stop, and no permit counts as held. */
+  /**
+   * Begins a flow. Earlier flows are superseded, and no permit counts as held.
+   */
   function beginFlow(): () => boolean {
     lastFlow += 1;
     const flow = lastFlow;
@@ -24,10 +29,9 @@
 
   function* takePermit(request: SwapRequest): ActivationFlow {
     const isSuperseded = beginFlow();
-    // Guards against an earlier report of ours that is still on its way: it
-    // would count the target as serving after it unloaded. A permit of its own
-    // name each time is always a write, and after it the report's condition on
-    // the row's version fails.
+    // A unique permit name makes each permit a write, so the version condition
+    // of an earlier report that is still in flight fails. Otherwise that report
+    // would count the target as serving after it has unloaded.
     const permit = `${settings.token}#${lastFlow}`;
     const result = yield* changeRow(settings, {
       apply: row => withPermit(row, settings, request, permit),
@@ -40,8 +44,9 @@
   }
 
   function* reportServing(evidence: ServingEvidence): ActivationFlow {
-    // Guards against counting a target that an earlier agent may still unload,
-    // or that holds nothing: both would show as capacity under the floor.
+    // Without this check, a target that an earlier agent may still unload, or
+    // that has loaded nothing, would count as serving, and capacity would fall
+    // below the floor.
     if (!evidence.loaded || !evidence.fenced) return Err({kind: 'notServing'});
     const isSuperseded = beginFlow();
     return yield* changeRow(settings, {
--- a/packages/core/src/activation/types.ts
+++ b/packages/core/src/activation/types.ts
@@ -13,75 +13,78 @@
   TargetName,
 } from '../types';
 
-/** Whose permit for which model. */
+/** Identifies the target, its agent and the model of an activation. */
 export interface ActivationSettings {
   readonly model: ModelName;
   readonly target: TargetName;
   readonly instance: InstanceName;
   readonly incarnation: Incarnation;
-  /** Random and unique to this start of the agent. */
+  /** Random token, unique to this start of the agent. */
   readonly token: string;
-  /** Must hold at each write; see `RaisedIncarnation.stillCurrent`. */
+  /** Condition of each write; see `RaisedIncarnation.stillCurrent`. */
   readonly stillCurrent: TableCondition;
 }
 
-/** What the agent knows when it asks to stop serving for a swap. */
+/** Input of a request to stop serving for a swap. */
 export interface SwapRequest {
-  /** The configuration in force from which the rest is taken. */
+  /**
+   * Generation of the active configuration that the other fields are taken
+   * from.
+   */
   readonly generation: Generation;
   readonly capacityFloor: number;
-  /** Targets that the configuration gives the model. */
+  /** Targets that the configuration assigns to the model. */
   readonly configured: readonly TargetName[];
   /** Targets known to be dead or leaving. */
   readonly gone: ReadonlySet<TargetName>;
 }
 
-/** What must be true before a target counts as serving. */
+/** Evidence that is required before a target counts as serving. */
 export interface ServingEvidence {
   readonly generation: Generation;
-  /** The engine itself reports a version of the model as loaded. */
+  /** Whether the engine itself reports a version of the model as loaded. */
   readonly loaded: boolean;
-  /** No order of an earlier agent can reach the engine any more. */
+  /** Whether the engine accepts no more orders of an earlier agent. */
   readonly fenced: boolean;
 }
 
-/** Why a permit was not given or not returned. */
+/** Why a permit was not granted or not returned. */
 export type ActivationError =
-  /** Another swap now would leave too few targets; try again later. */
+  /** Another swap now would leave too few targets serving; try again later. */
   | {
       readonly kind: 'floorReached';
       readonly serving: number;
       readonly capacityFloor: number;
     }
-  /** Others act by a later configuration; adopt it first. */
+  /** Others use a later configuration; adopt it first. */
   | {readonly kind: 'configurationBehind'; readonly generation: Generation}
   /** The evidence does not show that the target serves. */
   | {readonly kind: 'notServing'}
-  /** A later start of this agent has begun: give up for good. */
+  /** A later incarnation of this agent has started; give up permanently. */
   | {readonly kind: 'replaced'}
   /** A later flow of the same activation has begun; its result counts. */
   | {readonly kind: 'superseded'}
-  /** No effect, or none that is known; no swap starts. */
+  /** The write had no effect, or its effect is unknown; no swap starts. */
   | {readonly kind: 'platformUnavailable'; readonly detail: string}
   | {readonly kind: 'malformedRow'; readonly detail: string}
-  /** Others wrote the row at each try; try again. */
+  /** Other writers changed the row at each attempt; try again. */
   | {readonly kind: 'contended'};
 
-/** A flow over a model's activation row. */
+/** A flow that reads and writes a model's activation row. */
 export type ActivationFlow = Flow<
   ReadRowEffect | CommitEffect,
   ReadReply | CommitReply,
   Result<void, ActivationError>
 >;
 
-/** One target's part in the swaps of one model. */
+/** Coordinates the swaps of one model on behalf of one target. */
 export interface Activation {
-  /** Asks to stop serving; on Ok the target may unload. */
+  /** Requests a permit to stop serving; on Ok the target may unload. */
   readonly takePermit: (request: SwapRequest) => ActivationFlow;
-  /** Counts the target as serving again, which ends its permit. */
+  /** Marks the target as serving again, which ends its permit. */
   readonly reportServing: (evidence: ServingEvidence) => ActivationFlow;
-  /** Takes the target out of the count, for one that no longer serves. */
+  /** Removes a target that no longer serves from the count. */
   readonly withdraw: (generation: Generation) => ActivationFlow;
-  /** Whether the target may be without a version at this moment. */
+  /** Whether the target currently may be without a loaded version. */
   readonly holdsPermit: () => boolean;
 }
--- a/test/activation/permits_site.ts
+++ b/test/activation/permits_site.ts
@@ -19,7 +19,7 @@
 
 const MAX_TARGETS = 4;
 
-/** One step of a run: an agent of a target acts, then faults strike. */
+/** One step of a run: an agent of a target acts, then faults are injected. */
 export interface Step {
   readonly target: number;
   /** Whether an earlier agent acts, which was paused and replaced. */
@@ -49,7 +49,9 @@
   readonly runs: number;
 }
 
-/** Steps of a mix; an action that stands twice comes twice as often. */
+/**
+ * Arbitrary steps of a mix; an action that is listed twice is twice as likely.
+ */
 export function stepsOf(mix: ActionMix): fc.Arbitrary<readonly Step[]> {
   const step = fc.record({
     target: fc.nat({max: MAX_TARGETS - 1}),
@@ -67,9 +69,9 @@
   return fc.array(step, {minLength: 10, maxLength: 60});
 }
 
-/** No fault at any hop. */
+/** No fault at any step of a flow. */
 export const NO_FAULT = fc.constant<TableFault>('none');
-/** What agents do when they swap, and nothing else. */
+/** Actions of agents that swap, and nothing else. */
 export const SWAP_ACTIONS: readonly Action[] = [
   'take',
   'take',
@@ -83,7 +85,7 @@
 interface Site {
   readonly table: SteppedTable;
   readonly targets: readonly SteppedTarget[];
-  /** Capacity floor by generation, from 1 on. */
+  /** Capacity floor by generation, starting at 1. */
   readonly floors: readonly number[];
 }
 
@@ -92,7 +94,9 @@
   readonly floors: readonly number[];
 }
 
-/** Few targets meet one another more often; the floor rises once. */
+/**
+ * Arbitrary site sizes. Few targets contend more often; the floor rises once.
+ */
 export const arbitrarySiteSize: fc.Arbitrary<SiteSize> = fc
   .constantFrom(2, 2, 3, MAX_TARGETS)
   .chain(targets =>
@@ -104,7 +108,7 @@
       .map(floors => ({targets, floors: [0, ...floors.sort()]})),
   );
 
-/** Starts targets that all serve, with agents that have reported it. */
+/** Creates targets that all serve, with agents that have reported it. */
 export function createSite({targets: count, floors}: SiteSize): Site {
   const table = createSteppedTable();
   const targets = Array.from({length: count}, (_, index) =>
@@ -113,32 +117,32 @@
   const site = {table, targets, floors};
   for (const target of targets) {
     startAgent(table, target);
-    act(site, target, currentAgent(target), 'fence');
-    act(site, target, currentAgent(target), 'report');
+    runAction(site, target, currentAgent(target), 'fence');
+    runAction(site, target, currentAgent(target), 'report');
     for (let hop = 0; hop < 2; hop += 1) currentAgent(target).advance('none');
   }
   return site;
 }
 
-/** The agent in charge of a target. */
+/** Returns the agent in charge of a target. */
 export function currentAgent(target: SteppedTarget): SteppedAgent {
   const agent = target.agents.at(-1);
   if (agent === undefined) throw new Error('target without agent');
   return agent;
 }
 
-/** Takes one step. */
-export function runStep(site: Site, next: Step): void {
-  const target = site.targets[next.target % site.targets.length];
+/** Runs one step. */
+export function runStep(site: Site, step: Step): void {
+  const target = site.targets[step.target % site.targets.length];
   if (target === undefined) throw new Error('no such target');
-  const agent = next.earlier ? target.agents.at(-2) : currentAgent(target);
+  const agent = step.earlier ? target.agents.at(-2) : currentAgent(target);
   if (agent === undefined) return;
-  act(site, target, agent, next.action);
-  for (const fault of next.faults) agent.advance(fault);
+  runAction(site, target, agent, step.action);
+  for (const fault of step.faults) agent.advance(fault);
 }
 
-/** Lets an agent act once; checks the floor after an unload. */
-export function act(
+/** Runs one action of an agent; checks the capacity after an unload. */
+export function runAction(
   site: Site,
   target: SteppedTarget,
   agent: SteppedAgent,
@@ -204,7 +208,7 @@
   }
 }
 
-/** An agent's request for a permit. */
+/** Builds an agent's request for a permit. */
 export function requestOf(site: Site, agent: SteppedAgent): SwapRequest {
   const gone = site.targets.filter(target => target.dead);
   return {
@@ -219,7 +223,10 @@
   return targets.filter(target => target.dead).length;
 }
 
-/** Only deaths since the permit was asked for may take more than the floor. */
+/**
+ * Only targets that died since the permit was requested may reduce capacity
+ * below the floor.
+ */
 function checkCapacity(site: Site, agent: SteppedAgent): void {
   const permit = agent.permitFor;
   if (permit === undefined) throw new Error('unload without a request');
@@ -229,7 +236,7 @@
   throw new Error(`${serving} serve, floor ${permit.floor}`);
 }
 
-/** The highest generation by which a permit was ever given. */
+/** The highest generation that a permit was ever granted with. */
 function writtenGeneration(table: SteppedTable): number {
   const rows = table.history(activationKey('notes'));
   const generations = rows.map(
@@ -238,18 +245,18 @@
   return Math.max(1, ...generations);
 }
 
-/** Asserts that no run of a mix goes under the floor. */
+/** Asserts that capacity stays at the floor in every run of a mix. */
 export function assertFloorHolds(mix: ActionMix): void {
   fc.assert(
-    fc.property(arbitrarySiteSize, stepsOf(mix), (size, taken) => {
+    fc.property(arbitrarySiteSize, stepsOf(mix), (size, steps) => {
       const site = createSite(size);
-      for (const next of taken) runStep(site, next);
+      for (const step of steps) runStep(site, step);
     }),
     propertySettings(mix.runs),
   );
 }
 
-/** Two targets of which one must serve, seen from the first one. */
+/** Creates two targets, of which one must serve, and returns the first one. */
 export function createPair(): {
   readonly site: Site;
   readonly target: SteppedTarget;
@@ -261,7 +268,7 @@
   return {site, target, agent: currentAgent(target)};
 }
 
-/** A target's state in the row of permits. */
+/** Returns a target's state in the activation row. */
 export function stateOf(site: Site, target: SteppedTarget): string | undefined {
   const row = site.table.row(activationKey('notes'));
   return parseActivationRow(row).unwrap().targets[target.name]?.state;
--- a/test/activation/stepped_target.ts
+++ b/test/activation/stepped_target.ts
@@ -9,16 +9,19 @@
 } from '@hibiscusbeam/core';
 import type {SteppedTable, TableFault} from '../fixtures/stepped_table';
 
-/** An agent of one target; several may believe they are in charge. */
+/** An agent of one target; several may believe that they are in charge. */
 export interface SteppedAgent {
   readonly incarnation: Incarnation;
   readonly activation: Activation;
   generation: number;
-  /** The floor and the deaths when the last permit was asked for. */
+  /**
+   * Capacity floor and number of dead targets when the last permit was
+   * requested.
+   */
   permitFor: {readonly floor: number; readonly deaths: number} | undefined;
   readonly begin: (flow: ActivationFlow) => void;
   readonly advance: (fault: TableFault) => void;
-  /** Goes on with the flow that the last one has overtaken. */
+  /** Advances the flow that the current one has superseded. */
   readonly advanceSuperseded: (fault: TableFault) => void;
 }
 
@@ -27,22 +30,22 @@
   readonly effect: ReadRowEffect | CommitEffect;
 }
 
-/** A target with its engine, which checks fencing. */
+/** A target with its engine, which checks fencing numbers. */
 export interface SteppedTarget {
   readonly name: string;
   loaded: boolean;
   dead: boolean;
   highestFencing: Incarnation;
-  /** Oldest first; the last one is in charge. */
+  /** Ordered by age; the newest one is in charge. */
   readonly agents: SteppedAgent[];
 }
 
-/** A target whose engine serves. */
+/** Creates a target whose engine serves. */
 export function createSteppedTarget(name: string): SteppedTarget {
   return {name, loaded: true, dead: false, highestFencing: 0, agents: []};
 }
 
-/** Starts an agent anew while the earlier one may still be there. */
+/** Starts a new agent while the earlier one may still be running. */
 export function startAgent(table: SteppedTable, target: SteppedTarget): void {
   const incarnation = target.agents.length + 1;
   const key = incarnationKey(target.name);
@@ -71,9 +74,9 @@
     activation,
     generation: 1,
     permitFor: undefined,
-    begin: begun => {
+    begin: flow => {
       superseded = current;
-      current = begin(begun);
+      current = begin(flow);
     },
     advance: fault => {
       current = advance(table, current, fault);
