--- a/packages/core/src/ownership/commands/finish_move.ts
+++ b/packages/core/src/ownership/commands/finish_move.ts
@@ -32,16 +32,17 @@
   MoveReply,
 } from '../types';
 
-/** Pause before the processes or the platform are asked again. */
+/** Pause before the processes or the platform are queried again. */
 const RETRY_INTERVAL: Milliseconds = 500;
 
-/** A move to be carried to its end. */
+/** Options of a move that is to be finished. */
 export interface FinishMoveOptions extends CommitOptions {
-  /** The id of the plan that began the move. */
+  /** Id of the plan that started the move. */
   readonly moveId: PlanId;
   /**
-   * `back` opens again on the side that the items were on. It waits for
-   * nobody: no generation has ever let the new side act on them.
+   * `back` reopens the items on the side that owned them. It waits for no
+   * process, because no generation has ever allowed the new side to act on
+   * them.
    */
   readonly direction: MoveDirection;
 }
@@ -55,10 +56,10 @@
 }
 
 /**
- * Carries a confirmed move on from its rows: waits until both sides have
- * closed, then opens the new side in the next generation. All state is in the
- * table, so any process may begin it again at any time, also several at once.
- * Goes on through platform outages.
+ * Resumes a confirmed move from its rows: waits until both sides have closed,
+ * then opens the new side in the next generation. All state is in the table, so
+ * any process may start this again at any time, also several at once. It
+ * retries through platform outages.
  */
 export function* finishMove(
   options: FinishMoveOptions,
@@ -107,8 +108,8 @@
   known: Extract<MoveLookup, {kind: 'known'}>,
 ): MoveFlow<void> {
   const {move} = known;
-  // Failure: the new side opens while a process still acts for the old one.
-  // The closing generation must have reached every process first.
+  // The closing generation must have reached every process first. Otherwise the
+  // new side would open while a process still acts for the old one.
   if (options.direction === 'forward' && !(yield* isClosed(move))) return;
   const rows = yield* readConfiguration(options, move, known.version);
   if (rows === undefined) {
@@ -120,11 +121,14 @@
     transaction: buildTransaction(options, rows),
   };
   if (reply.kind !== 'commit') throw new Error('driver: expected a commit');
-  // Whatever the outcome, the move's row says what happened: it is read next.
+  // Whatever the outcome, the move's row contains the result; it is read next.
   if (!reply.result.ok) yield* waitFor(RETRY_INTERVAL);
 }
 
-/** Whether both sides are closed; tells whom it waits for and pauses if not. */
+/**
+ * Whether both sides are closed. If not, it reports the awaited processes and
+ * pauses.
+ */
 function* isClosed(move: MoveRow): MoveFlow<boolean> {
   const reply = yield {kind: 'readProcesses'};
   if (reply.kind !== 'processes') throw new Error('driver: expected processes');
@@ -177,8 +181,9 @@
     conditions: [
       {kind: 'versionIs', key: HEAD_KEY, version: rows.headVersion},
       {kind: 'absent', key: bodyKey(generation)},
-      // Failure: two processes finish one move, or one cancels it while the
-      // other opens it, and the second undoes what was accepted in between.
+      // Without this condition, two processes could finish the same move, or
+      // one could cancel it while the other opens it, and the second would undo
+      // what was accepted in between.
       {kind: 'versionIs', key, version: rows.moveVersion},
     ],
     writes: [
--- a/packages/core/src/ownership/queries/find_awaited.ts
+++ b/packages/core/src/ownership/queries/find_awaited.ts
@@ -3,13 +3,16 @@
 import type {MoveItem} from '../../configuration';
 import type {AwaitedProcess, StopEvidence, ProcessReport} from '../types';
 
-/** A list that lags by seconds must have said "gone" for so long. */
+/**
+ * Min time off the platform's list before an instance counts as stopped. The
+ * list lags by seconds.
+ */
 const MIN_DELISTED_TIME: Milliseconds = 30_000;
 
 /** Allowance for clocks that run at slightly different rates. */
 const LEASE_MARGIN: Milliseconds = 2_000;
 
-/** Processes that may still act on a configuration before `generation`. */
+/** Processes that may still act on a configuration older than `generation`. */
 export function findAwaitedProcesses(
   generation: Generation,
   items: readonly MoveItem[],
@@ -40,13 +43,13 @@
   const {process} = report;
   switch (report.kind) {
     case 'reports':
-      // Failure: a process that has not adopted the closing generation still
-      // serves on the old side after the new side has opened.
+      // A process that has not adopted the closing generation would still serve
+      // on the old side after the new side has opened.
       if (report.generation < generation) return {process, reason: 'behind'};
       if (isBusy(report, items)) return {process, reason: 'busy'};
       return undefined;
     case 'silent':
-      // Failure: a frozen or cut off process goes on serving when it wakes.
+      // A frozen or partitioned process resumes serving when it wakes up.
       return {process, reason: 'silent'};
     case 'out':
       if (isProvenStopped(report.evidence)) return undefined;
@@ -68,9 +71,10 @@
 }
 
 /**
- * Failure: a process starts during an outage, learns the old generation from a
- * peer, and is on no list when the move asks. That peer has heard its hello
- * before, so it names it here, or it had the new generation to tell by then.
+ * Finds processes that others know of but that were not queried. A process that
+ * starts during an outage and learns the old generation from a peer is on no
+ * list when the move queries all processes. That peer either received its hello
+ * before and names it here, or already had the new generation to pass on.
  */
 function findNotQueried(
   reports: readonly ProcessReport[],
@@ -84,7 +88,10 @@
     .map(process => ({process, reason: 'notAsked'}));
 }
 
-/** Whether the evidence excludes that the process still serves or orders. */
+/**
+ * Whether the evidence proves that the process no longer serves or gives
+ * orders.
+ */
 export function isProvenStopped(evidence: StopEvidence): boolean {
   switch (evidence.kind) {
     case 'goodbye':
--- a/packages/core/src/ownership/queries/open_items.ts
+++ b/packages/core/src/ownership/queries/open_items.ts
@@ -2,10 +2,10 @@
 import type {MoveItem} from '../../configuration';
 import type {Owner, SiteConfiguration} from '../../types';
 
-/** To which side a move opens what it had closed. */
+/** Side on which a move opens the items that it closed. */
 export type MoveDirection = 'forward' | 'back';
 
-/** The configuration with the moved items opened on one side. */
+/** Returns the configuration with the moved items opened on one side. */
 export function openItems(
   configuration: SiteConfiguration,
   items: readonly MoveItem[],
--- a/packages/core/src/ownership/queries/permissions.ts
+++ b/packages/core/src/ownership/queries/permissions.ts
@@ -6,7 +6,9 @@
   WorkspaceName,
 } from '../../types';
 
-/** Whether we may give orders to the target, at this configuration. */
+/**
+ * Whether hibiscusbeam may give orders to the target under this configuration.
+ */
 export function mayOrder(
   target: TargetName,
   configuration: SiteConfiguration,
@@ -14,7 +16,10 @@
   return sideMayOrder('hibiscusbeam', target, configuration);
 }
 
-/** Whether we may serve requests of the workspace, at this configuration. */
+/**
+ * Whether hibiscusbeam may serve requests of the workspace under this
+ * configuration.
+ */
 export function mayServe(
   workspace: WorkspaceName,
   configuration: SiteConfiguration,
@@ -22,26 +27,26 @@
   return sideMayServe('hibiscusbeam', workspace, configuration);
 }
 
-/** Whether `side` may give orders to the target, at this configuration. */
+/** Whether `side` may give orders to the target under this configuration. */
 export function sideMayOrder(
   side: Owner,
   target: TargetName,
   configuration: SiteConfiguration,
 ): boolean {
   const found = lookUp(configuration.targets, target);
-  // Failure: while a target moves, both systems would order it. A target that
-  // moves is `leaving`, and then neither side may.
+  // A target is `leaving` while it moves, and then neither side may give it
+  // orders. Otherwise both systems would.
   return found?.owner === side && found.state === 'joined';
 }
 
-/** Whether `side` may serve the workspace, at this configuration. */
+/** Whether `side` may serve the workspace under this configuration. */
 export function sideMayServe(
   side: Owner,
   workspace: WorkspaceName,
   configuration: SiteConfiguration,
 ): boolean {
   const found = lookUp(configuration.workspaces, workspace);
-  // Failure: while a workspace moves, both systems would serve it. A workspace
-  // that moves is closed, and then neither side may.
+  // A workspace is closed while it moves, and then neither side may serve it.
+  // Otherwise both systems would.
   return found?.owner === side && found.open;
 }
--- a/packages/core/src/ownership/types.ts
+++ b/packages/core/src/ownership/types.ts
@@ -10,28 +10,33 @@
 } from '../types';
 import type {TableFlowEffect, TableFlowReply} from '../configuration';
 
-/** Why a process can't serve or order any more. */
+/** Evidence that a process can no longer serve requests or give orders. */
 export type StopEvidence =
-  /** It said goodbye, after it had finished what was in progress. */
+  /** It sent a goodbye after it had finished its work in progress. */
   | {readonly kind: 'goodbye'}
-  /** Its lease ended so long ago; it stops itself before the lease ends. */
+  /**
+   * Time since its lease ended; a process stops itself before its lease ends.
+   */
   | {readonly kind: 'leaseEnded'; readonly since: Milliseconds}
-  /** The platform's list has said for so long that the instance is gone. */
+  /** Time for which the platform's list has not contained the instance. */
   | {readonly kind: 'delisted'; readonly since: Milliseconds}
-  /** An operator has seen to it that the instance does not run. */
+  /** An operator has confirmed that the instance does not run. */
   | {readonly kind: 'declared'; readonly operator: string};
 
-/** What is known of one process while a move waits. */
+/** State of one process while a move waits. */
 export type ProcessReport =
   | {
       readonly kind: 'reports';
       readonly process: InstanceName;
       readonly side: Owner;
       readonly generation: Generation;
-      /** Where it still has requests or orders in progress. */
+      /** Targets and workspaces with requests or orders in progress. */
       readonly busyTargets: readonly TargetName[];
       readonly busyWorkspaces: readonly WorkspaceName[];
-      /** Every process that has said hello to it and was not seen out. */
+      /**
+       * Every process that has sent it a hello and is not known to have
+       * stopped.
+       */
       readonly heardOf: readonly InstanceName[];
     }
   | {
@@ -46,7 +51,7 @@
       readonly evidence: StopEvidence;
     };
 
-/** A process that a move waits for, and why. */
+/** A process that a move waits for, and the reason. */
 export interface AwaitedProcess {
   readonly process: InstanceName;
   readonly reason:
@@ -54,42 +59,44 @@
     | 'busy'
     | 'silent'
     | 'notSurelyOut'
-    /** Others know of it, but it was not asked. */
+    /** Other processes know of it, but it was not queried. */
     | 'notAsked'
     /** No process of the older system has reported. */
     | 'noWordFromOlderSystem';
 }
 
-/** What a move asks of its driver. */
+/** Effect that a move requests from its driver. */
 export type MoveEffect =
   | TableFlowEffect
   /**
-   * Ask every process of both sides: those of the platform's list, those with
-   * a session, and those that these have heard of.
+   * Query every process of both sides: those on the platform's list, those with
+   * a session, and those that these processes know of.
    */
   | {readonly kind: 'readProcesses'}
-  /** Tell operators who is waited for, and go on after the pause. */
+  /**
+   * Report the awaited processes to operators, and continue after the pause.
+   */
   | {
       readonly kind: 'awaitProcesses';
       readonly processes: readonly AwaitedProcess[];
       readonly duration: Milliseconds;
     };
 
-/** What its driver answers; `awaitProcesses` is replied to with `waited`. */
+/** Reply of the driver; `awaitProcesses` is answered with `waited`. */
 export type MoveReply =
   | TableFlowReply
   | {readonly kind: 'processes'; readonly reports: readonly ProcessReport[]};
 
-/** How a move ended. */
+/** Outcome of a move. */
 export interface MoveOutcome {
   readonly kind: 'opened' | 'cancelled';
   readonly generation: Generation;
 }
 
-/** Why a move can't be carried on. */
+/** Why a move cannot continue. */
 export type MoveFault =
   | {readonly kind: 'unknownMove'; readonly moveId: PlanId}
   | {readonly kind: 'malformedRow'; readonly key: string};
 
-/** A move on its way; it may be dropped and begun again at any point. */
+/** A move in progress; it may be abandoned and restarted at any point. */
 export type MoveFlow<Outcome> = Flow<MoveEffect, MoveReply, Outcome>;
--- a/test/ownership/moving.test.ts
+++ b/test/ownership/moving.test.ts
@@ -25,7 +25,7 @@
   readonly toString: () => string;
 }
 
-function named<Value>(
+function weightedStep<Value>(
   weight: number,
   name: string,
   values: fc.Arbitrary<Value>,
@@ -39,33 +39,47 @@
 }
 
 const step = fc.oneof(
-  named(3, 'own', owner, (site, value) => site.own(value)),
-  named(3, 'mover', mover, (site, value) => site.startMover(value, 'forward')),
-  named(1, 'back', mover, (site, value) => site.startMover(value, 'back')),
-  named(16, 'run', fc.tuple(mover, tableFault), (site, [number, fault]) =>
-    site.stepMover(number, fault),
+  weightedStep(3, 'own', owner, (site, value) => site.own(value)),
+  weightedStep(3, 'mover', mover, (site, value) =>
+    site.startMover(value, 'forward'),
   ),
-  named(6, 'carry', mover, runRound),
-  named(6, 'adopt', fc.tuple(anyProcess, fc.nat(12)), (site, [one, two]) =>
-    site.adopt(one, two),
+  weightedStep(1, 'back', mover, (site, value) =>
+    site.startMover(value, 'back'),
   ),
-  named(3, 'adopt all', fc.constant(0), adoptAll),
-  named(4, 'serve', anyProcess, (site, value) => site.serve(value)),
-  named(4, 'finish', anyProcess, (site, value) => site.finish(value)),
-  named(1, 'freeze', anyProcess, (site, value) => site.freeze(value, true)),
-  named(2, 'wake', anyProcess, (site, value) => site.freeze(value, false)),
-  named(1, 'kill', anyProcess, (site, value) => site.kill(value)),
-  named(2, 'join', fc.nat(63), (site, value) => site.join(value)),
-  named(1, 'list', fc.constant(0), site => site.list()),
-  named(1, 'late', fc.constant(0), site => site.applyLate()),
+  weightedStep(
+    16,
+    'run',
+    fc.tuple(mover, tableFault),
+    (site, [number, fault]) => site.stepMover(number, fault),
+  ),
+  weightedStep(6, 'carry', mover, runRound),
+  weightedStep(
+    6,
+    'adopt',
+    fc.tuple(anyProcess, fc.nat(12)),
+    (site, [one, two]) => site.adopt(one, two),
+  ),
+  weightedStep(3, 'adopt all', fc.constant(0), adoptAll),
+  weightedStep(4, 'serve', anyProcess, (site, value) => site.serve(value)),
+  weightedStep(4, 'finish', anyProcess, (site, value) => site.finish(value)),
+  weightedStep(1, 'freeze', anyProcess, (site, value) =>
+    site.freeze(value, true),
+  ),
+  weightedStep(2, 'wake', anyProcess, (site, value) =>
+    site.freeze(value, false),
+  ),
+  weightedStep(1, 'kill', anyProcess, (site, value) => site.kill(value)),
+  weightedStep(2, 'join', fc.nat(63), (site, value) => site.join(value)),
+  weightedStep(1, 'list', fc.constant(0), site => site.list()),
+  weightedStep(1, 'late', fc.constant(0), site => site.applyLate()),
 );
 
-/** Lets a mover go on without faults for one whole round. */
+/** Runs a mover without faults for one whole round. */
 function runRound(site: MovingSite, number: number): void {
   for (let steps = 0; steps < 16; steps += 1) site.stepMover(number, 'none');
 }
 
-/** All that the list shows adopt the head; newcomers may lag. */
+/** All listed processes adopt the head; new ones may lag. */
 function adoptAll(site: MovingSite): void {
   const head = site.generation();
   site.processes.forEach(({isListed}, position) => {
@@ -73,14 +87,14 @@
   });
 }
 
-function check(verdict: (site: MovingSite) => void): void {
+function assertAfterEachStep(assertion: (site: MovingSite) => void): void {
   const steps = fc.array(step, {minLength: 30, maxLength: 120});
   fc.assert(
     fc.property(steps, taken => {
       const site = createMovingSite();
       for (const {run} of taken) {
         run(site);
-        verdict(site);
+        assertion(site);
       }
     }),
     propertySettings(500),
@@ -88,19 +102,23 @@
 }
 
 describe('a move between the systems', () => {
-  // A dealer's settlement runs twice: an entry that was frozen, or had just
-  // started and was on no list, still serves the workspace while the older
-  // system has begun to.
+  // An entry that was frozen, or that has just started and is on no list, still
+  // serves the workspace while the older system has begun to. Requests of the
+  // workspace would be executed twice.
   test('a workspace is never served by both sides', () => {
-    check(site => expect(site.sidesServing().length).toBeLessThan(2));
+    assertAfterEachStep(site =>
+      expect(site.sidesServing().length).toBeLessThan(2),
+    );
   });
 
-  // A target is told to load two versions in turn: both systems order it.
-  test('no target gets orders from both sides', () => {
-    check(site => expect(site.sidesOrdering().length).toBeLessThan(2));
+  // If both systems gave orders, a target would load two versions in turn.
+  test('a target never gets orders from both sides', () => {
+    assertAfterEachStep(site =>
+      expect(site.sidesOrdering().length).toBeLessThan(2),
+    );
   });
 
-  test('ends on the other side and back, once all have closed', () => {
+  test('opens on the other side and back again once all processes have closed', () => {
     const site = createMovingSite();
     for (const side of ['older-system', 'hibiscusbeam'] as const) {
       site.own(side);
@@ -118,9 +136,10 @@
     }
   });
 
-  // The platform goes down between closing and opening, and the process that
-  // carried the move is replaced: the workspace would stay closed for ever.
-  test('goes on from its rows after an outage and a replacement', () => {
+  // The platform fails between closing and opening, and the process that ran
+  // the move is replaced. Without resuming from the rows, the workspace would
+  // stay closed forever.
+  test('resumes from its rows after an outage and a replacement', () => {
     const site = createMovingSite();
     site.own('older-system');
     site.startMover(0, 'forward');
@@ -137,14 +156,15 @@
     expect(site.sidesServing()).toEqual(['older-system']);
   });
 
-  // One process cancels a move while another is about to open it: it read the
-  // move's row before, and would undo the next move with what it read.
-  test('a finisher that was overtaken changes nothing', () => {
+  // One process cancels a move while another one, which has already read the
+  // move's row, is about to open it. Its stale write would undo the
+  // cancellation.
+  test('a superseded mover changes nothing', () => {
     const site = createMovingSite();
     site.own('older-system');
     site.startMover(0, 'forward');
     adoptAll(site);
-    // Row of the move, four reports and the reports' end: then it freezes.
+    // It reads the move's row, four reports and the reports' end, then freezes.
     for (let steps = 0; steps < 6; steps += 1) site.stepMover(0, 'none');
     site.startMover(1, 'back');
     runRound(site, 1);
@@ -156,7 +176,7 @@
   });
 });
 
-describe('who is waited for', () => {
+describe('the awaited processes', () => {
   const workspace = {
     kind: 'workspace' as const,
     name: WORKSPACE,
@@ -176,9 +196,9 @@
     };
   }
 
-  // The older system's side is not reachable at all, so no report of it says
-  // "behind"; opening our side would leave it serving.
-  test('the older system must have reported', () => {
+  // If the older system is unreachable, no report shows that it is behind.
+  // Opening this side would leave it serving.
+  test('include the older system until it has reported', () => {
     const ours = reports('entry-1', 'hibiscusbeam');
     expect(findAwaitedProcesses(5, [workspace], [ours])).toEqual([
       {process: 'older-system', reason: 'noWordFromOlderSystem'},
@@ -187,7 +207,7 @@
     expect(findAwaitedProcesses(5, [workspace], [ours, older])).toEqual([]);
   });
 
-  test('a target with orders in progress is busy', () => {
+  test('include a process with orders in progress for a moved target', () => {
     const older = reports('older-1', 'older-system');
     const target = {...workspace, kind: 'target' as const, name: TARGET};
     const busy = {...reports('a', 'hibiscusbeam'), busyTargets: [TARGET]};
@@ -196,7 +216,7 @@
     ]);
   });
 
-  test('what the configuration does not hold is not ours', () => {
+  test('an item that is not configured may get neither orders nor requests', () => {
     const empty = {
       targets: {},
       models: {},
