--- a/packages/core/src/lease/commands/acquire.ts
+++ b/packages/core/src/lease/commands/acquire.ts
@@ -11,10 +11,10 @@
 import type {HeldLease, LeaseError, LeaseFlow, LeaseSettings} from '../types';
 import {readLeaseRow, writeRow} from '../write_row';
 
-/** Tries before giving way to others that write the same row. */
+/** Attempts before giving up because others keep writing the same row. */
 const MAX_ATTEMPTS = 4;
 
-/** Takes the lease under a number higher than any before. */
+/** Acquires the lease with a fencing number higher than any before. */
 export function* acquireLease(
   settings: LeaseSettings,
   leaseState: LeaseState,
--- a/packages/core/src/lease/commands/raise_incarnation.ts
+++ b/packages/core/src/lease/commands/raise_incarnation.ts
@@ -17,22 +17,24 @@
 import {commit, describePlatformError, readRow} from '../table_calls';
 import type {LeaseError} from '../types';
 
-/** Tries before giving way to others that start in the same slot. */
+/** Attempts before giving up because others start in the same slot. */
 const MAX_ATTEMPTS = 8;
 
 const incarnationRowSchema = z.object({
   incarnation: z.number().int().positive(),
   token: z.string(),
-  /** What the agent says of itself; see `AgentDescription`. */
+  /** Description that the agent gives of itself; see `AgentDescription`. */
   description: z.json().optional(),
 });
 
-/** What an agent's row holds. */
+/** Content of an agent's row. */
 export type IncarnationRowValue = Readonly<
   z.infer<typeof incarnationRowSchema>
 >;
 
-/** This start's number, with the condition that no later start has begun. */
+/**
+ * Incarnation of this start, with the condition that no later start has begun.
+ */
 export interface RaisedIncarnation {
   readonly incarnation: Incarnation;
   readonly stillCurrent: TableCondition;
@@ -45,15 +47,15 @@
   Result<RaisedIncarnation, LeaseError>
 >;
 
-/** The row that numbers an agent's starts. */
+/** Key of the row that numbers an agent's starts. */
 export function incarnationKey(instance: InstanceName): TableKey {
   return `agents/${instance}`;
 }
 
 /**
- * Raises the row's number once for this start, which `token` (random, unique
- * to the start) identifies, and keeps `description` in the row for others to
- * read. Run again after an error; it is idempotent.
+ * Raises the row's incarnation once for this start, which the random and unique
+ * `token` identifies. The row keeps `description` for others to read. The flow
+ * is idempotent: run it again after an error.
  */
 export function* raiseIncarnation(
   key: TableKey,
@@ -67,8 +69,8 @@
     const current = parseIncarnationRow(read.val);
     if (current.err) return current;
     const row = read.val;
-    // Guards against raising twice after a lost reply, which would show as a
-    // start that fences off itself: the token says which write is ours.
+    // The token shows whether this start has already written the row. Otherwise
+    // it would raise the number twice after a lost reply and fence itself off.
     if (row !== undefined && current.val?.token === token) {
       const {incarnation} = current.val;
       return Ok({
@@ -91,7 +93,7 @@
   return Err({kind: 'contended'});
 }
 
-/** Checks the shape of an agent's row; an absent row is a valid one. */
+/** Parses an agent's row; an absent row is valid. */
 export function parseIncarnationRow(
   row: TableRow | undefined,
 ): Result<IncarnationRowValue | undefined, LeaseError> {
--- a/packages/core/src/lease/commands/release.ts
+++ b/packages/core/src/lease/commands/release.ts
@@ -3,14 +3,17 @@
 import type {LeaseFlow, LeaseSettings} from '../types';
 import {readLeaseRow, writeRow} from '../write_row';
 
-/** Gives the lease back; the row stays, so that its number never falls. */
+/**
+ * Releases the lease. The row is kept, so that its fencing number never
+ * decreases.
+ */
 export function* releaseLease(
   settings: LeaseSettings,
   leaseState: LeaseState,
 ): LeaseFlow<void> {
   const flow = (leaseState.lastFlow += 1);
-  // Guards against acting after others were let in: the holder stops before
-  // the request to release is sent, not when its reply comes.
+  // The holder stops before the release is sent, not when its reply arrives.
+  // Otherwise it could still act after others have acquired the lease.
   recordLost(leaseState);
   const row = yield* readLeaseRow(settings);
   if (row.err) return row;
--- a/packages/core/src/lease/commands/renew.ts
+++ b/packages/core/src/lease/commands/renew.ts
@@ -12,10 +12,12 @@
 } from '../types';
 import {readLeaseRow, writeRow} from '../write_row';
 
-/** Tries while earlier writes of our own still arrive at the table. */
+/**
+ * Attempts while earlier writes of this holder are still arriving at the table.
+ */
 const MAX_ATTEMPTS = 4;
 
-/** Prolongs a lease that the table still says is ours. */
+/** Renews a lease that the table still assigns to this holder. */
 export function* renewLease(
   settings: LeaseSettings,
   leaseState: LeaseState,
--- a/packages/core/src/lease/create_lease.ts
+++ b/packages/core/src/lease/create_lease.ts
@@ -5,7 +5,7 @@
 import {checkLease} from './queries/check_lease';
 import type {Lease, LeaseSettings} from './types';
 
-/** One holder's side of the lease on one row. */
+/** Creates one holder's view of the lease on one row. */
 export function createLease(settings: LeaseSettings): Lease {
   const leaseState = createLeaseState();
   return {
--- a/packages/core/src/lease/lease_row.ts
+++ b/packages/core/src/lease/lease_row.ts
@@ -7,22 +7,22 @@
   fencing: z.number().int().positive(),
   holder: z.string(),
   token: z.string(),
-  /** Number of the write among all of its token. */
+  /** Sequence number of the write among all writes of its token. */
   write: z.number().int().nonnegative(),
   duration: z.number().positive(),
   state: z.enum(['held', 'released']),
 });
 
-/** What a lease's row holds. */
+/** Content of a lease's row. */
 export type LeaseRowValue = Readonly<z.infer<typeof leaseRowSchema>>;
 
-/** A lease's row as read. */
+/** A lease's row together with its version. */
 export interface LeaseRow {
   readonly version: number;
   readonly value: LeaseRowValue;
 }
 
-/** Checks a row's shape; an absent row is a valid one. */
+/** Parses a row; an absent row is valid. */
 export function parseLeaseRow(
   row: TableRow | undefined,
 ): Result<LeaseRow | undefined, LeaseError> {
@@ -32,7 +32,7 @@
   return Err({kind: 'malformedRow', detail: `${row.key} holds no lease`});
 }
 
-/** The condition that a row stands as it was read. */
+/** Condition that a row has not changed since it was read. */
 export function unchangedCondition(
   key: TableKey,
   version: number | undefined,
--- a/packages/core/src/lease/lease_state.ts
+++ b/packages/core/src/lease/lease_state.ts
@@ -3,25 +3,25 @@
 import type {LeaseRow} from './lease_row';
 import type {HeldLease, LeaseError, LeaseSettings} from './types';
 
-/** Most writes of which the instant of sending is remembered. */
+/** Max writes whose send time is kept. */
 const MAX_TRACKED_WRITES = 16;
 
-/** What one holder remembers of its lease between flows. */
+/** State that one holder keeps between flows. */
 export interface LeaseState {
   held: HeldLease | undefined;
-  /** The row's version after our last write, where known. */
+  /** The row's version after this holder's last write, if known. */
   rowVersion: number | undefined;
-  /** Since when another holder's row was seen with this version. */
+  /** Version of another holder's row, and when it was first seen. */
   observed:
     {readonly version: number; readonly since: MonotonicInstant} | undefined;
-  /** When each of our writes was about to be sent. */
+  /** Time right before each write was sent, by write number. */
   readonly sentAt: Map<number, MonotonicInstant>;
   lastWrite: number;
   /** Number of the last flow that began. */
   lastFlow: number;
 }
 
-/** Memory of a lease that was never held. */
+/** Creates the state of a lease that was never held. */
 export function createLeaseState(): LeaseState {
   return {
     held: undefined,
@@ -33,7 +33,9 @@
   };
 }
 
-/** Notes a new write with the instant before it is sent. */
+/**
+ * Records a new write and the time right before it is sent; returns its number.
+ */
 export function recordWrite(
   leaseState: LeaseState,
   now: MonotonicInstant,
@@ -44,7 +46,7 @@
   return leaseState.lastWrite;
 }
 
-/** Notes that our write number `write` is in the row. */
+/** Records that the row contains this holder's write number `write`. */
 export function recordHeld(
   leaseState: LeaseState,
   settings: LeaseSettings,
@@ -54,10 +56,9 @@
 ): Result<HeldLease, LeaseError> {
   const sentAt = leaseState.sentAt.get(write);
   if (sentAt === undefined) return Err({kind: 'contended'});
-  // Guards against a lease that its holder believes longer than others do:
-  // the write took effect after it was sent, so others start counting later
-  // than this instant. Counted from the reply, a slow reply would show as two
-  // holders at once.
+  // The write takes effect after it was sent, so others start counting later
+  // than this instant. If the lease were counted from the reply, a slow reply
+  // would leave two holders at once.
   const until = sentAt + settings.duration - settings.margin;
   leaseState.held = {fencing, until};
   leaseState.rowVersion = rowVersion;
@@ -65,15 +66,15 @@
   return Ok(leaseState.held);
 }
 
-/** Notes that the lease is not ours. */
+/** Records that this holder no longer has the lease. */
 export function recordLost(leaseState: LeaseState): void {
   leaseState.held = undefined;
   leaseState.rowVersion = undefined;
 }
 
 /**
- * How long to wait until the row may be taken over, counted on our own clock
- * from when we first saw it as it stands.
+ * Time until the row may be taken over. It is counted on this process's own
+ * clock from when the row was first seen in its current version.
  */
 export function takeoverDelay(
   leaseState: LeaseState,
@@ -86,7 +87,7 @@
   if (leaseState.observed?.version !== row.version) {
     leaseState.observed = {version: row.version, since: now};
   }
-  // Guards against taking over from a live holder: it would show as two
-  // holders. Whoever renews changes the version, which starts the wait anew.
+  // A renewal changes the version and restarts the wait. Otherwise the lease
+  // could be taken over from a live holder, and there would be two holders.
   return Math.max(0, leaseState.observed.since + row.value.duration - now);
 }
--- a/packages/core/src/lease/queries/check_lease.ts
+++ b/packages/core/src/lease/queries/check_lease.ts
@@ -7,8 +7,8 @@
   now: MonotonicInstant,
 ): LeaseCheck {
   if (held === undefined) return {kind: 'mustNotAct', reason: 'notHeld'};
-  // Guards against a holder that was paused past its lease: it would show as
-  // orders from two holders. The check needs no timer to have run meanwhile.
+  // A holder that was paused past its lease must not act, or two holders would
+  // give orders. The comparison does not depend on a timer having fired.
   if (now >= held.until) return {kind: 'mustNotAct', reason: 'ranOut'};
   const remaining = held.until - now;
   return {kind: 'mayAct', fencing: held.fencing, remaining};
--- a/packages/core/src/lease/read_clock.ts
+++ b/packages/core/src/lease/read_clock.ts
@@ -2,7 +2,7 @@
 import type {MonotonicInstant} from '../types';
 import type {ClockReply, ReadClockEffect} from './types';
 
-/** Replies to the other effects of the flows that read the clock. */
+/** Replies to the other effects of flows that read the clock. */
 interface OtherReply {
   readonly kind: 'row' | 'commit' | 'order' | 'report';
 }
--- a/packages/core/src/lease/table_calls.ts
+++ b/packages/core/src/lease/table_calls.ts
@@ -13,7 +13,7 @@
 } from '../types';
 import type {ClockReply} from './types';
 
-/** Any reply to a flow over the table. */
+/** Any reply to a flow that accesses the table. */
 type TableReply = ReadReply | CommitReply | ClockReply;
 
 /** Reads one row. */
@@ -38,7 +38,7 @@
   return reply.result;
 }
 
-/** Says in words what the platform answered. */
+/** Describes a platform error as text. */
 export function describePlatformError(error: PlatformError): string {
   if (error.kind === 'rateLimited') {
     return `rate limited for ${error.retryAfter} ms`;
--- a/packages/core/src/lease/types.ts
+++ b/packages/core/src/lease/types.ts
@@ -11,7 +11,7 @@
   TableKey,
 } from '../types';
 
-/** Asks the driver for its monotonic clock at this moment. */
+/** Requests the current time of the driver's monotonic clock. */
 export interface ReadClockEffect {
   readonly kind: 'readClock';
 }
@@ -22,41 +22,50 @@
   readonly now: MonotonicInstant;
 }
 
-/** What a lease flow asks of its driver. */
+/** Effect that a lease flow requests from its driver. */
 export type LeaseEffect = ReadRowEffect | CommitEffect | ReadClockEffect;
 
-/** What the driver answers to a lease flow. */
+/** Reply of the driver to a lease flow. */
 export type LeaseReply = ReadReply | CommitReply | ClockReply;
 
-/** Raised at each change of holder; a target refuses a lower one. */
+/**
+ * Increases with each change of holder; a target refuses orders with a lower
+ * number.
+ */
 export type FencingNumber = number;
 
-/** Who wants the lease, on which row and for how long. */
+/** Holder, row and duration of a lease. */
 export interface LeaseSettings {
   readonly key: TableKey;
-  /** Name shown to others and to operators. */
+  /** Name shown to other holders and to operators. */
   readonly holder: string;
-  /** Random and unique to this start of the process. */
+  /** Random token, unique to this start of the process. */
   readonly token: string;
-  /** How long others wait without seeing the row change. */
+  /**
+   * Time that others wait without seeing the row change before they take over.
+   */
   readonly duration: Milliseconds;
   /**
-   * How much earlier the holder stops itself. It covers the difference in
-   * rate of two clocks over `duration` and an order's way to its target.
+   * How much earlier the holder stops itself. It covers the rate difference of
+   * two clocks over `duration` and the time that an order takes to reach its
+   * target.
    */
   readonly margin: Milliseconds;
-  /** Must hold at each acquisition and renewal, besides the lease's own row. */
+  /**
+   * Additional conditions of each acquisition and renewal, besides the version
+   * of the lease's own row.
+   */
   readonly conditions?: readonly TableCondition[];
 }
 
-/** A lease as its holder knows it. */
+/** A lease that is held, from its holder's point of view. */
 export interface HeldLease {
   readonly fencing: FencingNumber;
-  /** From this instant on the holder must not act. */
+  /** The holder must not act from this instant on. */
   readonly until: MonotonicInstant;
 }
 
-/** Answer to the question whether the holder may act at an instant. */
+/** Whether the holder may act at a given instant. */
 export type LeaseCheck =
   | {
       readonly kind: 'mayAct';
@@ -71,36 +80,43 @@
       readonly kind: 'heldByOther';
       readonly holder: string;
       readonly fencing: FencingNumber;
-      /** When an attempt can succeed at the earliest. */
+      /** Time until an attempt can succeed at the earliest. */
       readonly retryAfter: Milliseconds;
     }
-  /** Another holder has the lease, or it was never ours. */
+  /** Another holder has the lease, or this holder never had it. */
   | {readonly kind: 'lost'}
-  /** A condition besides the lease's row failed: give up for good. */
+  /** An additional condition failed; give up permanently. */
   | {readonly kind: 'replaced'}
   /** A later flow of the same lease has begun; its result counts. */
   | {readonly kind: 'superseded'}
-  /** No effect, or none that is known; try again. */
+  /** The write had no effect, or its effect is unknown; try again. */
   | {readonly kind: 'platformUnavailable'; readonly detail: string}
   | {readonly kind: 'malformedRow'; readonly detail: string}
-  /** Others wrote the row at each try; try again. */
+  /** Other writers changed the row at each attempt; try again. */
   | {readonly kind: 'contended'};
 
-/** A flow over the lease's row. */
+/** A flow that reads and writes the lease's row. */
 export type LeaseFlow<Value> = Flow<
   LeaseEffect,
   LeaseReply,
   Result<Value, LeaseError>
 >;
 
-/** One holder's side of one lease. */
+/** One holder's view of one lease. */
 export interface Lease {
-  /** Takes the lease under a new fencing number, or says when to try again. */
+  /**
+   * Acquires the lease with a new fencing number, or returns when to try again.
+   */
   readonly acquire: () => LeaseFlow<HeldLease>;
-  /** Prolongs the lease under the same fencing number. */
+  /** Renews the lease with the same fencing number. */
   readonly renew: () => LeaseFlow<HeldLease>;
-  /** Stops acting at once and lets others acquire without a wait. */
+  /**
+   * Stops acting immediately and lets others acquire the lease without a wait.
+   */
   readonly release: () => LeaseFlow<void>;
-  /** To be asked right before each use; counts from before the last write. */
+  /**
+   * Must be called right before each use. The time left counts from before the
+   * last write was sent.
+   */
   readonly mayAct: (now: MonotonicInstant) => LeaseCheck;
 }
--- a/packages/core/src/lease/write_row.ts
+++ b/packages/core/src/lease/write_row.ts
@@ -12,7 +12,7 @@
 import {commit, describePlatformError, readRow} from './table_calls';
 import type {LeaseEffect, LeaseError, LeaseReply, LeaseSettings} from './types';
 
-/** What became of a write of the lease's row. */
+/** Outcome of a write of the lease's row. */
 export type WriteOutcome =
   | {readonly kind: 'written'; readonly write: number}
   | {readonly kind: 'changed'; readonly row: LeaseRow | undefined}
@@ -24,7 +24,10 @@
   Result<WriteOutcome, LeaseError>
 >;
 
-/** Writes the row if it stands at `version`; a lost reply is read back. */
+/**
+ * Writes the row if its version is still `version`. After a lost reply the row
+ * is read back.
+ */
 export function* writeRow(
   settings: LeaseSettings,
   leaseState: LeaseState,
@@ -47,13 +50,13 @@
     writes: [{kind: 'put', key: settings.key, value}],
   });
   if (result.ok) return interpretOutcome(settings, write, result.val);
-  // Guards against losing a lease that the table says is ours: shows as a
-  // needless pause for a full duration after one lost reply.
+  // Without this, one lost reply would drop a lease that the table still
+  // assigns to this holder and pause it for a full duration.
   if (result.val.kind === 'replyLost') return yield* readBack(settings, write);
   return unavailable(describePlatformError(result.val));
 }
 
-/** Reads the lease's row and checks its shape. */
+/** Reads and parses the lease's row. */
 export function* readLeaseRow(
   settings: LeaseSettings,
 ): Flow<LeaseEffect, LeaseReply, Result<LeaseRow | undefined, LeaseError>> {
--- a/test/lease/holders.test.ts
+++ b/test/lease/holders.test.ts
@@ -3,21 +3,21 @@
 import {propertySettings} from '../fixtures/property_settings';
 import {createSteppedTable, type SteppedTable} from '../fixtures/stepped_table';
 import {
-  arbitraryHop,
+  arbitraryCall,
   createSteppedHolder,
   DURATION,
   KEY,
-  type Hop,
+  type HolderCall,
   type SteppedHolder,
 } from './stepped_holder';
 
 const RATES = [0.98, 1, 1.02];
 
-/** A holder begins a flow or goes on with it, for some hops of calls. */
+/** A holder starts or continues a flow for some calls. */
 interface Step {
   readonly holder: number;
   readonly action: 'acquire' | 'renew' | 'release' | 'resume' | 'land';
-  readonly hops: readonly Hop[];
+  readonly holderCalls: readonly HolderCall[];
 }
 
 const elapsed = fc.oneof(
@@ -26,9 +26,9 @@
   {weight: 1, arbitrary: fc.integer({min: DURATION - 60, max: DURATION + 40})},
 );
 
-const hops = fc.oneof(
-  fc.array(arbitraryHop(elapsed), {minLength: 6, maxLength: 8}),
-  fc.array(arbitraryHop(elapsed), {minLength: 1, maxLength: 5}),
+const calls = fc.oneof(
+  fc.array(arbitraryCall(elapsed), {minLength: 6, maxLength: 8}),
+  fc.array(arbitraryCall(elapsed), {minLength: 1, maxLength: 5}),
 );
 
 const step: fc.Arbitrary<Step> = fc.record({
@@ -44,7 +44,7 @@
     'resume',
     'land',
   ),
-  hops,
+  holderCalls: calls,
 });
 
 const steps = fc.array(step, {minLength: 5, maxLength: 25});
@@ -57,16 +57,16 @@
     createSteppedHolder(table, `agent-${index}`, rate),
   );
   let now = 0;
-  for (const {holder: index, action, hops: ahead} of taken) {
+  for (const {holder: index, action, holderCalls} of taken) {
     const holder = holders[index];
     if (holder === undefined) throw new Error('no such holder');
     if (action === 'land') table.landLate();
     else if (action !== 'resume') holder.begin(action);
     check(holders, now);
-    for (const hop of ahead) {
-      now += hop.elapsed;
+    for (const call of holderCalls) {
+      now += call.elapsed;
       check(holders, now);
-      holder.proceed(now, hop);
+      holder.advanceCall(now, call);
       check(holders, now);
     }
   }
@@ -79,10 +79,10 @@
 };
 
 describe('the holders of one lease', () => {
-  // An operator sees an engine load and unload in turns: two agents give it
-  // orders. One was paused, or its renewal was slow or lost, while the other
-  // took the lease over, on a clock that runs a little faster or slower.
-  test('never act two at once', () => {
+  // An agent is paused, or its renewal is slow or lost, while another agent
+  // with a slightly faster or slower clock takes over the lease. If both acted,
+  // an engine would load and unload in turns.
+  test('never act at the same time', () => {
     fc.assert(
       fc.property(steps, taken => {
         runSteps(taken, checkOneActs);
@@ -91,12 +91,13 @@
     );
   });
 
-  // The same sight, at the edge of the lease: the first holder's calls take up
-  // to half of the duration, and the second one asks all the time.
-  test('never overlap where one is slow and the other eager', () => {
+  // The same failure at the end of the lease: the first holder's calls take up
+  // to half of the duration, and the second one tries to acquire it all the
+  // time.
+  test('never overlap if one is slow and the other keeps retrying', () => {
     const slow = fc.oneof(fc.nat({max: 5}), fc.nat({max: 500}));
     const renewals = fc.array(
-      fc.array(arbitraryHop(slow), {minLength: 2, maxLength: 8}),
+      fc.array(arbitraryCall(slow), {minLength: 2, maxLength: 8}),
       {minLength: 1, maxLength: 4},
     );
     fc.assert(
@@ -119,9 +120,9 @@
         };
         for (const renewal of taken) {
           first.begin('renew');
-          for (const hop of renewal) {
-            passTime(hop.elapsed);
-            first.proceed(now, hop);
+          for (const call of renewal) {
+            passTime(call.elapsed);
+            first.advanceCall(now, call);
             checkOneActs(holders, now);
           }
         }
@@ -131,9 +132,9 @@
     );
   });
 
-  // A target that checks fencing takes orders from a replaced agent: the agent
-  // that follows got the same number, so the target can't tell them apart.
-  test('never act under the same fencing number', () => {
+  // If a successor got the same fencing number as a replaced agent, a target
+  // could not tell their orders apart.
+  test('never act with the same fencing number', () => {
     fc.assert(
       fc.property(steps, taken => {
         const holderOf = new Map<number, SteppedHolder>();
@@ -163,6 +164,6 @@
 ): void {
   holder.begin(action);
   while (!holder.isDone()) {
-    holder.proceed(now, {fault: 'none', elapsed: 0, slowReply: false});
+    holder.advanceCall(now, {fault: 'none', elapsed: 0, slowReply: false});
   }
 }
--- a/test/lease/incarnation.test.ts
+++ b/test/lease/incarnation.test.ts
@@ -26,9 +26,9 @@
 }
 
 describe('the incarnation of an agent', () => {
-  // A restarted agent's orders are refused by its engine: its write was read
-  // as another's after a lost reply, it raised the number again, and the
-  // engine saw two numbers of one start, or two starts shared one.
+  // After a lost reply an agent takes its own write for another's and raises
+  // the number again, or two starts share one. Its engine would then refuse its
+  // orders.
   test('is raised once by each start and never shared', () => {
     const step = fc.record({
       start: fc.nat({max: STARTS - 1}),
--- a/test/lease/lease.test.ts
+++ b/test/lease/lease.test.ts
@@ -22,8 +22,8 @@
 }
 
 describe('a lease', () => {
-  // An agent stops giving orders for a whole duration though the platform is
-  // well: the reply to one renewal was lost, and it took the lease for lost.
+  // If one lost reply of a renewal counted as a lost lease, the agent would
+  // stop giving orders for a whole duration although the platform works.
   test('survives the lost reply of a renewal', () => {
     const table = createSteppedTable();
     const lease = createHolder('first');
@@ -42,8 +42,8 @@
     expect(lease.mayAct(1_300).kind).toBe('mayAct');
   });
 
-  // Two agents give orders at once: the first one's write took long, and it
-  // counted its lease from the reply, the second one from the write.
+  // If the first holder counted its slow write from the reply and the second
+  // one from the write, two agents would give orders at once.
   test('counts from before the write was sent', () => {
     const table = createSteppedTable();
     const lease = createHolder('first');
@@ -55,7 +55,7 @@
     expect(until).toBeLessThanOrEqual(450 + DURATION - MARGIN);
   });
 
-  test('ends a margin before others may take it over', () => {
+  test('ends one margin before others may take it over', () => {
     const table = createSteppedTable();
     const first = createHolder('first');
     const second = createHolder('second');
@@ -71,7 +71,7 @@
     expect(late.unwrap().fencing).toBe(2);
   });
 
-  test('is free at once after a release, under a higher number', () => {
+  test('can be acquired immediately after a release, with a higher number', () => {
     const table = createSteppedTable();
     const first = createHolder('first');
     const second = createHolder('second');
@@ -82,7 +82,7 @@
     expect(acquired.unwrap().fencing).toBe(2);
   });
 
-  test('says when the platform is down and stays held till it ends', () => {
+  test('reports a platform outage and stays held until it expires', () => {
     const table = createSteppedTable();
     const lease = createHolder('first');
     runFlow(table, lease.acquire(), () => 0);
@@ -92,7 +92,7 @@
     expect(lease.mayAct(900).kind).toBe('mustNotAct');
   });
 
-  test('can be renewed after it ran out if nobody took it', () => {
+  test('can be renewed after it expired if nobody acquired it', () => {
     const table = createSteppedTable();
     const lease = createHolder('first');
     runFlow(table, lease.acquire(), () => 0);
@@ -100,9 +100,9 @@
     expect(renewed.unwrap()).toEqual({fencing: 1, until: 5_900});
   });
 
-  // A replaced agent keeps the lease alive for ever, so that its successor
-  // never gives an order.
-  test('is not renewed once a condition beside it fails', () => {
+  // If a replaced agent could renew the lease forever, its successor would
+  // never give an order.
+  test('is not renewed once an additional condition fails', () => {
     const table = createSteppedTable();
     const put = {kind: 'put', key: 'agents/a', value: 1} as const;
     table.commit({conditions: [], writes: [put]}, 'none');
@@ -116,7 +116,7 @@
     expect(lease.mayAct(11).kind).toBe('mustNotAct');
   });
 
-  test('refuses a row of another shape', () => {
+  test('rejects a malformed row', () => {
     const table = createSteppedTable();
     const put = {kind: 'put', key: KEY, value: 'other'} as const;
     table.commit({conditions: [], writes: [put]}, 'none');
--- a/test/lease/lease_flow.ts
+++ b/test/lease/lease_flow.ts
@@ -22,7 +22,7 @@
   }
 }
 
-/** Runs a flow to its end; `faults` befall its commits one after another. */
+/** Runs a flow to its end; `faults` apply to its commits one after another. */
 export function runFlow<Outcome>(
   table: SteppedTable,
   flow: Generator<LeaseEffect, Outcome, LeaseReply>,
--- a/test/lease/stepped_holder.ts
+++ b/test/lease/stepped_holder.ts
@@ -19,30 +19,32 @@
 /** Two clocks that differ by 4% drift 40 ms apart over the duration. */
 export const MARGIN = 45;
 
-/** What befalls one call of a holder. */
-export interface Hop {
+/** Fault and timing of one call of a holder. */
+export interface HolderCall {
   readonly fault: TableFault;
   /** Milliseconds that pass before the call reaches the table. */
   readonly elapsed: number;
-  /** Whether the reply waits for the holder's next hop. */
+  /** Whether the reply is delayed until the holder's next call. */
   readonly slowReply: boolean;
 }
 
-/** Hops after which `elapsed` milliseconds have passed. */
-export function arbitraryHop(elapsed: fc.Arbitrary<number>): fc.Arbitrary<Hop> {
+/** Arbitrary calls that are delayed by `elapsed` milliseconds. */
+export function arbitraryCall(
+  elapsed: fc.Arbitrary<number>,
+): fc.Arbitrary<HolderCall> {
   return fc.record({fault: tableFault, elapsed, slowReply: fc.boolean()});
 }
 
-/** A holder whose flow a test steps; its clock runs at `rate`. */
+/** A holder whose flow is stepped by a test; its clock runs at `rate`. */
 export interface SteppedHolder {
   readonly lease: Lease;
   readonly begin: (action: 'acquire' | 'renew' | 'release') => void;
-  readonly proceed: (now: number, hop: Hop) => void;
+  readonly advanceCall: (now: number, call: HolderCall) => void;
   readonly isDone: () => boolean;
   readonly mayAct: (now: number) => boolean;
 }
 
-/** A holder that has not begun anything. */
+/** Creates a holder that has not started a flow. */
 export function createSteppedHolder(
   table: SteppedTable,
   name: string,
@@ -73,11 +75,11 @@
       const first = flow.next();
       effect = first.done === true ? undefined : first.value;
     },
-    proceed: (now, hop) => {
+    advanceCall: (now, call) => {
       if (effect === undefined) return;
       if (waiting !== undefined) return advance(waiting);
-      const reply = replyTo(table, effect, now * rate, hop.fault);
-      if (hop.slowReply && reply.kind !== 'clock') waiting = reply;
+      const reply = replyTo(table, effect, now * rate, call.fault);
+      if (call.slowReply && reply.kind !== 'clock') waiting = reply;
       else advance(reply);
     },
     isDone: () => effect === undefined,
