--- a/packages/core/src/membership/bounds.ts
+++ b/packages/core/src/membership/bounds.ts
@@ -1,73 +1,87 @@
 import type {Bytes, BytesPerSecond, Milliseconds} from '../types';
 
-// Every period and bound of the membership stands here. Bytes are those of the
-// protocol's messages plus MESSAGE_OVERHEAD; test/membership/traffic.test.ts
-// encodes the messages and keeps the two stated sizes true.
+// All periods and limits of the membership. Traffic is calculated from the
+// sizes of the protocol's messages plus MESSAGE_OVERHEAD;
+// test/membership/held_targets.test.ts encodes the messages and checks the two
+// heartbeat sizes.
 
-/** Each side of a session sends a heartbeat so often. */
+/** Interval between the heartbeats that each side of a session sends. */
 export const HEARTBEAT_PERIOD: Milliseconds = 1_000;
 
-/** The driver calls `tick` so often. */
+/** Interval between the driver's calls of `tick`. */
 export const TICK_PERIOD: Milliseconds = 250;
 
 /**
  * Silence after which an instance gets no new work: two heartbeats lost and a
- * third late. It is out of routing at most one tick later.
+ * third late. Routing excludes it at most one tick later.
  */
 export const SUSPECT_AFTER: Milliseconds = 3_000;
 
-/** Silence after which an instance counts as dead; its work is given up. */
+/** Silence after which an instance counts as dead and its work is abandoned. */
 export const DEAD_AFTER: Milliseconds = 6_000;
 
 /**
- * A gap between two calls of ours that is longer was a pause of our own, as
- * ticks come four times as often.
+ * A longer gap between two calls is a pause of this process, since ticks are
+ * four times as frequent.
  */
 export const LOCAL_PAUSE_THRESHOLD: Milliseconds = 1_000;
 
-/** How long an instance must be heard without a gap after its first fall. */
+/** Time for which messages must arrive without a gap after the first flap. */
 export const INITIAL_HOLD_DOWN: Milliseconds = 2_000;
 
-/** The hold doubles with each fall up to this. */
+/** The hold-down time doubles with each flap up to this limit. */
 export const MAX_HOLD_DOWN: Milliseconds = 32_000;
 
-/** Falls are forgotten after so long without one. */
+/** Flaps no longer count after this time without another one. */
 export const FORGET_FLAPS_AFTER: Milliseconds = 120_000;
 
 /**
- * How long one that left or died is remembered after the list dropped it; the
- * list is late by seconds, so that minutes are ample.
+ * Time for which an instance that left or died is kept after it was dropped
+ * from the platform's list. The list lags by seconds, so minutes are ample.
  */
 export const FORGET_GONE_AFTER: Milliseconds = 600_000;
 
-/** Changes kept for neighbours that ask what changed since. */
+/** Max changes kept for peers that request the changes since a position. */
 export const MAX_LOGGED_CHANGES = 1_024;
 
-/** Entries that hold one target: five may fail before it has none. */
+/**
+ * Entries that hold each target; five of them may fail before a target has
+ * none.
+ */
 export const HOLDERS_PER_TARGET = 6;
 
 /**
- * Targets that an entry holds of each model or service at least. With four, ten
+ * Min targets that an entry holds of each model or service. With four, ten
  * models at 390 entries and 600 engines would cost 28 KB/s.
  */
 export const MIN_HELD_PER_GROUP = 3;
 
 /**
- * On a site with at most so many entries and targets of a group, each entry
- * holds them all. From measured slopes that costs an entry 7.5 KB/s and an
- * agent 6.4 KB/s, a third of the budget, and routing sees every target.
+ * On a site with at most this many entries, and targets in a group, each entry
+ * holds all targets of the group. From measured slopes, that costs an entry 7.5
+ * KB/s and an agent 6.4 KB/s, a third of the budget, and routing sees every
+ * target.
  */
 export const SMALL_SITE_ENTRIES = 16;
 export const SMALL_SITE_TARGETS = 32;
 
-/** Headers of HTTP/2, TCP and IP around one small message, with its ack. */
+/**
+ * Size of the HTTP/2, TCP and IP headers of one small message, including its
+ * ACK.
+ */
 export const MESSAGE_OVERHEAD: Bytes = 140;
 
-/** An agent's heartbeat: two versions loaded, 16 cached prefixes, one fetch. */
+/**
+ * Max size of an agent's heartbeat with two loaded versions, 16 cached prefixes
+ * and one download.
+ */
 export const AGENT_HEARTBEAT_SIZE: Bytes = 400;
 
-/** An entry's heartbeat to an agent; one to an entry carries use as well. */
+/**
+ * Max size of an entry's heartbeat to an agent. A heartbeat to another entry
+ * also carries usage.
+ */
 export const ENTRY_HEARTBEAT_SIZE: Bytes = 16;
 
-/** What a node of the site may spend on heartbeats. */
+/** Max traffic that heartbeats may cause per node. */
 export const HEARTBEAT_BUDGET: BytesPerSecond = 26_000;
--- a/packages/core/src/membership/change_log.ts
+++ b/packages/core/src/membership/change_log.ts
@@ -1,15 +1,15 @@
 import {MAX_LOGGED_CHANGES} from './bounds';
 import type {LivenessChange, LivenessDelta} from './types';
 
-/** A bounded log of changes by position. */
+/** A bounded log of liveness changes, addressed by position. */
 export interface ChangeLog {
   readonly add: (change: LivenessChange) => void;
-  /** Undefined if the log no longer reaches back to the position. */
+  /** Returns undefined if the log no longer reaches back to the position. */
   readonly since: (position: number) => LivenessDelta | undefined;
   readonly latest: () => number;
 }
 
-/** An empty log; the first change has position 1. */
+/** Creates an empty log; the first change has position 1. */
 export function createChangeLog(): ChangeLog {
   const changes: LivenessChange[] = [];
   let latest = 0;
--- a/packages/core/src/membership/commands/list.ts
+++ b/packages/core/src/membership/commands/list.ts
@@ -3,7 +3,9 @@
 import {compensateForPause, type MembershipState} from '../membership_state';
 import type {ListedMember} from '../types';
 
-/** Takes the platform's list: adds candidates and confirms leaving. */
+/**
+ * Applies the platform's list: adds candidates and confirms leaving instances.
+ */
 export function applyList(
   state: MembershipState,
   lines: readonly ListedMember[],
@@ -36,9 +38,10 @@
     setLiveness(record, 'leaving', now, state.log);
     return;
   }
-  // Guards against the list bringing back one that said goodbye: the list is
-  // late and still calls it live. Only what the list itself called leaving may
-  // come back by the list, and then as a candidate that must be heard.
+  // The list lags and may still contain an instance as live after its goodbye,
+  // which must not bring it back. Only an instance that the list itself
+  // reported as leaving may return through the list, and then as a candidate
+  // that must send a message first.
   if (before === 'leaving' && !record.sentGoodbye) {
     if (record.liveness !== 'leaving') return;
     setLiveness(record, 'joining', now, state.log);
--- a/packages/core/src/membership/commands/messages.ts
+++ b/packages/core/src/membership/commands/messages.ts
@@ -9,7 +9,7 @@
 import {compensateForPause, type MembershipState} from '../membership_state';
 import type {MemberHeartbeat, MemberIdentity, MessageOutcome} from '../types';
 
-/** Takes a hello: the first message of each session. */
+/** Handles a hello, the first message of each session. */
 export function handleHello(
   state: MembershipState,
   identity: MemberIdentity,
@@ -26,15 +26,15 @@
     if (listedLeaving) record.incarnation = incarnation;
     else beginIncarnation(record, incarnation, now, state.log);
   }
-  // Guards against new work for one that left: a late or repeated hello of the
-  // same life does not bring it back.
+  // A late or repeated hello of the same incarnation does not bring back an
+  // instance that has left; it would get new work.
   if (record.liveness === 'leaving') return 'ignored';
   record.identity = identity;
   recordContact(record, now, state.log);
   return 'taken';
 }
 
-/** Takes a heartbeat. */
+/** Handles a heartbeat. */
 export function handleHeartbeat(
   state: MembershipState,
   heartbeat: MemberHeartbeat,
@@ -45,8 +45,8 @@
   if (record === undefined) return 'needsHello';
   if (heartbeat.incarnation > record.incarnation) return 'needsHello';
   if (heartbeat.incarnation < record.incarnation) return 'ignored';
-  // Guards against an old heartbeat that comes late: it would show as a dead
-  // instance that stays in routing.
+  // An old heartbeat that arrives late must not keep a dead instance in
+  // routing.
   if (heartbeat.sequence <= record.lastSequence) return 'ignored';
   record.lastSequence = heartbeat.sequence;
   const isCancelled = isLeavingCancelled(record, heartbeat);
@@ -61,9 +61,10 @@
 }
 
 /**
- * Whether an instance that said it leaves now says that it stays, as after an
- * operator's second thought. Without this it would get no work until it is
- * restarted. What the list calls leaving, or what said goodbye, stays gone.
+ * Whether an instance that reported that it leaves now reports that it stays,
+ * for example after an operator changed their mind. Without this it would get
+ * no work until it is restarted. An instance that the list reports as leaving,
+ * or that has sent a goodbye, stays excluded.
  */
 function isLeavingCancelled(
   record: MemberRecord,
@@ -73,7 +74,7 @@
   return record.listed !== 'leaving' && !record.sentGoodbye;
 }
 
-/** Takes a goodbye. */
+/** Handles a goodbye. */
 export function handleGoodbye(
   state: MembershipState,
   instance: InstanceName,
@@ -91,7 +92,7 @@
   return 'taken';
 }
 
-/** Notes that the session with an instance broke. */
+/** Handles a broken session with an instance. */
 export function handleSessionLost(
   state: MembershipState,
   instance: InstanceName,
--- a/packages/core/src/membership/commands/tick.ts
+++ b/packages/core/src/membership/commands/tick.ts
@@ -4,7 +4,10 @@
 import {setLiveness, type MemberRecord} from '../member_record';
 import {compensateForPause, type MembershipState} from '../membership_state';
 
-/** Moves silent instances on and forgets those long gone. */
+/**
+ * Updates the liveness of silent instances and removes those that are long
+ * gone.
+ */
 export function tickMembers(
   state: MembershipState,
   now: MonotonicInstant,
@@ -26,8 +29,8 @@
   const silence = now - (record.lastReceivedAt ?? record.since);
   switch (record.liveness) {
     case 'live':
-      // Guards against work for a dead instance, which shows as requests that
-      // wait for their deadline: silence alone takes it out.
+      // Silence alone excludes an instance. Otherwise requests to a dead
+      // instance would wait until their deadline.
       if (silence >= SUSPECT_AFTER) {
         setLiveness(record, 'suspect', now, state.log);
       }
--- a/packages/core/src/membership/create_membership.ts
+++ b/packages/core/src/membership/create_membership.ts
@@ -11,7 +11,7 @@
 import {changesSince, listMembers, livenessOf} from './queries/liveness';
 import type {Membership} from './types';
 
-/** What the instance `self` knows of the others. */
+/** Creates the membership as seen by the instance `self`. */
 export function createMembership(self: InstanceName): Membership {
   const state = createMembershipState(self);
   return {
@@ -24,7 +24,8 @@
       handleSessionLost(state, instance, incarnation, now),
     list: (lines, now) => applyList(state, lines, now),
     tick: now => tickMembers(state, now),
-    applyDelta: (teller, delta) => state.secondhandReports.add(teller, delta),
+    applyDelta: (reporter, delta) =>
+      state.secondhandReports.add(reporter, delta),
     members: () => listMembers(state),
     livenessOf: instance => livenessOf(state, instance),
     changesSince: position => changesSince(state, position),
--- a/packages/core/src/membership/member_record.ts
+++ b/packages/core/src/membership/member_record.ts
@@ -8,29 +8,31 @@
 } from './bounds';
 import type {Liveness, Member, MemberIdentity} from './types';
 
-/** What is remembered of one instance. */
+/** State of one instance. */
 export interface MemberRecord {
   identity: MemberIdentity;
   incarnation: Incarnation;
   liveness: Liveness;
   since: MonotonicInstant;
-  /** Undefined until heard in this life. */
+  /** Undefined until a message of this incarnation arrives. */
   lastReceivedAt: MonotonicInstant | undefined;
-  /** Since when it is heard without a gap; undefined after a fall. */
+  /** Time since which messages arrive without a gap; undefined after a flap. */
   continuousSince: MonotonicInstant | undefined;
   lastSequence: number;
-  /** Falls from live that are not forgotten. */
+  /** Number of changes from live to another state that still count. */
   flaps: number;
   lastFlapAt: MonotonicInstant;
-  /** What the platform's list last said of it. */
+  /** Last state on the platform's list. */
   listed: 'live' | 'leaving' | undefined;
-  /** Said goodbye itself, in this life. */
+  /** Whether this incarnation has sent a goodbye. */
   sentGoodbye: boolean;
-  /** Its last heartbeat in this life said that it is leaving. */
+  /**
+   * Whether the last heartbeat of this incarnation reported that it is leaving.
+   */
   reportedLeaving: boolean;
 }
 
-/** A record of an instance that was not heard yet. */
+/** Creates the record of an instance that has not sent a message yet. */
 export function createRecord(
   identity: MemberIdentity,
   now: MonotonicInstant,
@@ -51,7 +53,7 @@
   };
 }
 
-/** Moves a record to another state and logs the change. */
+/** Changes the liveness of a record and logs the change. */
 export function setLiveness(
   record: MemberRecord,
   liveness: Liveness,
@@ -59,15 +61,18 @@
   log: ChangeLog,
 ): void {
   if (record.liveness === liveness) return;
-  const falls = record.liveness === 'live' && liveness !== 'leaving';
-  if (falls) recordFlap(record, now);
+  const isFlap = record.liveness === 'live' && liveness !== 'leaving';
+  if (isFlap) recordFlap(record, now);
   record.liveness = liveness;
   record.since = now;
   const {instance} = record.identity;
   log.add({instance, incarnation: record.incarnation, liveness});
 }
 
-/** Notes that an instance was heard; it is live once heard for long enough. */
+/**
+ * Records a message of an instance, which becomes live after its hold-down
+ * time.
+ */
 export function recordContact(
   record: MemberRecord,
   now: MonotonicInstant,
@@ -80,14 +85,14 @@
   const gap = silence >= SUSPECT_AFTER || record.continuousSince === undefined;
   if (gap) record.continuousSince = now;
   record.lastReceivedAt = now;
-  // Guards against an instance that comes and goes: it would show as work that
-  // is sent there and fails each time. After each fall it must be heard longer.
+  // Without a hold-down, work would go to an instance that keeps failing and
+  // returning, and fail each time. Each flap makes the hold-down longer.
   const contactTime = now - (record.continuousSince ?? now);
   if (contactTime < holdDownTime(record, now)) return;
   setLiveness(record, 'live', now, log);
 }
 
-/** Makes a record that of a later life of the same instance. */
+/** Resets a record for a later incarnation of the same instance. */
 export function beginIncarnation(
   record: MemberRecord,
   incarnation: Incarnation,
@@ -102,7 +107,7 @@
   setLiveness(record, 'joining', now, log);
 }
 
-/** The record as others may read it. */
+/** Returns the public view of a record. */
 export function memberOf(record: MemberRecord): Member {
   const {identity, incarnation, liveness, since} = record;
   return {...identity, incarnation, liveness, since};
@@ -115,9 +120,9 @@
 }
 
 function holdDownTime(record: MemberRecord, now: MonotonicInstant): number {
-  const falls = recentFlaps(record, now);
-  if (falls === 0) return 0;
-  return Math.min(MAX_HOLD_DOWN, INITIAL_HOLD_DOWN * 2 ** (falls - 1));
+  const flaps = recentFlaps(record, now);
+  if (flaps === 0) return 0;
+  return Math.min(MAX_HOLD_DOWN, INITIAL_HOLD_DOWN * 2 ** (flaps - 1));
 }
 
 function recentFlaps(record: MemberRecord, now: MonotonicInstant): number {
--- a/packages/core/src/membership/membership_state.ts
+++ b/packages/core/src/membership/membership_state.ts
@@ -7,7 +7,7 @@
 } from './secondhand_reports';
 import type {MemberRecord} from './member_record';
 
-/** What a process remembers of the others. */
+/** State that a process keeps about the other processes. */
 export interface MembershipState {
   readonly self: InstanceName;
   readonly records: Map<InstanceName, MemberRecord>;
@@ -16,7 +16,7 @@
   lastCallAt: MonotonicInstant | undefined;
 }
 
-/** Memory of a process that knows nobody. */
+/** Creates the state of a process that knows no others. */
 export function createMembershipState(self: InstanceName): MembershipState {
   return {
     self,
@@ -27,7 +27,10 @@
   };
 }
 
-/** To be called first in each command. */
+/**
+ * Excludes a pause of this process from the silence of the others. Must be
+ * called first in each command.
+ */
 export function compensateForPause(
   state: MembershipState,
   now: MonotonicInstant,
@@ -35,9 +38,9 @@
   const gap = state.lastCallAt === undefined ? 0 : now - state.lastCallAt;
   state.lastCallAt = now;
   if (gap <= LOCAL_PAUSE_THRESHOLD) return;
-  // Guards against blaming others for a pause of our own, which would show as
-  // all instances falling at once: what we did not hear while paused waits in
-  // our sockets, so the pause does not count as their silence.
+  // Messages that arrive during a pause of this process wait in its sockets, so
+  // the pause does not count as silence. Otherwise all instances would become
+  // suspect at once.
   for (const record of state.records.values()) {
     if (record.lastReceivedAt !== undefined) record.lastReceivedAt += gap;
     if (record.continuousSince !== undefined) record.continuousSince += gap;
--- a/packages/core/src/membership/queries/held_targets.ts
+++ b/packages/core/src/membership/queries/held_targets.ts
@@ -7,13 +7,13 @@
   SMALL_SITE_TARGETS,
 } from '../bounds';
 
-/** Share of its fair part that an entry may hold beyond it. */
+/** Max load of an entry relative to its fair share. */
 const LOAD_FACTOR = 1.25;
 
-/** What the choice is made from; equal inputs give equal choices everywhere. */
+/** Input of the choice; equal inputs give equal choices in all processes. */
 export interface HeldTargetsInput {
   readonly entry: InstanceName;
-  /** All entries that are not dead or leaving, this one among them. */
+  /** All entries that are not dead or leaving, including this one. */
   readonly entries: readonly InstanceName[];
   /** Targets of one model or one service. */
   readonly targets: readonly TargetName[];
@@ -24,23 +24,23 @@
   readonly hash: number;
 }
 
-/** Most targets of a group that one entry holds. */
+/** Max targets of a group that one entry holds. */
 export function maxHeldTargets(entries: number, targets: number): number {
   if (isSmall(entries, targets)) return targets;
   const holders = Math.min(HOLDERS_PER_TARGET, entries);
   const pairs = targets * holders;
   const fair = Math.ceil((LOAD_FACTOR * pairs) / Math.max(1, entries)) + 1;
-  // With so much room each, a target always finds enough entries not full.
+  // With this limit a target always finds enough entries that are not full.
   const minRoom = Math.ceil(pairs / Math.max(1, entries - holders));
   const minHeld = Math.min(targets, MIN_HELD_PER_GROUP);
   return Math.min(targets, Math.max(fair, minRoom, minHeld));
 }
 
 /**
- * The targets of one group that an entry holds sessions with. Each target is
- * held by HOLDERS_PER_TARGET entries or all there are, and each entry holds
- * FEWEST_HELD_PER_GROUP targets or all there are. On a small site each entry
- * holds them all.
+ * Chooses the targets of one group that an entry holds sessions with. Each
+ * target is held by HOLDERS_PER_TARGET entries, or by all of them if there are
+ * fewer, and each entry holds MIN_HELD_PER_GROUP targets, or all of them if
+ * there are fewer. On a small site each entry holds all targets.
  */
 export function chooseHeldTargets(
   input: HeldTargetsInput,
@@ -115,7 +115,7 @@
     );
 }
 
-/** Mixes two hashes; the names are hashed once, not once a pair. */
+/** Mixes two hashes; each name is hashed only once, not once per pair. */
 function pairScore(left: number, right: number): number {
   let mixed = left ^ Math.imul(right, 0x9e3779b1);
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
--- a/packages/core/src/membership/queries/liveness.ts
+++ b/packages/core/src/membership/queries/liveness.ts
@@ -3,14 +3,17 @@
 import type {MembershipState} from '../membership_state';
 import type {Liveness, LivenessChange, LivenessDelta, Member} from '../types';
 
-/** All instances that are known, by name. */
+/** All known instances, sorted by name. */
 export function listMembers(state: MembershipState): readonly Member[] {
   return [...state.records.values()]
     .map(memberOf)
     .sort((left, right) => (left.instance < right.instance ? -1 : 1));
 }
 
-/** Liveness from our own ear or, where we have none, from live tellers. */
+/**
+ * Liveness from received messages or, without any, from reports of live
+ * processes.
+ */
 export function livenessOf(
   state: MembershipState,
   instance: InstanceName,
@@ -18,15 +21,17 @@
   const record = state.records.get(instance);
   const hasContact = record?.lastReceivedAt !== undefined;
   if (hasContact || record?.liveness === 'leaving') return record?.liveness;
-  // A dead teller's words grow stale without anybody mending them.
+  // The reports of a dead process become stale, and nothing would correct them.
   const reported = state.secondhandReports.livenessOf(
     instance,
-    teller => state.records.get(teller)?.liveness === 'live',
+    reporter => state.records.get(reporter)?.liveness === 'live',
   );
   return reported ?? record?.liveness;
 }
 
-/** What changed since a position, from what we heard ourselves. */
+/**
+ * Changes since a position, from messages that this process received itself.
+ */
 export function changesSince(
   state: MembershipState,
   position: number,
--- a/packages/core/src/membership/queries/traffic.ts
+++ b/packages/core/src/membership/queries/traffic.ts
@@ -11,24 +11,24 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** The site's size, for the cost of its heartbeats. */
+/** Size of a site, for the cost of its heartbeats. */
 export interface SiteSize {
   readonly entries: number;
-  /** Targets of each model or service. */
+  /** Number of targets of each model or service. */
   readonly targetsPerGroup: readonly number[];
 }
 
-/** What heartbeats cost one node, both directions together. */
+/** Cost of heartbeats for one node, both directions together. */
 export interface HeartbeatTraffic {
-  /** Sessions and bytes of the entry that holds most. */
+  /** Sessions and traffic of the entry that holds the most targets. */
   readonly entrySessions: number;
   readonly entryBytes: BytesPerSecond;
-  /** The same of an average agent. */
+  /** Sessions and traffic of an average agent. */
   readonly agentSessions: number;
   readonly agentBytes: BytesPerSecond;
 }
 
-/** Cost of heartbeats by arithmetic from the stated sizes. */
+/** Calculates the cost of heartbeats from the sizes in `bounds.ts`. */
 export function heartbeatTraffic(site: SiteSize): HeartbeatTraffic {
   let entrySessions = 0;
   let held = 0;
@@ -49,7 +49,7 @@
   };
 }
 
-/** Bytes per second of one session between an entry and an agent. */
+/** Traffic of one session between an entry and an agent. */
 function sessionBytes(): BytesPerSecond {
   const pair =
     AGENT_HEARTBEAT_SIZE + ENTRY_HEARTBEAT_SIZE + 2 * MESSAGE_OVERHEAD;
--- a/packages/core/src/membership/secondhand_reports.ts
+++ b/packages/core/src/membership/secondhand_reports.ts
@@ -1,10 +1,12 @@
 import type {InstanceName} from '../types';
 import type {Liveness, LivenessChange, LivenessDelta} from './types';
 
-/** What others say of instances. */
+/** Liveness of instances as reported by other processes. */
 export interface SecondhandReports {
   readonly add: (reporter: InstanceName, delta: LivenessDelta) => void;
-  /** Combines what the tellers for which `believes` holds say. */
+  /**
+   * Combines the reports of all reporters for which `isTrusted` returns true.
+   */
   readonly livenessOf: (
     instance: InstanceName,
     isTrusted: (reporter: InstanceName) => boolean,
@@ -12,7 +14,10 @@
   readonly forget: (reporter: InstanceName) => void;
 }
 
-/** Best first: what one live teller hears outweighs another's silence. */
+/**
+ * Highest precedence first: a message that one live reporter received outweighs
+ * the silence that another one sees.
+ */
 const PRECEDENCE: readonly Liveness[] = [
   'leaving',
   'live',
@@ -21,7 +26,7 @@
   'dead',
 ];
 
-/** Hearsay of nobody yet. */
+/** Creates an empty collection of reports. */
 export function createSecondhandReports(): SecondhandReports {
   const reports = new Map<InstanceName, Map<InstanceName, LivenessChange>>();
   return {
--- a/packages/core/src/membership/types.ts
+++ b/packages/core/src/membership/types.ts
@@ -7,30 +7,30 @@
 } from '../types';
 
 /**
- * `joining`: known, not heard for long enough; `live`: gets work; `suspect`:
- * silent, gets no new work; `dead`: silent for long; `leaving`: said so, or the
- * platform did.
+ * `joining`: known, but has not sent messages for long enough; `live`: gets
+ * work; `suspect`: silent, gets no new work; `dead`: silent for long;
+ * `leaving`: announced by the instance itself or by the platform.
  */
 export type Liveness = 'joining' | 'live' | 'suspect' | 'dead' | 'leaving';
 
-/** Who an instance is and where. */
+/** Identity and location of an instance. */
 export interface MemberIdentity {
   readonly instance: InstanceName;
   readonly role: 'entry' | 'agent';
-  /** Address of the process's gRPC face, `IP:port`. */
+  /** Address of the process's gRPC server, `IP:port`. */
   readonly address: string;
   readonly zone: ZoneName;
   readonly region: RegionName;
 }
 
-/** One line of the platform's list, as the membership reads it. */
+/** One entry of the platform's list. */
 export interface ListedMember extends MemberIdentity {
   readonly state: 'live' | 'leaving';
 }
 
-/** An instance as this process sees it. */
+/** An instance as seen by this process. */
 export interface Member extends MemberIdentity {
-  /** 0 until it said hello. */
+  /** 0 until the instance has sent a hello. */
   readonly incarnation: Incarnation;
   readonly liveness: Liveness;
   readonly since: MonotonicInstant;
@@ -43,19 +43,19 @@
   readonly liveness: Liveness;
 }
 
-/** What became of a message. */
+/** Outcome of a message. */
 export type MessageOutcome =
   | 'taken'
-  /** Old, doubled, or from one that already left. */
+  /** Old, duplicated, or from an instance that has already left. */
   | 'ignored'
-  /** The sender must say hello first. */
+  /** The sender must send a hello first. */
   | 'needsHello';
 
-/** A heartbeat's part that the membership reads. */
+/** The fields of a heartbeat that the membership uses. */
 export interface MemberHeartbeat {
   readonly instance: InstanceName;
   readonly incarnation: Incarnation;
-  /** Rises over the sender's whole life, across its sessions. */
+  /** Increases over the sender's whole incarnation, across its sessions. */
   readonly sequence: number;
   readonly leaving: boolean;
 }
@@ -64,11 +64,11 @@
 export interface LivenessDelta {
   readonly kind: 'changes' | 'all';
   readonly changes: readonly LivenessChange[];
-  /** Position to ask from next time. */
+  /** Position to request changes from next time. */
   readonly latest: number;
 }
 
-/** What this process knows of the others. */
+/** The other processes as seen by this one. */
 export interface Membership {
   readonly hello: (
     identity: MemberIdentity,
@@ -84,24 +84,32 @@
     incarnation: Incarnation,
     now: MonotonicInstant,
   ) => MessageOutcome;
-  /** The session broke: no new work until the instance is heard again. */
+  /**
+   * The session broke: the instance gets no new work until a message arrives
+   * again.
+   */
   readonly sessionLost: (
     instance: InstanceName,
     incarnation: Incarnation,
     now: MonotonicInstant,
   ) => void;
-  /** The platform's list, whole; late. */
+  /** The complete list of the platform, which lags. */
   readonly list: (
     lines: readonly ListedMember[],
     now: MonotonicInstant,
   ) => void;
-  /** To be called every TICK_PERIOD. */
+  /** Must be called every TICK_PERIOD. */
   readonly tick: (now: MonotonicInstant) => void;
-  /** What another process says of instances that we do not hear ourselves. */
+  /**
+   * Applies a report of another process about instances without a session here.
+   */
   readonly applyDelta: (reporter: InstanceName, delta: LivenessDelta) => void;
   readonly members: () => readonly Member[];
-  /** Liveness from our own ear or, where we have none, from live tellers. */
+  /**
+   * Liveness from received messages or, without any, from reports of live
+   * processes.
+   */
   readonly livenessOf: (instance: InstanceName) => Liveness | undefined;
-  /** What changed since a position of ours; 0 for all. */
+  /** Changes since a position of this process's log; 0 returns all members. */
   readonly changesSince: (position: number) => LivenessDelta;
 }
--- a/test/membership/cancelled_leaving.test.ts
+++ b/test/membership/cancelled_leaving.test.ts
@@ -45,30 +45,32 @@
 const LEAVES = {sequence: 1, leaving: true};
 const STAYS = {sequence: 2, leaving: false};
 
-// An operator lets a target leave and, on second thoughts, join again. Its
-// agent, never stopped, says first the one and then the other. Held for gone,
-// the target would get no work until its agent is started anew.
-describe('an instance that takes its leaving back', () => {
+// An operator makes a target leave and then changes their mind. Its agent,
+// never stopped, reports first one and then the other. If it stayed excluded,
+// the target would get no work until its agent is restarted.
+describe('an instance that cancels its leaving', () => {
   test('is live again', () => {
     expect(livenessAfter([LEAVES])).toBe('leaving');
     expect(livenessAfter([LEAVES, STAYS])).toBe('live');
   });
 
-  test('stays out while the list calls it leaving', () => {
+  test('stays excluded while the list reports it as leaving', () => {
     const listed = [{...IDENTITY, state: 'leaving'} as const];
-    const end = livenessAfter([LEAVES, STAYS], it => it.list(listed, 150));
+    const end = livenessAfter([LEAVES, STAYS], membership =>
+      membership.list(listed, 150),
+    );
     expect(end).toBe('leaving');
   });
 
-  test('stays out once it said goodbye', () => {
+  test('stays excluded once it has sent a goodbye', () => {
     const {instance} = IDENTITY;
-    const end = livenessAfter([LEAVES, STAYS], it =>
-      it.goodbye(instance, INCARNATION, 150),
+    const end = livenessAfter([LEAVES, STAYS], membership =>
+      membership.goodbye(instance, INCARNATION, 150),
     );
     expect(end).toBe('leaving');
   });
 
-  test('is what its newest heartbeat says, in whichever order they come', () => {
+  test('has the state of its newest heartbeat, in whichever order heartbeats arrive', () => {
     const heartbeats = fc.uniqueArray(
       fc.record({sequence: fc.nat(30), leaving: fc.boolean()}),
       {selector: ({sequence}) => sequence, minLength: 1},
--- a/test/membership/held_targets.test.ts
+++ b/test/membership/held_targets.test.ts
@@ -20,7 +20,7 @@
 
 type Held = ReadonlyMap<InstanceName, ReadonlySet<TargetName>>;
 
-function holdAll(
+function chooseForAll(
   entries: readonly InstanceName[],
   targets: readonly TargetName[],
 ): Held {
@@ -44,39 +44,47 @@
 describe('the targets that an entry holds', () => {
   const sizes = [fc.integer({min: 1, max: 40}), fc.nat({max: 60})] as const;
 
-  // A target gets no work, or an entry answers that nobody serves a model,
-  // though all are well: nobody holds the one, the other holds none.
-  test('cover each target and each entry within the bound', () => {
+  // If no entry holds a target, it gets no work. If an entry holds no target of
+  // a model, it refuses requests for that model although all targets are
+  // healthy.
+  test('cover each target and each entry within the limit', () => {
     fc.assert(
-      fc.property(...sizes, fc.string({maxLength: 3}), (many, few, salt) => {
-        const entries = names(`${salt}entry`, many);
-        const targets = names('engine', few);
-        const held = holdAll(entries, targets);
-        for (const each of held.values()) {
-          expect(each.size).toBeGreaterThanOrEqual(
-            Math.min(few, MIN_HELD_PER_GROUP),
-          );
-          expect(each.size).toBeLessThanOrEqual(maxHeldTargets(many, few));
-        }
-        for (const target of targets) {
-          expect(holdersOf(held, target)).toBeGreaterThanOrEqual(
-            Math.min(many, HOLDERS_PER_TARGET),
-          );
-        }
-      }),
+      fc.property(
+        ...sizes,
+        fc.string({maxLength: 3}),
+        (entryCount, targetCount, salt) => {
+          const entries = names(`${salt}entry`, entryCount);
+          const targets = names('engine', targetCount);
+          const held = chooseForAll(entries, targets);
+          for (const each of held.values()) {
+            expect(each.size).toBeGreaterThanOrEqual(
+              Math.min(targetCount, MIN_HELD_PER_GROUP),
+            );
+            expect(each.size).toBeLessThanOrEqual(
+              maxHeldTargets(entryCount, targetCount),
+            );
+          }
+          for (const target of targets) {
+            expect(holdersOf(held, target)).toBeGreaterThanOrEqual(
+              Math.min(entryCount, HOLDERS_PER_TARGET),
+            );
+          }
+        },
+      ),
       propertySettings(100),
     );
   });
 
-  // Sessions of the whole site break when one entry goes.
-  test('change little when one entry or target goes', () => {
+  // If one departure changed most choices, sessions of the whole site would
+  // break.
+  test('change little when one entry or target leaves', () => {
     fc.assert(
       fc.property(fc.nat({max: 49}), fc.nat({max: 99}), (gone, lost) => {
         const entries = names('entry', 50);
         const targets = names('engine', 100);
-        const before = holdAll(entries, targets);
+        const before = chooseForAll(entries, targets);
         const pairs = [...before.values()].reduce((sum, h) => sum + h.size, 0);
-        const after = holdAll(
+        const after = chooseForAll(
           entries.filter(entry => entry !== `entry-${gone}`),
           targets.filter(target => target !== `engine-${lost}`),
         );
@@ -86,7 +94,7 @@
             if (before.get(entry)?.has(target) !== true) changed += 1;
           }
         }
-        // One entry's pairs move to others; the load bound moves a few more.
+        // One entry's sessions move to others; the load limit moves a few more.
         expect(changed / pairs).toBeLessThan(0.08);
       }),
       propertySettings(12),
@@ -117,7 +125,7 @@
     }
   });
 
-  test('counts messages at least as large as they are', () => {
+  test('assumes message sizes that are not below the encoded ones', () => {
     const digest = `sha256:${'0'.repeat(64)}`;
     const version = {model: 'credit-summaries', versionDigest: digest};
     const sequence = 100_000_000;
--- a/test/membership/membership.test.ts
+++ b/test/membership/membership.test.ts
@@ -22,7 +22,7 @@
   region: 'tasmania',
 };
 
-interface World {
+interface Harness {
   readonly members: Membership;
   now: number;
   sequence: number;
@@ -40,67 +40,67 @@
   | 'ownPause'
   | 'restart';
 
-function createWorld(): World {
+function createHarness(): Harness {
   const members = createMembership('entry-1');
-  const world = {members, now: 0, sequence: 0, incarnation: 1};
+  const harness = {members, now: 0, sequence: 0, incarnation: 1};
   members.hello(AGENT, 1, 0);
-  return world;
+  return harness;
 }
 
-function advanceTime(world: World, duration: number): void {
-  const end = world.now + duration;
-  while (world.now < end) {
-    world.now = Math.min(end, world.now + TICK_PERIOD);
-    world.members.tick(world.now);
+function advanceTime(harness: Harness, duration: number): void {
+  const end = harness.now + duration;
+  while (harness.now < end) {
+    harness.now = Math.min(end, harness.now + TICK_PERIOD);
+    harness.members.tick(harness.now);
   }
 }
 
-function sendHeartbeat(world: World, leaving = false): void {
-  const {members, incarnation} = world;
-  world.sequence += 1;
-  const {sequence} = world;
+function sendHeartbeat(harness: Harness, leaving = false): void {
+  const {members, incarnation} = harness;
+  harness.sequence += 1;
+  const {sequence} = harness;
   const {instance} = AGENT;
-  members.heartbeat({instance, incarnation, sequence, leaving}, world.now);
+  members.heartbeat({instance, incarnation, sequence, leaving}, harness.now);
 }
 
-function apply(world: World, event: Event, duration: number): void {
-  const {members, incarnation} = world;
+function apply(harness: Harness, event: Event, duration: number): void {
+  const {members, incarnation} = harness;
   switch (event) {
     case 'heartbeat':
-      sendHeartbeat(world);
+      sendHeartbeat(harness);
       break;
     case 'hello':
-      members.hello(AGENT, incarnation, world.now);
+      members.hello(AGENT, incarnation, harness.now);
       break;
     case 'doubled':
-      world.sequence -= 1;
-      sendHeartbeat(world);
+      harness.sequence -= 1;
+      sendHeartbeat(harness);
       break;
     case 'sessionLost':
-      members.sessionLost(AGENT.instance, incarnation, world.now);
+      members.sessionLost(AGENT.instance, incarnation, harness.now);
       break;
     case 'listLive':
-      members.list([{...AGENT, state: 'live'}], world.now);
+      members.list([{...AGENT, state: 'live'}], harness.now);
       break;
     case 'listNone':
-      members.list([], world.now);
+      members.list([], harness.now);
       break;
     case 'silence':
-      advanceTime(world, duration * 10);
+      advanceTime(harness, duration * 10);
       break;
     case 'ownPause':
-      world.now += duration * 10;
+      harness.now += duration * 10;
       break;
     case 'restart':
-      world.incarnation += 1;
-      members.hello(AGENT, world.incarnation, world.now);
+      harness.incarnation += 1;
+      members.hello(AGENT, harness.incarnation, harness.now);
       break;
   }
-  advanceTime(world, duration);
+  advanceTime(harness, duration);
 }
 
-function liveness(world: World): Liveness | undefined {
-  return world.members.livenessOf(AGENT.instance);
+function liveness(harness: Harness): Liveness | undefined {
+  return harness.members.livenessOf(AGENT.instance);
 }
 
 const events = fc.array(
@@ -128,81 +128,85 @@
 
 function applyAll(
   taken: readonly {readonly event: Event; readonly duration: number}[],
-): World {
-  const world = createWorld();
-  for (const {event, duration} of taken) apply(world, event, duration);
-  return world;
+): Harness {
+  const harness = createHarness();
+  for (const {event, duration} of taken) apply(harness, event, duration);
+  return harness;
 }
 
 describe('the membership', () => {
-  // Callers wait for their deadline: requests still go to an instance that
-  // died, since something old was taken for a sign of life.
-  test('takes a dead instance out of routing within its bound', () => {
+  // If an old message counted as a sign of life, requests would still go to a
+  // dead instance and wait for their deadline.
+  test('removes a dead instance from routing within its time limit', () => {
     fc.assert(
       fc.property(events, taken => {
-        const world = applyAll(taken);
-        sendHeartbeat(world);
+        const harness = applyAll(taken);
+        sendHeartbeat(harness);
         const late: Event[] = ['doubled', 'listLive', 'doubled', 'listLive'];
-        for (const event of late) apply(world, event, HEARTBEAT_PERIOD / 2);
-        advanceTime(world, SUSPECT_AFTER + TICK_PERIOD - 2 * HEARTBEAT_PERIOD);
-        expect(liveness(world)).not.toBe('live');
-        advanceTime(world, DEAD_AFTER - SUSPECT_AFTER);
-        expect(liveness(world)).toBe('dead');
+        for (const event of late) apply(harness, event, HEARTBEAT_PERIOD / 2);
+        advanceTime(
+          harness,
+          SUSPECT_AFTER + TICK_PERIOD - 2 * HEARTBEAT_PERIOD,
+        );
+        expect(liveness(harness)).not.toBe('live');
+        advanceTime(harness, DEAD_AFTER - SUSPECT_AFTER);
+        expect(liveness(harness)).toBe('dead');
       }),
       propertySettings(500),
     );
   });
 
-  // An instance that works well gets no work for ever: the list, a lost
-  // session or a pause had taken it out, and nothing brought it back.
-  test('never keeps a live instance out beyond its bound', () => {
+  // The list, a lost session or a pause may exclude an instance. If nothing
+  // brought it back, a healthy instance would never get work again.
+  test('never excludes a live instance beyond its time limit', () => {
     fc.assert(
       fc.property(events, taken => {
-        const world = applyAll(taken);
-        world.members.hello(AGENT, world.incarnation, world.now);
-        const beats = (MAX_HOLD_DOWN + SUSPECT_AFTER) / HEARTBEAT_PERIOD + 1;
-        for (let count = 0; count < beats; count += 1) {
-          apply(world, 'heartbeat', HEARTBEAT_PERIOD);
+        const harness = applyAll(taken);
+        harness.members.hello(AGENT, harness.incarnation, harness.now);
+        const heartbeats =
+          (MAX_HOLD_DOWN + SUSPECT_AFTER) / HEARTBEAT_PERIOD + 1;
+        for (let count = 0; count < heartbeats; count += 1) {
+          apply(harness, 'heartbeat', HEARTBEAT_PERIOD);
         }
-        expect(liveness(world)).toBe('live');
+        expect(liveness(harness)).toBe('live');
       }),
       propertySettings(500),
     );
   });
 
-  test('takes an instance back within its longest hold after many falls', () => {
-    const world = createWorld();
-    for (let fall = 0; fall < 8; fall += 1) {
-      apply(world, 'sessionLost', HEARTBEAT_PERIOD);
-      const start = world.now;
-      while (liveness(world) !== 'live' && world.now < 10 * MAX_HOLD_DOWN) {
-        apply(world, 'heartbeat', HEARTBEAT_PERIOD);
+  test('readmits an instance within the maximum hold-down after many flaps', () => {
+    const harness = createHarness();
+    for (let flap = 0; flap < 8; flap += 1) {
+      apply(harness, 'sessionLost', HEARTBEAT_PERIOD);
+      const start = harness.now;
+      while (liveness(harness) !== 'live' && harness.now < 10 * MAX_HOLD_DOWN) {
+        apply(harness, 'heartbeat', HEARTBEAT_PERIOD);
       }
-      const most = MAX_HOLD_DOWN + 2 * HEARTBEAT_PERIOD;
-      expect(world.now - start).toBeLessThanOrEqual(most);
+      const maxTime = MAX_HOLD_DOWN + 2 * HEARTBEAT_PERIOD;
+      expect(harness.now - start).toBeLessThanOrEqual(maxTime);
     }
   });
 
-  // Requests to one instance fail again and again: its link breaks each second
-  // second, and each time it came back it got work at once.
-  test('damps an instance that comes and goes', () => {
-    // Holds of 2, 4, 8, 16, 32 and 32 s: the seventh return is too late.
+  // If an instance with a link that breaks every other second got work
+  // immediately after each return, requests to it would fail again and again.
+  test('limits how often a flapping instance returns', () => {
+    // Hold-downs of 2, 4, 8, 16, 32 and 32 s: the seventh return is too late.
     const MAX_RETURNS = 6;
     fc.assert(
       fc.property(
         fc.array(fc.nat({max: 8}), {minLength: 40, maxLength: 200}),
-        beats => {
-          const world = createWorld();
+        heartbeats => {
+          const harness = createHarness();
           const returns: number[] = [];
-          for (const count of beats) {
+          for (const count of heartbeats) {
             for (let each = 0; each <= count; each += 1) {
-              const before = liveness(world);
-              apply(world, 'heartbeat', HEARTBEAT_PERIOD);
-              if (before !== 'live' && liveness(world) === 'live') {
-                returns.push(world.now);
+              const before = liveness(harness);
+              apply(harness, 'heartbeat', HEARTBEAT_PERIOD);
+              if (before !== 'live' && liveness(harness) === 'live') {
+                returns.push(harness.now);
               }
             }
-            apply(world, 'sessionLost', TICK_PERIOD);
+            apply(harness, 'sessionLost', TICK_PERIOD);
           }
           for (const start of returns) {
             const within = returns.filter(
@@ -216,9 +220,9 @@
     );
   });
 
-  // A leaving instance gets new work again: the late list still called it
-  // live, or a message of it came late.
-  test('lets nothing of the same life bring back one that said goodbye', () => {
+  // The list still contains a leaving instance as live, or one of its messages
+  // arrives late. It must not get new work again.
+  test('ignores late messages of an incarnation that has sent a goodbye', () => {
     const late = fc.array(
       fc.constantFrom<Event>(
         'heartbeat',
@@ -234,73 +238,74 @@
     );
     fc.assert(
       fc.property(events, late, (taken, after) => {
-        const world = applyAll(taken);
-        const {members, incarnation, now} = world;
+        const harness = applyAll(taken);
+        const {members, incarnation, now} = harness;
         members.goodbye(AGENT.instance, incarnation, now);
         for (const event of after) {
-          apply(world, event, HEARTBEAT_PERIOD);
-          expect(liveness(world) ?? 'leaving').toBe('leaving');
+          apply(harness, event, HEARTBEAT_PERIOD);
+          expect(liveness(harness) ?? 'leaving').toBe('leaving');
         }
       }),
       propertySettings(300),
     );
   });
 
-  test('takes back a later life of one that said goodbye', () => {
-    const world = createWorld();
-    world.members.goodbye(AGENT.instance, 1, world.now);
-    apply(world, 'restart', HEARTBEAT_PERIOD);
-    expect(liveness(world)).toBe('live');
-    world.members.goodbye(AGENT.instance, 1, world.now);
-    expect(liveness(world)).toBe('live');
+  test('readmits a later incarnation after a goodbye', () => {
+    const harness = createHarness();
+    harness.members.goodbye(AGENT.instance, 1, harness.now);
+    apply(harness, 'restart', HEARTBEAT_PERIOD);
+    expect(liveness(harness)).toBe('live');
+    harness.members.goodbye(AGENT.instance, 1, harness.now);
+    expect(liveness(harness)).toBe('live');
   });
 
-  // All instances fall at once: this process was paused and took its own
-  // silence for theirs.
-  test('does not blame others for a pause of its own', () => {
-    const world = createWorld();
-    apply(world, 'heartbeat', HEARTBEAT_PERIOD);
-    world.now += 10 * DEAD_AFTER;
-    world.members.tick(world.now);
-    expect(liveness(world)).toBe('live');
-    advanceTime(world, SUSPECT_AFTER);
-    expect(liveness(world)).toBe('suspect');
+  // After a pause, this process must not take its own silence for that of the
+  // others, or all instances would become suspect at once.
+  test('does not count its own pause as silence of the others', () => {
+    const harness = createHarness();
+    apply(harness, 'heartbeat', HEARTBEAT_PERIOD);
+    harness.now += 10 * DEAD_AFTER;
+    harness.members.tick(harness.now);
+    expect(liveness(harness)).toBe('live');
+    advanceTime(harness, SUSPECT_AFTER);
+    expect(liveness(harness)).toBe('suspect');
   });
 
-  test('adds candidates from the list and takes its word on leaving', () => {
-    const world = createWorld();
+  test('adds candidates from the list and trusts it on leaving instances', () => {
+    const harness = createHarness();
     const other = {...AGENT, instance: 'agent-2'};
     const list = (state: 'live' | 'leaving'): void =>
-      world.members.list([{...other, state}], world.now);
+      harness.members.list([{...other, state}], harness.now);
     list('live');
-    expect(world.members.livenessOf('agent-2')).toBe('joining');
-    world.members.hello(other, 4, world.now);
+    expect(harness.members.livenessOf('agent-2')).toBe('joining');
+    harness.members.hello(other, 4, harness.now);
     list('leaving');
-    expect(world.members.livenessOf('agent-2')).toBe('leaving');
-    // The next start of the same instance is live, though the list is late.
-    world.members.hello(other, 5, world.now);
+    expect(harness.members.livenessOf('agent-2')).toBe('leaving');
+    // The next incarnation of the same instance is live, although the list
+    // lags.
+    harness.members.hello(other, 5, harness.now);
     list('leaving');
-    expect(world.members.livenessOf('agent-2')).toBe('live');
+    expect(harness.members.livenessOf('agent-2')).toBe('live');
   });
 
-  test('asks a stranger for its hello and believes its leaving heartbeat', () => {
-    const world = createWorld();
+  test('requests a hello from an unknown instance and accepts a leaving heartbeat', () => {
+    const harness = createHarness();
     const heartbeat = {incarnation: 1, sequence: 1, leaving: false};
-    const verdict = world.members.heartbeat(
+    const verdict = harness.members.heartbeat(
       {...heartbeat, instance: 'agent-9'},
       0,
     );
     expect(verdict).toBe('needsHello');
-    sendHeartbeat(world, true);
-    expect(liveness(world)).toBe('leaving');
+    sendHeartbeat(harness, true);
+    expect(liveness(harness)).toBe('leaving');
   });
 
-  // An entry that holds no session with an instance learns of its state from
-  // those that do, and not from one that died since.
-  test('learns of others from live tellers by changes alone', () => {
+  // An entry without a session to an instance learns of its state from
+  // processes that have one, but not from one that has died since.
+  test('learns of others from changes that live processes report', () => {
     fc.assert(
       fc.property(events, fc.nat({max: 60}), (taken, asked) => {
-        const reporter = createWorld();
+        const reporter = createHarness();
         const listener = createMembership('entry-2');
         const entry = {...AGENT, instance: 'entry-1', role: 'entry'} as const;
         listener.hello(entry, 1, 0);
