--- a/test/moving/acquaintances.test.ts
+++ b/test/moving/acquaintances.test.ts
@@ -11,10 +11,10 @@
   acquaintances.all().map(({instance}) => instance);
 
 describe('acquaintances', () => {
-  // What a user sees: a target that gets orders from two systems. An agent
-  // freezes; the list drops it for a moment, or the platform is down and says
-  // nothing for minutes; a move forgets the agent and opens; the agent wakes.
-  test('keep whom the list has not called gone for 30 s on end', () => {
+  // An agent freezes, and the list drops it for a moment or the platform is
+  // down for minutes. If a move forgot the agent and opened, the agent would
+  // resume and its target would get orders from two systems.
+  test('keep an instance until the list has not contained it for 30 s without interruption', () => {
     const step = fc.record({
       pause: fc.integer({min: 1, max: 20_000}),
       isListed: fc.boolean(),
@@ -40,7 +40,7 @@
     );
   });
 
-  test('forget whoever says goodbye, but not for a goodbye of an earlier life', () => {
+  test('forget an instance after its goodbye, but not after one of an earlier incarnation', () => {
     const acquaintances = createAcquaintances();
     acquaintances.hello(helloOf(2));
     acquaintances.goodbye(FROZEN.instance, 1);
--- a/test/moving/agent_work.test.ts
+++ b/test/moving/agent_work.test.ts
@@ -11,7 +11,7 @@
 
 const VERSION = {model: 'repair-notes', versionDigest: 'sha256:1'};
 
-/** As the last pass over the engine left it. */
+/** Result of the last pass over the engine. */
 const control = {
   routable: () => [VERSION],
   mayStart: () => true,
@@ -38,15 +38,15 @@
 const prepare = (isOurs: boolean) =>
   prepareGenerate(request, control, isOurs, {} as EngineRuns).kind;
 
-// What a user sees: the engine runs a request of ours beside the older system's
-// orders. The target closes; the agent says that it is idle; before its next
-// pass over the engine a request comes, and the last pass had it routable.
-test('a closed target starts nothing, whatever its last pass found', () => {
+// A target closes and its agent reports that it is idle. A request that arrives
+// before the next pass over the engine still finds the version routable, and
+// would run alongside the older system's orders.
+test('a closed target starts no request, whatever its last pass found', () => {
   expect(prepare(true)).toBe('ready');
   expect(prepare(false)).toBe('notReady');
 });
 
-test('a request of a workspace that is closed or not ours is refused', () => {
+test('a request is refused if its workspace is closed or owned by the older system', () => {
   const base = initialConfiguration(digestText);
   const at = (owner: 'older-system' | 'hibiscusbeam', open: boolean) => {
     const workspace = {
--- a/test/moving/ownership.test.ts
+++ b/test/moving/ownership.test.ts
@@ -34,10 +34,10 @@
   }),
 );
 
-describe('what the older system is told that it owns', () => {
-  // What a user sees: both systems order one target, or, on the day that
-  // hibiscusbeam is set up, the older system stops serving everything.
-  test('nothing that is ours or moves, and all that was never named', () => {
+describe('the ownership reported to the older system', () => {
+  // Otherwise both systems would give orders to one target, or the older system
+  // would stop serving everything on the day that hibiscusbeam is set up.
+  test('excludes items that hibiscusbeam owns or that move, and includes items never configured', () => {
     fc.assert(
       fc.property(
         targetsArbitrary,
--- a/test/moving/survey.test.ts
+++ b/test/moving/survey.test.ts
@@ -11,7 +11,7 @@
   heardOf: heardOf.map(instance => ({instance, address: `at-${instance}`})),
 });
 
-/** A site in which `entry-1` surveys; those without a reply are silent. */
+/** Runs a survey by `entry-1`; instances without a reply are silent. */
 function surveyOf(
   replies: Readonly<Record<string, ReportActivityReply>>,
   state?: OlderSystemState,
@@ -36,10 +36,10 @@
 }
 
 describe('a survey of both sides', () => {
-  // What a user sees: an agent that started during an outage goes on serving
-  // after the move. It is on no list yet; only a process that a process knows
-  // has heard its hello.
-  test('asks whom only others have heard of, and whom these have heard of', async () => {
+  // An agent that started during an outage is on no list yet; only a process
+  // that received its hello knows it. If it were not queried, it would keep
+  // serving after the move.
+  test('queries processes that only others know, and those that these know', async () => {
     const reports = await surveyOf({
       'entry-2': idle(['engine-1']),
       'engine-1': idle(['engine-2', 'gone']),
@@ -56,9 +56,9 @@
     ]);
   });
 
-  // What a user sees: two systems order one engine. The older system notes the
-  // generation but goes on with what it was told to close.
-  test('takes what the older system says that it owns as in use', async () => {
+  // The older system records the generation but keeps using what it was told to
+  // close. Two systems would give orders to one engine.
+  test('treats everything that the older system reports as owned as in use', async () => {
     const reports = await surveyOf(
       {'entry-2': idle()},
       {
--- a/test/moving/swarm_candidates.test.ts
+++ b/test/moving/swarm_candidates.test.ts
@@ -17,17 +17,17 @@
 
 const CHOSEN: ReadonlySet<string> = new Set(['engine-2']);
 
-// What a user sees: a rollout on a site that has been up for a minute takes one
-// copy from the origin for each instance. Agents without a session between
-// them had counted one another as dead.
-test('an agent that was never asked is a candidate, however silent', () => {
+// Agents without a session between them see one another as dead. If these were
+// excluded, a rollout on a site that has been up for a minute would take one
+// copy from the origin for each instance.
+test('an agent that was never queried is a candidate, however long it is silent', () => {
   const candidates = createSwarmCandidates();
   for (const now of [0, 60_000, 600_000]) {
     expect(candidates.choose([agent('dead')], NOBODY, now)).toHaveLength(1);
   }
 });
 
-test('a neighbour that stays silent is left out, and tried again later', () => {
+test('a neighbour that stays silent is excluded and retried later', () => {
   const candidates = createSwarmCandidates();
   const at = (chosen: ReadonlySet<string>, now: number) =>
     candidates.choose([agent('dead')], chosen, now).length;
--- a/test/moving/wanted_sessions.test.ts
+++ b/test/moving/wanted_sessions.test.ts
@@ -40,8 +40,8 @@
     ),
   }).map(member => member.instance);
 
-// What a user sees: see test/processes/sessions.test.ts.
-test('an agent that died or left is called as long as it is listed, and takes no place of others', () => {
+// The failure is described in test/processes/sessions.test.ts.
+test('a dead or leaving agent keeps its session while it is listed and displaces no other agent', () => {
   fc.assert(
     fc.property(membersArbitrary, lines => {
       const chosen = chosenOf(lines);
