--- a/test/distribution/version_plan.test.ts
+++ b/test/distribution/version_plan.test.ts
@@ -63,9 +63,9 @@
 // it has sent all of it. If version 2 were dropped for it, engines could start
 // nothing for six seconds although version 2 is available.
 test('a version is replaced only by one that is available without its origin', () => {
-  let isSecured = false;
+  let isAvailable = false;
   const plan = planOf(0, {
-    isIndependentOfOrigin: ({version}) => version === 2 || isSecured,
+    isIndependentOfOrigin: ({version}) => version === 2 || isAvailable,
   });
   plan.observe(serving(1), 0);
   plan.addVersion(named(2, 0), 0);
@@ -75,15 +75,15 @@
   expect(plan.observe(serving(1), 4_300)).toBeUndefined();
   plan.recordTransferred(4_400);
   expect(plan.mayLoad(4_500)).toBe(true);
-  isSecured = true;
+  isAvailable = true;
   const step = plan.observe(serving(1), 4_500);
   expect(step).toMatchObject({kind: 'stage', version: {version: 3}});
 });
 
 test('a version is skipped only for one that is available without its origin', () => {
-  const mayLoad = [true, false].map(isSecured => {
+  const mayLoad = [true, false].map(isAvailable => {
     const plan = planOf(0.5, {
-      isIndependentOfOrigin: ({version}) => version === 2 || isSecured,
+      isIndependentOfOrigin: ({version}) => version === 2 || isAvailable,
     });
     plan.observe(serving(1), 0);
     plan.addVersion(named(2, 0), 0);
