--- a/packages/fleet/src/entry/admission_monitor.ts
+++ b/packages/fleet/src/entry/admission_monitor.ts
@@ -8,13 +8,13 @@
 import type {Log} from '@hibiscusbeam/daemon';
 import type {FleetMetrics} from './fleet_metrics';
 
-/** Least time between two log lines about the level of a service. */
+/** Minimum time between two log lines about the level of a service. */
 const MIN_LOG_PERIOD: Milliseconds = 1_000;
 
-/** Change of a share that is logged. */
+/** Minimum change of a share that is logged. */
 const MIN_LOGGED_CHANGE = 0.2;
 
-/** Lets operators see the level. */
+/** Reports admission levels to metrics and log. */
 export interface AdmissionMonitor {
   readonly recordLevel: (
     service: ServiceName,
@@ -28,7 +28,7 @@
   readonly at: MonotonicInstant;
 }
 
-/** Creates what writes levels to the metrics and, when they change, to the log. */
+/** Creates the monitor. Metrics get every level, the log only changes. */
 export function createAdmissionMonitor(
   metrics: FleetMetrics,
   log: Log,
@@ -52,7 +52,7 @@
   };
 }
 
-/** All are admitted as long as nothing has been logged. */
+/** Nothing logged yet counts as all admitted. */
 function isWorthLogging(
   {shares}: AdmissionLevel,
   before: AdmissionLevel | undefined,
@@ -60,7 +60,7 @@
   return shares.some(({priority, share}) => {
     const known = before?.shares.find(other => other.priority === priority);
     const change = Math.abs(share - (known?.share ?? 1));
-    // The end of an overload is logged, however small its last step is.
+    // The end of an overload is always logged, however small the last step.
     return change >= MIN_LOGGED_CHANGE || (share === 1 && change > 0);
   });
 }
@@ -75,7 +75,7 @@
   };
 }
 
-/** A level in the story of a request of `priority` that it has refused. */
+/** Describes, for the trace of a request, the level that refused it. */
 export function describeRefusal(
   level: AdmissionLevel,
   priority: number,
--- a/packages/fleet/src/entry/answer_framing.ts
+++ b/packages/fleet/src/entry/answer_framing.ts
@@ -1,11 +1,12 @@
 import type {ServerResponse} from 'node:http';
 
 /**
- * Lets an answer end with its connection, as the target's own answer does.
+ * Marks the end of an answer by closing the connection, as the target's own
+ * answer does.
  *
- * Failure: a target that crashes may end its connection as if by plan. An
- * answer without a length then looks whole here, and a length of our own would
- * vouch to the caller for what nobody can know.
+ * A target that crashes may close its connection cleanly. An answer without a
+ * length then looks complete, and adding a Content-Length would confirm to the
+ * caller that it is.
  */
 export function endWithConnection(response: ServerResponse): void {
   response.useChunkedEncodingByDefault = false;
--- a/packages/fleet/src/entry/attempt.ts
+++ b/packages/fleet/src/entry/attempt.ts
@@ -17,10 +17,10 @@
 import {startSilenceMonitor, type SilenceMonitor} from './silence_monitor';
 import {relayStream, type StreamProgress} from './stream_relay';
 
-/** Largest answer that is held whole before it is passed on, in bytes. */
+/** Maximum size of an answer that is buffered before it is forwarded. */
 const MAX_WHOLE_ANSWER_BYTES = 8 * 1024 * 1024;
 
-/** A whole answer of a target, ready to be passed on. */
+/** A complete answer of a target, ready to be forwarded. */
 export interface WholeAnswer {
   readonly status: number;
   readonly lines: HeaderLines;
@@ -28,7 +28,7 @@
   readonly isFramed: boolean;
 }
 
-/** What one attempt at a target needs. */
+/** Options of one attempt at a target. */
 export interface AttemptOptions {
   readonly route: Route;
   readonly requestId: string | undefined;
@@ -43,33 +43,38 @@
   readonly progress: StreamProgress;
   readonly now: () => MonotonicInstant;
   readonly ownLines: () => readonly string[];
-  /** Longest time without a byte before the target is suspected. */
+  /** Maximum time without a byte before the target is suspected. */
   readonly maxSilence: Milliseconds;
-  /** Is told of a silence, and how late the loop of this process noticed it. */
+  /**
+   * Called when the target is silent, with how late the event loop detected it.
+   */
   readonly onSilence: (detectionDelay: Milliseconds) => void;
-  /** Is told when bytes come again after a silence. */
+  /** Called when bytes arrive again after a silence. */
   readonly onResumed: () => void;
   /** Whether the target may still be sent the request. */
   readonly mayBegin: () => boolean;
-  /** Takes the stream once it is passed on. */
+  /** Receives the stream once it is forwarded. */
   readonly onStream: (stream: ForwardedStream) => void;
-  /** Is told before anything of this send goes to the caller. */
+  /** Called before anything of this attempt goes to the caller. */
   readonly onForward: () => void;
-  /** Aborts when nothing more is wanted or to be had of this send. */
+  /**
+   * Aborts when the result of this attempt is no longer needed or can't come
+   * any more.
+   */
   readonly signal: AbortSignal;
-  /** Is told of the header of an answer to this request. */
+  /** Called with the header of an answer to this request. */
   readonly onHeader: (header: AnswerHeader) => void;
-  /** Is told of each event that this target has sent. */
+  /** Called for each event of this target. */
   readonly onEvent: () => void;
-  /** Is told when the first event of all attempts has come. */
+  /** Called when the first event of all attempts has arrived. */
   readonly onFirstEvent: () => void;
-  /** Takes a whole answer that may be passed on. */
+  /** Receives a complete answer that may be forwarded. */
   readonly keepAnswer: (answer: WholeAnswer) => void;
-  /** Takes the reason of a failure, for the log. */
+  /** Receives the reason of a failure, for the log. */
   readonly explain: (detail: string) => void;
 }
 
-/** Sends a request to a target once; says how that ended. */
+/** Sends a request to a target once; resolves to how that ended. */
 export async function runAttempt(
   options: AttemptOptions,
 ): Promise<ForwardAttemptEnd> {
@@ -113,8 +118,8 @@
   options: AttemptOptions & {readonly silence: SilenceMonitor},
 ): Promise<ForwardAttemptEnd> {
   const {header, status} = answer;
-  // Failure: a target sends an answer that belongs to another request, and the
-  // caller is given a stranger's data. The id that the target repeats tells.
+  // A target may send the answer to another request, and the caller would be
+  // given someone else's data. The request id that targets echo shows that.
   if (header.requestId !== options.requestId) {
     options.explain(`answer to ${header.requestId ?? 'no request'}`);
     return {kind: 'unknown', cause: 'foreignAnswer'};
@@ -132,7 +137,7 @@
   }
   const body = await readWhole(answer, options);
   if (body === undefined) {
-    options.explain('answer was cut');
+    options.explain('answer was cut off');
     return {kind: 'unknown', cause: 'connectionLost'};
   }
   const {lines, isFramed} = answer;
@@ -140,7 +145,7 @@
   return {kind: 'answered', success};
 }
 
-/** The whole body; undefined if it was cut or is too large. */
+/** Reads the whole body; undefined if it was cut or is too large. */
 function readWhole(
   {body, isWhole}: IncomingAnswer,
   {
--- a/packages/fleet/src/entry/attempt_recorder.ts
+++ b/packages/fleet/src/entry/attempt_recorder.ts
@@ -2,7 +2,7 @@
 import type {AcceptedRequest} from './request_acceptance';
 import type {RequestRunOptions, TakenSlot} from './request_context';
 
-/** One send, as far as it says something of its target. */
+/** An attempt whose outcome is recorded. */
 export interface RecordedAttempt {
   readonly accepted: AcceptedRequest;
   readonly place: TakenSlot;
@@ -10,13 +10,13 @@
   readonly foundClosed: AbortController;
 }
 
-/** Notes what one send says of its target. */
+/** Records what one attempt shows about its target. */
 export interface AttemptRecorder {
   readonly recordSilence: () => void;
   readonly recordEnd: (end: ForwardAttemptEnd) => void;
 }
 
-/** Creates the notes of one send; it counts as one failure at most. */
+/** Creates the recorder of one attempt; it counts as one failure at most. */
 export function createAttemptRecorder(
   options: RequestRunOptions,
   {accepted, place, foundClosed}: RecordedAttempt,
@@ -37,7 +37,7 @@
       case 'broken':
         return recordFailure();
       case 'notRun':
-        // Nothing was asked of the target.
+        // The target was not sent anything.
         if (end.cause === 'outdated') return;
         if (end.cause === 'connectionRefused') {
           return registry.recordRefusedConnection(target, clock());
@@ -87,7 +87,7 @@
   };
 }
 
-/** Whether the connection to a target ended before its answer did. */
+/** Whether the connection to the target ended before its answer did. */
 function isConnectionLost(end: ForwardAttemptEnd): boolean {
   return 'cause' in end && end.cause === 'connectionLost';
 }
--- a/packages/fleet/src/entry/attempts_in_flight.ts
+++ b/packages/fleet/src/entry/attempts_in_flight.ts
@@ -4,43 +4,43 @@
   AttemptReport,
 } from '@hibiscusbeam/core';
 
-/** A stream that is passed on, and may be held for a while. */
+/** A stream that is forwarded, and can be held for a while. */
 export interface ForwardedStream {
   readonly hold: () => void;
   readonly release: () => void;
 }
 
-/** One send of a request, until it ends or another one has won. */
+/** One attempt of a request, until it ends or another one has won. */
 export interface AttemptInFlight {
-  /** Aborts once another send has won or the request has ended. */
+  /** Aborts once another attempt has won or the request has ended. */
   readonly signal: AbortSignal;
   readonly isSilent: () => boolean;
   readonly isAlone: () => boolean;
-  /** Takes the stream that the send passes on. */
+  /** Receives the stream that the attempt forwards. */
   readonly setStream: (stream: ForwardedStream) => void;
   readonly report: (
     outcome: Exclude<ForwardAttemptOutcome, ForwardAttemptEnd>,
   ) => void;
   readonly end: (outcome: ForwardAttemptEnd) => void;
-  /** Ends all others; called before anything goes to the caller. */
+  /** Ends all other attempts; called before anything goes to the caller. */
   readonly win: () => void;
 }
 
-/** The sends of one request, and what they report. */
+/** The attempts of one request, and what they report. */
 export interface AttemptsInFlight {
-  /** Begins a send; streams that still go on are held until it ends. */
+  /** Starts an attempt; streams that still run are held until it ends. */
   readonly begin: () => AttemptInFlight;
   readonly count: () => number;
-  /** Whether sends are under way and nothing comes from any of them. */
+  /** Whether attempts are in flight and all of them are silent. */
   readonly areSilent: () => boolean;
   readonly hasReport: () => boolean;
   /** Resolves once there is a report. */
   readonly reported: () => Promise<void>;
   /** The next report, in the order in which they came. */
   readonly next: () => Promise<AttemptReport>;
-  /** Makes `next` fail, since a send has failed in this process. */
+  /** Makes `next` fail, since an attempt has failed in this process. */
   readonly fail: (error: unknown) => void;
-  /** Ends all sends. */
+  /** Ends all attempts. */
   readonly abort: () => void;
 }
 
@@ -55,9 +55,9 @@
   readonly outcome: ForwardAttemptOutcome;
 }
 
-/** Creates the bookkeeping of the sends of one request. */
+/** Creates the tracker of the attempts of one request. */
 export function createAttemptsInFlight(): AttemptsInFlight {
-  const underWay = new Set<Attempt>();
+  const inFlight = new Set<Attempt>();
   let reports: readonly Report[] = [];
   let waiting: readonly (() => void)[] = [];
   let failure: {readonly error: unknown} | undefined;
@@ -68,61 +68,62 @@
     for (const resolve of woken) resolve();
   }
 
-  function report(send: Attempt, outcome: ForwardAttemptOutcome): void {
-    if (send.abort.signal.aborted) return;
-    reports = [...reports, {send, outcome}];
+  function report(attempt: Attempt, outcome: ForwardAttemptOutcome): void {
+    if (attempt.abort.signal.aborted) return;
+    reports = [...reports, {send: attempt, outcome}];
     wake();
   }
 
-  function abort(send: Attempt): void {
-    underWay.delete(send);
-    reports = reports.filter(report => report.send !== send);
-    send.abort.abort();
+  function abort(attempt: Attempt): void {
+    inFlight.delete(attempt);
+    reports = reports.filter(report => report.send !== attempt);
+    attempt.abort.abort();
   }
 
   function abortOthers(winner: Attempt): void {
-    for (const send of [...underWay]) if (send !== winner) abort(send);
+    for (const attempt of [...inFlight]) if (attempt !== winner) abort(attempt);
   }
 
   /**
-   * Streams go on beside a send only if it was to take them over: it goes on
-   * where they stand, so nothing more may be passed on until it has ended.
+   * An attempt that starts alongside a running stream is meant to take it over
+   * and resumes where it stands, so nothing more may be forwarded until the
+   * attempt has ended.
    */
   function holdAll(): void {
-    for (const send of underWay) if (!send.isSilent) send.stream?.hold();
+    for (const other of inFlight) if (!other.isSilent) other.stream?.hold();
   }
 
   function releaseOthers(of: Attempt): void {
-    for (const send of underWay) if (send !== of) send.stream?.release();
+    for (const other of inFlight) if (other !== of) other.stream?.release();
   }
 
   function begin(): AttemptInFlight {
     holdAll();
-    const send: Attempt = {
+    const attempt: Attempt = {
       abort: new AbortController(),
       isSilent: false,
       stream: undefined,
     };
-    underWay.add(send);
+    inFlight.add(attempt);
     return {
-      signal: send.abort.signal,
-      isSilent: () => send.isSilent,
-      isAlone: () => underWay.size === 1,
-      setStream: stream => (send.stream = stream),
+      signal: attempt.abort.signal,
+      isSilent: () => attempt.isSilent,
+      isAlone: () => inFlight.size === 1,
+      setStream: stream => (attempt.stream = stream),
       report: outcome => {
-        if (outcome.kind === 'silent') releaseOthers(send);
+        if (outcome.kind === 'silent') releaseOthers(attempt);
         if (outcome.kind !== 'handedOn') {
-          send.isSilent = outcome.kind === 'silent';
+          attempt.isSilent = outcome.kind === 'silent';
         }
-        report(send, outcome);
+        report(attempt, outcome);
       },
       end: outcome => {
-        if (isForCaller(outcome)) abortOthers(send);
-        else releaseOthers(send);
-        send.isSilent = false;
-        report(send, outcome);
+        if (isForCaller(outcome)) abortOthers(attempt);
+        else releaseOthers(attempt);
+        attempt.isSilent = false;
+        report(attempt, outcome);
       },
-      win: () => abortOthers(send),
+      win: () => abortOthers(attempt),
     };
   }
 
@@ -142,17 +143,17 @@
     }
   }
 
-  function deliver({send, outcome}: Report): AttemptReport {
-    if (isEnd(outcome)) underWay.delete(send);
-    const silent = [...underWay].filter(({isSilent}) => isSilent).length;
-    return {kind: 'sent', outcome, attemptsInFlight: underWay.size, silent};
+  function deliver({send: attempt, outcome}: Report): AttemptReport {
+    if (isEnd(outcome)) inFlight.delete(attempt);
+    const silent = [...inFlight].filter(({isSilent}) => isSilent).length;
+    return {kind: 'sent', outcome, attemptsInFlight: inFlight.size, silent};
   }
 
   return {
     begin,
-    count: () => underWay.size,
+    count: () => inFlight.size,
     areSilent: () =>
-      underWay.size > 0 && [...underWay].every(({isSilent}) => isSilent),
+      inFlight.size > 0 && [...inFlight].every(({isSilent}) => isSilent),
     hasReport: () => reports.length > 0 || failure !== undefined,
     reported,
     next,
@@ -160,11 +161,11 @@
       failure ??= {error};
       wake();
     },
-    abort: () => [...underWay].forEach(abort),
+    abort: () => [...inFlight].forEach(abort),
   };
 }
 
-/** Whether the caller is given what a send has brought. */
+/** Whether the result of an attempt goes to the caller. */
 function isForCaller(outcome: ForwardAttemptEnd): boolean {
   if (outcome.kind === 'answered') return outcome.success;
   return outcome.kind === 'streamed';
--- a/packages/fleet/src/entry/auxiliary_servers.ts
+++ b/packages/fleet/src/entry/auxiliary_servers.ts
@@ -8,30 +8,33 @@
 import type {FleetMetrics} from './fleet_metrics';
 import type {SiteRegions} from './site_regions';
 
-/** Where a face listens, and how it closes. */
+/** A running server of the entry. */
 export interface AuxiliaryServer {
   readonly close: () => Promise<void>;
 }
 
-/** What the directory needs. */
+/** Options of the directory server. */
 export interface DirectoryServerOptions {
   readonly address: string;
   readonly protocol: DirectoryProtocol;
-  /** Entries that callers may be sent to, this one among them. */
+  /** Entries that callers may be sent to, including this one. */
   readonly usable: () => readonly MemberDescription[];
   readonly keepFor: Milliseconds;
   readonly regionOf: SiteRegions['regionOf'];
-  /** Regions that all routes of a host with residency allow, if any has. */
+  /**
+   * Regions that all routes of a host with residency rules allow; undefined if
+   * it has none.
+   */
   readonly regionsOf: (host: string) => ReadonlySet<RegionName> | undefined;
 }
 
 /**
- * A server whose routes have no schemas. Without compilers of our own the library
- * loads its own for them, 45 ms of a start of 500.
+ * Creates a server whose routes have no schemas. Without compilers of our own,
+ * fastify loads its default ones, which takes 45 ms of a start of 500.
  *
- * Failure: a caller behind a cut link has sent half of a question, and a planned
- * stop waits for the rest until the platform kills the process. Guard: closing
- * ends all connections; whole questions are answered at once, so none is cut.
+ * Closing ends all connections. Otherwise a planned stop waits for the rest of
+ * a request from a caller behind a broken link, until the platform kills the
+ * process. Complete requests are answered at once, so none is cut off.
  */
 function openServer(): FastifyInstance {
   const refuse = () => (): never => {
@@ -44,14 +47,16 @@
   });
 }
 
-/** Opens the directory: which entries a caller may use. */
+/**
+ * Starts the directory server, which tells callers which entries they may use.
+ */
 export function openDirectoryServer(
   options: DirectoryServerOptions,
 ): Promise<AuxiliaryServer> {
   const server = openServer();
   const {protocol} = options;
   server.get(protocol.path, async (request, reply) => {
-    const question = protocol.readRequest(
+    const query = protocol.readRequest(
       request.query as Record<string, string | undefined>,
     );
     const entries = options
@@ -62,12 +67,9 @@
           : [{zone, region: options.regionOf(zone), callerAddress}],
       );
     const addresses = chooseEntries(entries, {
-      zone: question.zone,
-      region:
-        question.region ?? (question.zone && options.regionOf(question.zone)),
-      allowedRegions: question.host
-        ? options.regionsOf(question.host)
-        : undefined,
+      zone: query.zone,
+      region: query.region ?? (query.zone && options.regionOf(query.zone)),
+      allowedRegions: query.host ? options.regionsOf(query.host) : undefined,
     });
     if (addresses.length === 0) return reply.code(503).send();
     return protocol.writeAnswer({addresses, keepFor: options.keepFor});
@@ -75,7 +77,7 @@
   return listen(server, options.address);
 }
 
-/** Opens the face that says whether this entry takes requests. */
+/** Starts the server that reports whether this entry accepts requests. */
 export function openReadinessServer(
   address: string,
   protocol: DirectoryProtocol,
@@ -88,7 +90,7 @@
   return listen(server, address);
 }
 
-/** Opens the face on which metrics are read. */
+/** Starts the server that exposes metrics. */
 export function openMetricsServer(
   address: string,
   metrics: FleetMetrics,
--- a/packages/fleet/src/entry/buffered_bytes.ts
+++ b/packages/fleet/src/entry/buffered_bytes.ts
@@ -7,16 +7,16 @@
 import type {ClientRequest, ServerResponse} from 'node:http';
 import type {Socket} from 'node:net';
 
-/** Period of looks at what is held, while requests run. */
+/** Interval between checks of what is buffered, while requests run. */
 const CHECK_PERIOD_MS = 100;
 
-/** Time in which further bytes are collected before the next look. */
+/** Delay before a check, in which further bytes are collected. */
 const CHECK_DELAY_MS = 10;
 
-/** Who reads: a caller its answer, or a target the body of a request. */
+/** Who reads slowly: a caller its answer, or a target the body of a request. */
 export type ReaderKind = 'caller' | 'target';
 
-/** What the bound on buffered bytes needs. */
+/** Options of the limit on buffered bytes. */
 export interface BufferedBytesOptions {
   readonly bound: Bytes;
   readonly clock: Clock;
@@ -24,26 +24,30 @@
   readonly onDropped: (kind: ReaderKind) => void;
 }
 
-/** What is buffered for one request. */
+/** Tracks what is buffered for one request. */
 export interface RequestBuffers {
-  /** Counts bytes of whole answers that are read; negative ones are released. */
+  /**
+   * Counts bytes of whole answers that are read; negative values release them.
+   */
   readonly hold: (bytes: Bytes) => void;
-  /** Looks soon, since something was written. */
+  /** Schedules a check, after something was written. */
   readonly note: () => void;
   /** Counts what is sent to a target until its connection closes. */
   readonly watchTarget: (request: ClientRequest) => void;
-  /** Releases all whole answers: what is passed on is in the response. */
+  /**
+   * Releases all whole answers: what is forwarded is counted in the response.
+   */
   readonly releaseAnswers: () => void;
 }
 
-/** Bounds what an entry buffers for callers and targets that read slowly. */
+/** Limits what an entry buffers for callers and targets that read slowly. */
 export interface BufferedBytes {
   /** Counts what is buffered for a request until its response closes. */
   readonly open: (
     response: ServerResponse,
     requestId: string | undefined,
   ) => RequestBuffers;
-  /** All bytes that are held now. */
+  /** All bytes that are buffered now. */
   readonly held: () => Bytes;
 }
 
@@ -51,9 +55,12 @@
   readonly kind: ReaderKind;
   readonly requestId: string | undefined;
   readonly held: () => Bytes;
-  /** Whether any of them could be taken: a whole answer may still be read. */
+  /**
+   * Whether there is anything for the reader to take: a whole answer may still
+   * be arriving.
+   */
   readonly isOffered: () => boolean;
-  /** Bytes that the system has taken on the connection. */
+  /** Bytes that the operating system has accepted on the connection. */
   readonly taken: () => Bytes;
   readonly drop: () => void;
   takenBefore: Bytes;
@@ -61,12 +68,12 @@
 }
 
 /**
- * Creates the bound.
+ * Creates the limit.
  *
- * Failure: hundreds of callers read slowly. Each stream is paused at its
- * high-water mark, whole answers are held in full, and together they exceed the
- * memory of the process: it ends, with all of its requests. Guard: beyond the bound
- * the slowest readers are dropped, so that the others are served.
+ * Each stream is paused at its high-water mark and whole answers are held in
+ * full, so hundreds of callers that read slowly could together exceed the
+ * memory of the process and end it with all its requests. Beyond the bound the
+ * slowest readers are dropped, so that the others are served.
  */
 export function createBufferedBytes(
   options: BufferedBytesOptions,
@@ -81,11 +88,11 @@
     closing: ClientRequest | ServerResponse,
   ): void {
     if (closing.destroyed) return;
-    const watched = {...reader, takenBefore: 0, movedAt: clock()};
-    readers.add(watched);
+    const tracked = {...reader, takenBefore: 0, movedAt: clock()};
+    readers.add(tracked);
     stopChecks ??= every(CHECK_PERIOD_MS, check);
     closing.once('close', () => {
-      readers.delete(watched);
+      readers.delete(tracked);
       if (readers.size > 0) return;
       stopChecks?.();
       stopChecks = undefined;
@@ -163,7 +170,10 @@
   };
 }
 
-/** What waits in the socket counts as written, though nobody has taken it. */
+/**
+ * Bytes that wait in the socket count as written, though nobody has received
+ * them.
+ */
 function takenBy(socket: Socket | null): Bytes {
   return socket === null ? 0 : socket.bytesWritten - socket.writableLength;
 }
--- a/packages/fleet/src/entry/caller_server.ts
+++ b/packages/fleet/src/entry/caller_server.ts
@@ -4,20 +4,23 @@
 import {createIdleConnections} from './idle_connections';
 import type {RequestHandler} from './request_handler';
 
-/** Idle time of callers' connections until a configuration names one. */
+/** Idle timeout of callers' connections until a configuration sets one. */
 const INITIAL_IDLE_TIMEOUT: Milliseconds = 15_000;
 
-/** Connections that wait to be accepted; a burst opens hundreds at once. */
+/**
+ * Length of the accept queue; a burst of callers opens hundreds of connections
+ * at once.
+ */
 const ACCEPT_BACKLOG = 1_024;
 
-/** The face for callers. */
+/** HTTP server for callers. */
 export interface CallerServer {
   readonly listen: (address: string) => Promise<void>;
   readonly setIdleTimeout: (timeout: Milliseconds) => void;
   readonly close: () => void;
 }
 
-/** Creates the face that passes requests to `handler`. */
+/** Creates the server; it passes requests to `handler`. */
 export function createCallerServer(
   handler: RequestHandler,
   clock: Clock,
@@ -32,7 +35,7 @@
     handler.handle(request, response);
   });
   server.on('timeout', idleConnections.handleTimeout);
-  // Deadlines of requests are kept by their handler.
+  // The request handler enforces deadlines itself.
   server.requestTimeout = 0;
   return {
     listen: address => {
--- a/packages/fleet/src/entry/cold_target_monitor.ts
+++ b/packages/fleet/src/entry/cold_target_monitor.ts
@@ -11,16 +11,16 @@
 import type {FleetMetrics} from './fleet_metrics';
 import type {OperatorFollower} from './operator_follower';
 
-/** What the watch needs. */
+/** Dependencies of the cold target monitor. */
 export interface ColdTargetMonitorOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Pick<FleetMetrics, 'setColdTargets'>;
-  /** The newest configuration; undefined until one was read. */
+  /** Routes of the newest configuration; undefined until one was read. */
   readonly table: OperatorFollower['table'];
 }
 
-/** Follows which targets are cold, by their own words and by reports. */
+/** Tracks which targets are cold, from their registrations and from reports. */
 export interface ColdTargetMonitor {
   readonly list: (targets: readonly ListedTarget[]) => void;
   readonly report: (load: EngineLoad) => void;
@@ -29,7 +29,7 @@
   readonly rateOf: (life: TargetIncarnation) => number | undefined;
 }
 
-/** Creates the watch; it logs each change. */
+/** Creates the monitor; it logs each change. */
 export function createColdTargetMonitor(
   options: ColdTargetMonitorOptions,
 ): ColdTargetMonitor {
--- a/packages/fleet/src/entry/crash_monitor.ts
+++ b/packages/fleet/src/entry/crash_monitor.ts
@@ -9,53 +9,57 @@
 import {sleep, type Clock, type Log} from '@hibiscusbeam/daemon';
 import {connect} from 'node:net';
 
-/** Longest wait for an answer to an opening packet. */
+/** Timeout of a connection attempt. */
 const CONNECT_TIMEOUT: Milliseconds = 400;
 
-/** Tries at an address that gives no answer, and the pause between them. */
+/** Probes of an address that doesn't respond, and the pause between them. */
 const MAX_PROBES = 4;
 const PAUSE_BETWEEN_PROBES: Milliseconds = 300;
 
-/** What an address answers to an opening packet. */
+/** Response of an address to a connection attempt. */
 export type AddressState = 'listening' | 'closed' | 'unreachable';
 
-/** What the watch needs. */
+/** Dependencies of the crash monitor. */
 export interface CrashMonitorOptions {
   readonly quarantine: Quarantine;
   readonly clock: Clock;
   readonly log: Log;
   readonly probe?: (address: string) => Promise<AddressState>;
-  /** Told when something seen here has changed the quarantine. */
+  /** Called when something observed here has changed the quarantine. */
   readonly onChange: (fingerprint: RequestFingerprint) => void;
 }
 
-/** Finds out whether targets have ended under requests. */
+/** Detects whether targets have ended while they ran requests. */
 export interface CrashMonitor {
-  /** Looks whether anything listens at the target's address. */
+  /** Checks whether anything listens at the target's address. */
   readonly probe: (target: ListedTarget) => Promise<AddressState>;
-  /** Notes that a request lost its connection to a target that ran it. */
+  /** Records that a request lost its connection to a target that ran it. */
   readonly recordLostConnection: (
     fingerprint: RequestFingerprint,
     target: ListedTarget,
   ) => Promise<void>;
-  /** Notes that the target's life is known to have ended with the request. */
+  /**
+   * Records that the target's incarnation is known to have ended while it ran
+   * the request.
+   */
   readonly recordEnded: (
     fingerprint: RequestFingerprint,
     target: ListedTarget,
   ) => void;
-  /** Notes that a target has answered the request and lives on. */
+  /** Records that a target has answered the request and still runs. */
   readonly recordCompleted: (fingerprint: RequestFingerprint) => void;
 }
 
 /**
- * Creates the watch. A lost connection alone says nothing of the target: links
- * reset too. It has ended if nothing listens at its address any more.
+ * Creates the monitor. A lost connection alone shows nothing about the target,
+ * since links are reset too. The target has ended if nothing listens at its
+ * address any more.
  */
 export function createCrashMonitor(options: CrashMonitorOptions): CrashMonitor {
-  const {quarantine, clock, log, probe: look = probeAddress} = options;
+  const {quarantine, clock, log, probe = probeAddress} = options;
   const probes = new Map<TargetIncarnation, Promise<AddressState>>();
 
-  /** One look serves all requests of a target that want one at that time. */
+  /** Concurrent probes of a target share one result. */
   function probeOnce(target: ListedTarget): Promise<AddressState> {
     const life = targetIncarnationKey(target);
     const running = probes.get(life);
@@ -69,7 +73,7 @@
 
   async function probeUntilAnswered(address: string): Promise<AddressState> {
     for (let tries = 1; ; tries += 1) {
-      const state = await look(address);
+      const state = await probe(address);
       if (state !== 'unreachable' || tries >= MAX_PROBES) return state;
       await sleep(PAUSE_BETWEEN_PROBES);
     }
@@ -108,7 +112,7 @@
       recordEnding(fingerprint, target, clock()),
     recordCompleted: fingerprint => {
       if (!quarantine.recordCompletion(fingerprint, clock())) return;
-      log.info('suspicion of a request dropped', {fingerprint});
+      log.info('request no longer suspected of ending targets', {fingerprint});
       options.onChange(fingerprint);
     },
   };
--- a/packages/fleet/src/entry/engine_report_stream.ts
+++ b/packages/fleet/src/entry/engine_report_stream.ts
@@ -4,24 +4,25 @@
 import type {EngineReport, EngineReportReply} from '@hibiscusbeam/wire';
 
 /**
- * Period of replies, which show the agent that its reports arrive. An agent gives
- * a stream up after 2.2 s; what is left of them is for a loop that runs late.
+ * Interval between replies, which show the agent that its reports arrive. An
+ * agent gives a stream up after 2.2 s; the rest of that time is for an event
+ * loop that runs late.
  */
 const REPLY_PERIOD: Milliseconds = 1_500;
 
-/** A stream of reports, with replies in the other direction. */
+/** A stream of engine reports, with replies in the other direction. */
 export type ReportCall = ServerDuplexStream<EngineReport, EngineReportReply>;
 
-/** Takes agents' reports, and tells agents what is new. */
+/** Receives the reports of agents and sends them updates. */
 export interface EngineReportStreams {
   readonly handleStream: (call: ReportCall) => void;
-  /** Tells all agents at once. */
+  /** Sends an update to all agents at once. */
   readonly sendToAll: () => void;
 }
 
 /**
- * Creates the streams' other end, until the signal aborts; `news` is what agents
- * are told.
+ * Creates the server side of the streams, which runs until the signal aborts.
+ * `createUpdate` builds the reply that agents are sent.
  */
 export function createEngineReportStreams(
   take: (report: EngineReport) => void,
--- a/packages/fleet/src/entry/entry.ts
+++ b/packages/fleet/src/entry/entry.ts
@@ -80,29 +80,31 @@
 const REVOCATION_MARGIN: Milliseconds = 300;
 
 /**
- * Age of the confirmed configuration at which callers are sent to other
- * entries, as a share of the age at which keys aren't served any more. Callers
- * keep a directory's answer for one or two seconds, and the age grows to two
- * seconds between two answers of a store that is well.
+ * Age of the confirmed configuration from which callers are sent to other
+ * entries, as a share of the age from which keys are no longer accepted.
+ * Callers use a directory answer for one or two seconds, and the age grows to
+ * two seconds between two answers of a healthy store.
  */
 const UNREADY_AGE_SHARE = 0.75;
 
-/** Most of a directory answer's life that is used, so that news spread soon. */
+/** Maximum lifetime of a directory answer, so that changes spread soon. */
 const MAX_DIRECTORY_TTL: Milliseconds = 2_000;
 
 /**
- * Share of the grace period after a signal to stop in which new requests are
- * still served; callers have old directory answers for that long.
+ * Share of the grace period in which new requests are still served after a stop
+ * signal; callers use old directory answers for that long.
  */
 const SERVING_SHARE = 0.45;
 
-/** Share of the grace period after which what still runs is answered. */
+/**
+ * Share of the grace period after which requests that still run are answered.
+ */
 const FINAL_ANSWERS_SHARE = 0.9;
 
 /** Share of the grace period after which the process ends at the latest. */
 const ENDING_SHARE = 0.95;
 
-/** Period of looks at what still runs while stopping. */
+/** Interval between checks for running requests while stopping. */
 const STOPPING_CHECK_PERIOD: Milliseconds = 50;
 
 function toEngineLoad(report: EngineReport): EngineLoad {
@@ -120,7 +122,7 @@
   };
 }
 
-/** The smaller of two limits, of which either may be missing. */
+/** The lower of two limits, either of which may be undefined. */
 function minDefined(
   one: number | undefined,
   other: number | undefined,
@@ -158,11 +160,11 @@
     bounds: {...bounds, evacuation},
   });
   const isReadable = (use: ReadingUse): boolean => use !== 'outdated';
-  const life = `${settings.instance}-${randomUUID()}`;
+  const incarnation = `${settings.instance}-${randomUUID()}`;
   const {quarantine, quarantineStore, trials, crashMonitor} =
     createEntryQuarantine({
       table: ports.quarantine,
-      holder: life,
+      holder: incarnation,
       clock,
       log: logs('requests'),
       failurePause,
@@ -182,7 +184,8 @@
   });
   const paced = createSendPacer({
     self: {instance: settings.instance, zone: settings.zone},
-    rateOf: life => minDefined(limits.rateOf(life), coldTargets.rateOf(life)),
+    rateOf: target =>
+      minDefined(limits.rateOf(target), coldTargets.rateOf(target)),
     knownShare: () =>
       members.isKnown()
         ? (entryPeers.usable().length + 1) / entryPeers.size()
@@ -194,8 +197,8 @@
     metrics,
     isKnownZone: regions.isKnownZone,
   });
-  // An entry that was frozen or is cut off may miss an evacuation or a change of
-  // residency, also for requests that it has accepted.
+  // An entry that was frozen or is disconnected may miss an evacuation or a
+  // change of residency, also for requests that it has already accepted.
   const areTargetsKnown = (): boolean =>
     isReadable(readings.targets()) &&
     isReadable(readings.evacuations()) &&
@@ -245,7 +248,7 @@
     zone: settings.zone,
     address: settings.peerAddress,
     callerAddress: settings.callerAddress,
-    life,
+    life: incarnation,
   };
   const versions = createNamedVersions(bounds.version - VERSION_BOUND_MARGIN);
   const namings = createNamingExchange(
@@ -263,12 +266,13 @@
     versions,
     evacuations,
     log: logs('configuration'),
-    // Agents and followers hear of a new version from whoever hears of it first.
+    // Agents and followers use a new version from whichever entry they learn of
+    // it first, so all are sent it at once.
     onVersionsOrServices: () => {
       reportStreams.sendToAll();
       entryPeers.relayServer.sendStates();
     },
-    // Both stand in the operator's table.
+    // Both are read from the operator's table.
     bound: Math.min(bounds.configuration, evacuation),
     copies,
     source: () => entryPeers.operatorSource(),
@@ -282,9 +286,10 @@
     },
   });
   const maxConfirmationAge = bounds.revocation - REVOCATION_MARGIN;
-  // Failure: an entry that is cut off from the store refuses every request with
-  // a key, and its callers come back to it though the others would serve them.
-  // Guard: it counts as unready before that, and directories leave it out.
+  // An entry counts as unready before it refuses keys, and directories leave it
+  // out. Otherwise, when it is disconnected from the store, it refuses every
+  // request with a key while its callers keep coming back, though the other
+  // entries would serve them.
   const isReady = (): boolean =>
     phase === 'serving' &&
     operator.table() !== undefined &&
@@ -307,8 +312,8 @@
     namings: namings.list,
     onNamings: namings.merge,
     onReports: takeReports,
-    onTables: news => {
-      const {operator: moment, configuration, targets: listing} = news;
+    onTables: update => {
+      const {operator: moment, configuration, targets: listing} = update;
       if (moment !== undefined || listing !== undefined) {
         failurePause.recordAnswer();
       }
@@ -445,7 +450,7 @@
       ? undefined
       : await openMetricsServer(settings.metricsAddress, metrics);
   members.start(stopped.signal);
-  const stopCircle = entryPeers.start();
+  const stopPeers = entryPeers.start();
 
   let finish = (): void => undefined;
   const ended = new Promise<void>(resolve => (finish = resolve));
@@ -464,7 +469,7 @@
       await sleep(STOPPING_CHECK_PERIOD);
     }
     stopped.abort();
-    stopCircle();
+    stopPeers();
     callerServer.close();
     peers.close();
     await Promise.all([
--- a/packages/fleet/src/entry/entry_admission.ts
+++ b/packages/fleet/src/entry/entry_admission.ts
@@ -19,20 +19,20 @@
 import type {AcceptedRequest} from './request_acceptance';
 import {spreadRetryAfter} from './timeliness';
 
-/** The least urgent priority that engines know. */
+/** The least urgent priority that engines accept. */
 const LEAST_URGENT_PRIORITY = 9;
 
-/** Wait from which a request counts as held. */
+/** Minimum wait from which a request counts as held. */
 const MIN_HELD_WAIT: Milliseconds = 1;
 
-/** Time for which the sums by zone are kept before they are added up anew. */
+/** How long the sums by zone are reused before they are computed again. */
 const MAX_SUMS_AGE: Milliseconds = 50;
 
-/** Exchange of what callers ask for among the entries. */
+/** Exchange of demand among the entries. */
 export interface DemandExchange {
-  /** What the callers of this entry ask for. */
+  /** Demand of this entry's callers. */
   readonly own: () => readonly ServiceDemand[];
-  /** Sums by zone, the own one first; empty without admission by level. */
+  /** Demand by zone, the own zone first; empty without admission by level. */
   readonly zones: () => readonly ZoneDemand[];
   readonly recordFollower: (
     instance: string,
@@ -41,39 +41,42 @@
   readonly recordZones: (zones: readonly ZoneDemand[]) => void;
 }
 
-/** Whether a request is admitted on its arrival. */
+/** Whether a request is admitted when it arrives. */
 export type ArrivalDecision =
   | {
       readonly kind: 'admitted';
-      /** Undefined if nothing was to be decided. */
+      /** Undefined if no decision was needed. */
       readonly by: 'level' | 'spare' | undefined;
     }
   | {readonly kind: 'belowLevel'; readonly level: AdmissionLevel};
 
-/** Admission at one entry. */
+/** Admission control of one entry. */
 export interface EntryAdmission {
   readonly isByLevel: boolean;
   readonly exchange: DemandExchange;
-  /** Decides on a request that has not waited yet. */
+  /** Decides about a request that has not waited yet. */
   readonly arrive: (accepted: AcceptedRequest) => ArrivalDecision;
-  /** Notes how long an admitted request has waited, and why in vain. */
+  /**
+   * Records how long an admitted request has waited and, if it got no slot,
+   * why.
+   */
   readonly recordWait: (
     accepted: AcceptedRequest,
     waited: Milliseconds,
     refusedFor: string | undefined,
   ) => void;
-  /** When the caller of a refused request should come back, not before `least`. */
+  /** Retry-After for the caller of a refused request, at least `least`. */
   readonly retryAfter: (
     accepted: AcceptedRequest,
     least: Milliseconds,
   ) => Milliseconds;
-  /** How long a request will probably hold its place. */
+  /** How long a request will probably occupy its slot. */
   readonly slotTime: (accepted: AcceptedRequest) => Milliseconds;
-  /** Notes how long a request has held its place. */
+  /** Records how long a request has occupied its slot. */
   readonly recordHeld: (accepted: AcceptedRequest, held: Milliseconds) => void;
 }
 
-/** What admission at an entry goes by. */
+/** Options of admission by level. */
 export interface EntryAdmissionOptions {
   readonly instance: string;
   readonly zone: string;
@@ -81,14 +84,14 @@
   readonly metrics: FleetMetrics;
   readonly log: Log;
   readonly clock: Clock;
-  /** Entries that are known of, this one included. */
+  /** Number of known entries, including this one. */
   readonly entries: () => number;
   readonly followsRelay: () => boolean;
-  /** Requests that wait here for a place. */
+  /** Number of requests that wait here for a slot. */
   readonly waitingFor: (service: ServiceName, priority?: number) => number;
 }
 
-/** Admission of all requests. */
+/** Admits all requests. */
 export const NO_ADMISSION: EntryAdmission = {
   isByLevel: false,
   exchange: {
@@ -126,7 +129,10 @@
   let sums: readonly ZoneDemand[] = [];
   let summedAt = -Infinity;
 
-  /** One sum for all followers, which are told one after the other. */
+  /**
+   * Computes the sums once for all followers, which are sent them one after the
+   * other.
+   */
   function zones(): readonly ZoneDemand[] {
     const now = clock();
     if (now - summedAt < MAX_SUMS_AGE) return sums;
@@ -149,7 +155,7 @@
     };
     const now = clock();
     meter.record(request, now);
-    // A stream that goes on has had its place before.
+    // A resumed stream has had its slot before.
     if (header.resumeAfter !== undefined || request.slotTime === 0) {
       return {kind: 'admitted', by: undefined};
     }
@@ -212,7 +218,8 @@
       const {service} = accepted;
       const now = clock();
       const {places, pacedPlaces} = registry.capacity(service, now);
-      // Slow engines count in the capacity, so not in the time as well.
+      // Slow engines already reduce the capacity, so the time is corrected for
+      // their pace.
       const pace = pacedPlaces > 0 ? places / pacedPlaces : 1;
       const expected = expectedTime(accepted);
       placeTimes.record(service, {expected, held: held / pace}, now);
@@ -220,7 +227,7 @@
   };
 }
 
-/** Outcome and reason as they are counted. */
+/** Outcome and reason, as counted in the metrics. */
 function countedAs(
   kind: 'admitted' | 'spare' | 'belowLevel',
 ): readonly [CountedAdmission['outcome'], string] {
@@ -234,24 +241,24 @@
   }
 }
 
-/** Undefined if nothing says how long the answer will be. */
+/** Undefined if the length of the answer can't be estimated. */
 function expectedTime({run}: AcceptedRequest): Milliseconds | undefined {
   return run.writingTime > 0 ? run.promptTime + run.writingTime : undefined;
 }
 
-/** The workspace's priority where it has one, else the route's. */
+/** Priority of the workspace if it has one, otherwise of the route. */
 export function priorityOf({access, route}: AcceptedRequest): number {
   const ofWorkspace =
     access.kind === 'workspace' ? access.workspace.priority : undefined;
   return ofWorkspace ?? route.priority;
 }
 
-/** The priority as engines are told it: 0 to 9. */
+/** Priority in the range that engines accept: 0 to 9. */
 export function enginePriority(accepted: AcceptedRequest): number {
   return Math.min(LEAST_URGENT_PRIORITY, wirePriority(priorityOf(accepted)));
 }
 
-/** The workspace of its caller; undefined for callers without a key. */
+/** Workspace of the caller; undefined for callers without a key. */
 export function workspaceOf({access}: AcceptedRequest): string | undefined {
   return access.kind === 'workspace' ? access.workspace.name : undefined;
 }
--- a/packages/fleet/src/entry/entry_peers.ts
+++ b/packages/fleet/src/entry/entry_peers.ts
@@ -27,76 +27,86 @@
 import {createSiteReader} from './site_reader';
 
 /**
- * Period of looks at the relays. A silent one is given up after four looks: a
- * second, of the 2 s that a report may be old.
+ * Interval between checks of the relays. A silent one is given up after four
+ * checks, which is one second of the 2 s that a report may be old.
  */
 const CHECK_PERIOD: Milliseconds = 250;
 
-/** Looks between two greetings of a relay. */
+/** Checks between two greetings of a relay. */
 const CHECKS_BETWEEN_GREETINGS = 4;
 
-/** Time in which the site's records are collected before they go out. */
+/**
+ * Delay in which changes of the site's records are collected before they are
+ * sent.
+ */
 const RECORDS_DELAY: Milliseconds = 10;
 
-/** Age of the last report of an agent after which the relay's are wanted. */
+/**
+ * Age of the last report of an agent after which this entry asks the relay for
+ * reports.
+ */
 const MAX_REPORT_AGE: Milliseconds = 700;
 
-/** What an entry's circle needs. */
+/** Options of the entry peers. */
 export interface EntryPeersOptions {
   readonly self: MemberDescription;
   readonly isReady: () => boolean;
   readonly clock: Clock;
   readonly log: Log;
   readonly copies: ConfigurationCopies;
-  /** What all entries are to know. */
+  /** Records that all entries share. */
   readonly records: SiteRecords;
-  /** What callers ask for, here and at other entries. */
+  /** Demand of callers, here and at other entries. */
   readonly demands?: DemandExchange;
-  /** Time to the store and back; undefined if it is not known yet. */
+  /** Round trip time to the store; undefined until it is known. */
   readonly storeDistance: () => Milliseconds | undefined;
   readonly namings: () => VersionNaming[];
   readonly onNamings: (namings: readonly VersionNaming[]) => void;
-  /** Takes reports, straight from agents or passed on by the relay. */
+  /** Receives reports, from agents or from the relay. */
   readonly onReports: (reports: readonly EngineReport[]) => void;
-  /** Takes what the relay has read of the store's tables. */
+  /** Receives what the relay has read from the store's tables. */
   readonly onTables: (update: RelayUpdate) => void;
-  /** Told when the entries have changed that callers may be sent to. */
+  /** Called when the set of entries has changed that callers may be sent to. */
   readonly onUsable: () => void;
 }
 
-/** The other entries: who passes news on to whom, and who serves callers. */
+/**
+ * The other entries of the site: the relays among them, and which of them serve
+ * callers.
+ */
 export interface EntryPeers {
   readonly setMembers: (members: readonly MemberDescription[]) => void;
   readonly start: () => () => void;
-  /** Answers entries that follow this one. */
+  /** Serves entries that follow this one. */
   readonly relayServer: RelayServer;
-  /** Takes a report that an agent has sent here. */
+  /** Handles a report that an agent has sent here. */
   readonly takeReport: (report: EngineReport) => void;
-  /** Tells at once how this entry stands. */
+  /** Sends the status of this entry at once. */
   readonly announceSelf: () => void;
-  /** Passes on soon what has changed in the site's records. */
+  /** Schedules an update with what has changed in the site's records. */
   readonly scheduleRecords: () => void;
-  /** Tells the relays what is held here. */
+  /** Sends the relays what is held here. */
   readonly greetRelays: () => void;
   /** Other entries that callers may be sent to. */
   readonly usable: () => readonly MemberDescription[];
-  /** Entries of the site, this one included. */
+  /** Number of entries of the site, including this one. */
   readonly size: () => number;
-  /** Who reads the operator's table for this entry. */
+  /** Where this entry gets the operator's table from. */
   readonly operatorSource: () => TableSource;
   /** Whether this entry reads the list of targets itself. */
   readonly readsTargets: () => boolean;
 }
 
 /**
- * Creates the circle of entries.
+ * Creates the peers of an entry.
  *
- * Failure: every entry greets every other one each second, and each agent reports
- * to each entry. At 98 entries and 65 agents a start opens 260 connections in each
- * process, and a day of 66 s takes more than 5 s of processor time a process.
- * Guard: one entry of each zone is its relay, the first that answers in an order
- * that all agree on. The others follow it alone, and it follows the relays of the
- * other zones, so that connections grow with the zones and with a zone's size.
+ * One entry of each zone is its relay: the first that responds, in an order
+ * that all agree on. The others only follow it, and it follows the relays of
+ * the other zones, so that the number of connections grows with the number of
+ * zones and the size of a zone. If every entry greeted every other one each
+ * second and each agent reported to each entry, a start at 98 entries and 65
+ * agents would open 260 connections in each process, and 66 s of operation
+ * would take more than 5 s of CPU time in each.
  */
 export function createEntryPeers(options: EntryPeersOptions): EntryPeers {
   const {self, clock, log, demands = NO_ADMISSION.exchange} = options;
@@ -127,7 +137,7 @@
   let checks = 0;
   let announcedReady: boolean | undefined;
   let lastUsable = '';
-  let greetingSoon: NodeJS.Timeout | undefined;
+  let pendingGreeting: NodeJS.Timeout | undefined;
 
   function setMembers(members: readonly MemberDescription[]): void {
     entries = members.filter(({role}) => role === 'entry');
@@ -142,7 +152,9 @@
     );
   }
 
-  /** The own zone's relay; for itself, those of the other zones. */
+  /**
+   * The relay of the own zone; for that relay itself, those of the other zones.
+   */
   function wantedRelays(): readonly MemberDescription[] {
     const own = relayOf(self.zone);
     if (own !== undefined && own !== self) return [own];
@@ -153,8 +165,8 @@
 
   function followRelays(): void {
     const wanted = wantedRelays();
-    const lives = new Set(wanted.map(({life}) => life));
-    const kept = links.filter(link => lives.has(link.relay.life));
+    const wantedLives = new Set(wanted.map(({life}) => life));
+    const kept = links.filter(link => wantedLives.has(link.relay.life));
     for (const link of links) if (!kept.includes(link)) link.end();
     const followed = new Set(kept.map(link => link.relay.life));
     links = [
@@ -164,7 +176,7 @@
   }
 
   function follow(relay: MemberDescription): RelayLink {
-    log.info('follows a relay', {relay: relay.instance, zone: relay.zone});
+    log.info('following a relay', {relay: relay.instance, zone: relay.zone});
     const writeRecords = options.records.createWriter();
     return openRelayLink({
       relay,
@@ -194,7 +206,7 @@
     };
   }
 
-  /** Whether agents of the zone report all to this entry. */
+  /** Whether all agents of the zone report to this entry. */
   function receivesAgentReports(): boolean {
     const inZone = entries.filter(({zone}) => zone === self.zone).length + 1;
     return isSmallZone(inZone) && clock() - reportedAt <= MAX_REPORT_AGE;
@@ -228,7 +240,7 @@
   ): void {
     const fresh = reports.filter(isNewest);
     if (fresh.length === 0) return;
-    // What the own zone's relay tells is known to all that follow it.
+    // Reports from the own zone's relay are known to all that follow it.
     if (relay.zone !== self.zone) relayServer.queueZoneReports(fresh);
     options.onReports(fresh);
   }
@@ -252,7 +264,8 @@
     const {self: state} = greeting;
     if (state === undefined) return;
     recordState(state.instance, state.ready, clock());
-    // Relays of other zones follow this one, too; they tell their sums as news.
+    // Relays of other zones follow this one too; they send their sums as
+    // updates.
     if (greeting.wantsTables) {
       demands.recordFollower(state.instance, readDemands(greeting.demands));
     }
@@ -262,11 +275,14 @@
     if (options.records.merge(message, clock())) scheduleRecords();
   }
 
-  /** A target that ends brings a record for each request that it ran. */
+  /**
+   * Delays the greeting, since a target that ends adds a record for each
+   * request that it ran.
+   */
   function scheduleRecords(): void {
     relayServer.scheduleRecords();
-    greetingSoon ??= setTimeout(() => {
-      greetingSoon = undefined;
+    pendingGreeting ??= setTimeout(() => {
+      pendingGreeting = undefined;
       greetRelays();
     }, RECORDS_DELAY);
   }
@@ -279,7 +295,7 @@
     if (!states.record({instance, ready, observedAt: heardAt})) return;
     log.info(ready ? 'entry is ready' : 'entry is not ready', {instance});
     reportUsable();
-    // What changes here is passed on; relays that know it already stay silent.
+    // Changes are sent on; relays that already know them don't send them again.
     relayServer.sendStates();
   }
 
@@ -339,7 +355,7 @@
       const stopChecks = every(CHECK_PERIOD, check);
       return () => {
         stopChecks();
-        clearTimeout(greetingSoon);
+        clearTimeout(pendingGreeting);
         relayServer.close();
         for (const link of links) link.end();
         channels.close();
@@ -347,7 +363,8 @@
     },
     takeReport: report => {
       reportedAt = clock();
-      // Versions are named with the first report on a stream, however old it is.
+      // The first report on a stream contains version namings that count even
+      // if the report itself is outdated.
       if (!isNewest(report)) return options.onNamings(report.namings);
       relayServer.queueReport(report);
       options.onReports([report]);
--- a/packages/fleet/src/entry/entry_quarantine.ts
+++ b/packages/fleet/src/entry/entry_quarantine.ts
@@ -9,19 +9,22 @@
   type QuarantineTrials,
 } from './quarantine_trials';
 
-/** What an entry's part in the quarantine needs. */
+/** Dependencies of an entry's quarantine. */
 export interface EntryQuarantineOptions {
   readonly table: QuarantineTable;
-  /** Names the life of this process. */
+  /** Identifies the incarnation of this process. */
   readonly holder: string;
   readonly clock: Clock;
   readonly log: Log;
   readonly failurePause: FailurePause;
-  /** Told when this entry has seen what others are to know. */
+  /** Called when this entry has learned something that other entries need. */
   readonly onChange: () => void;
 }
 
-/** What one entry knows and does of requests that end their targets. */
+/**
+ * Quarantine of requests that crash their targets, with its storage, trials and
+ * crash detection.
+ */
 export interface EntryQuarantine {
   readonly quarantine: Quarantine;
   readonly quarantineStore: QuarantineStore;
@@ -29,7 +32,7 @@
   readonly crashMonitor: CrashMonitor;
 }
 
-/** Puts the parts together that act on one quarantine. */
+/** Connects the parts that work on one quarantine. */
 export function createEntryQuarantine(
   options: EntryQuarantineOptions,
 ): EntryQuarantine {
--- a/packages/fleet/src/entry/evacuation_monitor.ts
+++ b/packages/fleet/src/entry/evacuation_monitor.ts
@@ -10,26 +10,26 @@
 import type {FleetMetrics} from './fleet_metrics';
 import type {OperatorMoment} from './operator_follower';
 
-/** What the watch needs. */
+/** Dependencies of the evacuation monitor. */
 export interface EvacuationMonitorOptions {
   readonly log: Log;
   readonly metrics: Pick<FleetMetrics, 'setEvacuatedZones'>;
-  /** Whether the settings name a zone. */
+  /** Whether the settings contain a zone. */
   readonly isKnownZone: (zone: ZoneName) => boolean;
 }
 
-/** Follows the zones that the operator wants evacuated. */
+/** Tracks the zones that the operator wants evacuated. */
 export interface EvacuationMonitor extends Pick<
   Evacuations,
   'zones' | 'isEvacuated'
 > {
-  /** Takes an own reading of the operator's table. */
+  /** Applies a reading of the operator's table by this entry. */
   readonly take: (reading: OperatorReading, scope: ReadingScope) => void;
-  /** Takes a reading of a relay. */
+  /** Applies a reading that a relay has sent. */
   readonly receive: (moment: OperatorMoment) => void;
 }
 
-/** Creates the watch; it logs each change. */
+/** Creates the monitor; it logs each change. */
 export function createEvacuationMonitor(
   options: EvacuationMonitorOptions,
 ): EvacuationMonitor {
--- a/packages/fleet/src/entry/exchange.ts
+++ b/packages/fleet/src/entry/exchange.ts
@@ -9,38 +9,43 @@
 import type {RequestBuffers} from './buffered_bytes';
 import type {AnswerHeader, HeaderLines, RequestProtocol} from '../ports';
 
-/** A request as it goes to a target. */
+/** A request as it is sent to a target. */
 export interface OutgoingRequest {
   readonly address: string;
   readonly method: string;
   readonly path: string;
   readonly lines: readonly string[];
   readonly body: Buffer;
-  /** Whether the target may still be sent the request; asked once connected. */
+  /**
+   * Whether the target may still be sent the request; checked once connected.
+   */
   readonly mayBegin: () => boolean;
-  /** What is buffered of it. */
+  /** Tracks what is buffered of it. */
   readonly buffers: Pick<RequestBuffers, 'watchTarget'>;
 }
 
-/** The beginning of a target's answer; its body is still to be read. */
+/** The start of a target's answer; its body is still to be read. */
 export interface IncomingAnswer {
   readonly status: number;
   readonly lines: HeaderLines;
   readonly header: AnswerHeader;
   readonly body: IncomingMessage;
-  /** Whether the body that has ended is all of it. */
+  /** Whether the body that has ended is complete. */
   readonly isWhole: () => boolean;
-  /** Whether the body says itself where it ends; else its connection does. */
+  /**
+   * Whether the body is framed by a length or by chunks; otherwise the end of
+   * the connection ends it.
+   */
   readonly isFramed: boolean;
 }
 
 /** Why there is no answer. */
 export type ExchangeFailure =
-  /** No connection came about, so no byte of the request was sent. */
+  /** No connection was established, so no byte of the request was sent. */
   | {readonly kind: 'notConnected'; readonly detail: string}
-  /** The same, since nothing listens at the address. */
+  /** No connection, since nothing listens at the address. */
   | {readonly kind: 'connectionRefused'; readonly detail: string}
-  /** It may not begin there any more; no byte of it was sent. */
+  /** The target may no longer be sent the request; no byte of it was sent. */
   | {readonly kind: 'outdated'; readonly detail: string}
   | {
       readonly kind: 'unknown';
@@ -48,31 +53,31 @@
       readonly detail: string;
     };
 
-/** A request on its way. */
+/** A request in flight. */
 export interface Exchange {
   readonly answer: Promise<Result<IncomingAnswer, ExchangeFailure>>;
-  /** Ends it at once, also while the answer's body is read. */
+  /** Ends it at once, even while the answer's body is read. */
   readonly abort: () => void;
 }
 
 /**
- * Longest time to open a connection. Three round trips between regions are
- * below 15 ms; a lost opening packet is sent again after a second, and by then
- * another target has long answered.
+ * Timeout to open a connection. Three round trips between regions take less
+ * than 15 ms; a lost opening packet is only sent again after a second, and by
+ * then another target has long answered.
  */
 const CONNECT_TIMEOUT: Milliseconds = 200;
 
 /**
  * Sends a request over a connection of its own.
  *
- * Failure: on a kept connection an answer to an earlier request may arrive late
- * and be taken for this one's, a target may close just as this one is sent, and
- * a connection that fell silent shows only by a time-out. A connection that
- * serves one request has none of these; it costs one round trip.
+ * On a reused connection, a late answer to an earlier request may be taken for
+ * this one's, a target may close just as this request is sent, and a silent
+ * connection is only detected by a timeout. A connection for a single request
+ * has none of these problems; it costs one round trip.
  *
- * Node's own client is used since it tells a body that ends with its connection
- * from one that is cut by a reset, though only by the request's error: it calls
- * the body complete in both cases.
+ * The client of Node.js is used since it distinguishes a body that ends with
+ * its connection from one that is cut by a reset, though only by the request's
+ * error: it calls the body complete in both cases.
  */
 export function openExchange(
   outgoing: OutgoingRequest,
@@ -111,12 +116,11 @@
       resolve(Err({kind: outdated ? 'outdated' : unsentKind(error), detail}));
     };
     /**
-     * Failure: a process stands still for a second between the choice of a
-     * target and the send, for want of processor time. Meanwhile the target's
-     * version has passed its bound, the target leaves, or the caller has gone;
-     * the request begins all the same. Guard: what was decided is asked again
-     * right before the first byte, after all news that came with the connection
-     * have been taken in.
+     * Checks again right before the first byte, after all updates that arrived
+     * with the connection were processed. A process that gets no CPU for a
+     * second between choosing a target and sending would otherwise start a
+     * request although the target's version has passed its bound, the target is
+     * leaving or the caller has disconnected.
      */
     const send = (): void => {
       if (request.destroyed) return;
@@ -141,8 +145,9 @@
       const status = body.statusCode ?? 0;
       const lines = body.rawHeaders;
       const header = protocol.readAnswer(status, lines);
-      // Failure: an answer without a length is cut by a reset, and half of it is
-      // passed on as whole. The reset shows as an error before the body's end.
+      // An answer without a length may be cut by a reset, and half of it would
+      // be forwarded as complete. The reset shows as an error before the end of
+      // the body.
       const isWhole = (): boolean => body.complete && !hasFailed;
       const isFramed =
         body.headers['content-length'] !== undefined ||
--- a/packages/fleet/src/entry/expected_run.ts
+++ b/packages/fleet/src/entry/expected_run.ts
@@ -12,47 +12,50 @@
 } from '@hibiscusbeam/core';
 import type {CallerHeader} from '../ports';
 
-/** What a request will probably ask of an engine; all 0 for plain targets. */
+/** Expected cost of a request for an engine; all 0 for plain targets. */
 export interface ExpectedRun {
-  /** Time in which its prompt is read. */
+  /** Time to read the prompt. */
   readonly promptTime: Milliseconds;
-  /** Time in which its answer is written. */
+  /** Time to write the answer. */
   readonly writingTime: Milliseconds;
-  /** Tokens of its answer, by the caller's hint. */
+  /** Tokens of the answer, from the caller's hint. */
   readonly answerTokens: number;
-  /** Tokens that it holds at its end. */
+  /** Tokens that it occupies at its end. */
   readonly tokens: number;
-  /** What it asks of an engine's memory; undefined where none is named. */
+  /** Engine memory that it needs; undefined if the profile contains none. */
   readonly memory?: MemoryNeed;
-  /** How fast the engines of its service work; undefined for plain targets. */
+  /** Speed of the engines of its service; undefined for plain targets. */
   readonly profile: EngineProfile | undefined;
 }
 
-/** A request whose run is to be worked out. */
+/** A request whose cost is to be estimated. */
 export interface ExpectedRunInput {
   readonly header: CallerHeader;
   readonly table: RouteTable;
   readonly service: ServiceName;
-  /** Name of its route. */
+  /** Route name. */
   readonly route: string;
 }
 
-/** Works out the runs of requests. */
+/** Estimates the cost of requests. */
 export interface ExpectedRuns {
   readonly expect: (request: ExpectedRunInput) => ExpectedRun;
-  /** Learns from an answer that took so long to write, from its first event. */
+  /** Learns from a streamed answer; `took` counts from its first event. */
   readonly recordWritten: (
     request: ExpectedRunInput,
     took: Milliseconds,
   ) => void;
 }
 
-/** Part of an engine that a request claims at most on a route not seen yet. */
+/**
+ * Share of an engine's memory that a request reserves at most on a route
+ * without known answers.
+ */
 const MAX_UNSEEN_SHARE = 0.25;
 
 /**
- * Creates the expectations. Answers don't say how many tokens they have; in the
- * time that one took, an engine wrote one in each step at most.
+ * Creates the estimator. Answers don't contain their token count, but in the
+ * time that one took, an engine wrote at most one token in each step.
  */
 export function createExpectedRuns(): ExpectedRuns {
   const written = createRequestSizes();
@@ -121,7 +124,7 @@
   return described?.kind === 'modelEngine' ? described.profile : undefined;
 }
 
-/** A number that a caller names; undefined if it is none. */
+/** A count from the caller's header; undefined if it isn't a valid one. */
 function countOf(named: number | undefined): number | undefined {
   return named !== undefined && Number.isFinite(named) && named >= 0
     ? named
--- a/packages/fleet/src/entry/fleet_metrics.ts
+++ b/packages/fleet/src/entry/fleet_metrics.ts
@@ -1,21 +1,21 @@
 import type {ColdTarget, EvacuatedZone} from '@hibiscusbeam/core';
 import {Counter, Gauge, Histogram, Registry} from 'prom-client';
 
-/** Upper bounds of the duration histogram, in milliseconds. */
+/** Upper bounds of the request duration histogram. */
 const DURATION_BUCKETS_MS = [25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400];
 
-/** Upper bounds of the histogram of readings' ages, in milliseconds. */
+/** Upper bounds of the histogram of reading ages. */
 const READING_AGE_BUCKETS_MS = [
   250, 500, 1_000, 1_500, 2_000, 2_500, 3_000, 4_000, 5_000,
 ];
 
-/** Upper bounds of the histogram of the loop's delays, in milliseconds. */
+/** Upper bounds of the histogram of event loop delays. */
 const LOOP_DELAY_BUCKETS_MS = [5, 20, 50, 100, 200, 500, 1_000, 2_000];
 
-/** Upper bounds of the histogram of waits for a place, in milliseconds. */
+/** Upper bounds of the histogram of waits for a slot. */
 const SLOT_WAIT_BUCKETS_MS = [1, 10, 25, 50, 100, 200, 400, 800, 1_600];
 
-/** What became of a request that asked for a place. */
+/** Outcome of a request that needed a slot. */
 export interface CountedAdmission {
   readonly service: string;
   readonly priority: number;
@@ -24,54 +24,56 @@
   readonly reason: string;
 }
 
-/** Upper bounds of the histogram of forecasts' errors, in milliseconds. */
+/** Upper bounds of the histogram of forecast errors. */
 const FORECAST_ERROR_BUCKETS_MS = [
   -200, -100, -50, -20, 0, 20, 50, 100, 200, 400, 800,
 ];
 
-/** Tables of the store whose readings requests are decided by. */
+/** Tables of the store whose readings decide about requests. */
 export type ReadTable = 'configuration' | 'targets';
 
-/** Counters and histograms of a process. */
+/** Metrics of a process. */
 export interface FleetMetrics {
   readonly countRequest: (route: string, result: string) => void;
   readonly observeDuration: (route: string, milliseconds: number) => void;
-  /** Notes how old the reading is that a request is decided by. */
+  /** Records the age of the reading that a request is decided by. */
   readonly observeReadingAge: (table: ReadTable, milliseconds: number) => void;
-  /** Counts a send whose connection ended before the target's answer did. */
+  /**
+   * Counts an attempt whose connection ended before the target's answer did.
+   */
   readonly countLostAttempt: (route: string) => void;
-  /** Counts a silence of a target that has a request. */
+  /** Counts a silence of a target that runs a request. */
   readonly countSilence: (route: string) => void;
-  /** Notes how late a periodic timer of this process ran. */
+  /** Records how late a periodic timer of this process ran. */
   readonly observeLoopDelay: (milliseconds: number) => void;
-  /** Notes how much later than forecast a first event came. */
+  /** Records how much later than forecast a first event arrived. */
   readonly observeForecastError: (
     service: string,
     milliseconds: number,
   ) => void;
-  /** Counts an answer in which a target named a limit of its own. */
+  /** Counts an answer in which a target set a rate limit. */
   readonly countLimitedAnswer: (service: string) => void;
-  /** Counts an answer in which a target said that it leaves. */
+  /** Counts an answer in which a target reported that it is leaving. */
   readonly countLeavingAnswer: (service: string) => void;
-  /** Counts an answer in which a target asked to back off. */
+  /** Counts an answer in which a target requested a backoff. */
   readonly countBackoffAnswer: (service: string) => void;
-  /** Replaces the zones that are evacuated. */
+  /** Replaces the set of evacuated zones. */
   readonly setEvacuatedZones: (zones: readonly EvacuatedZone[]) => void;
-  /** Replaces the targets that are cold. */
+  /** Replaces the set of cold targets. */
   readonly setColdTargets: (targets: readonly ColdTarget[]) => void;
-  /** Counts a decision of admission by level, or a wait for a place. */
+  /** Counts a decision of admission by level, or a wait for a slot. */
   readonly countAdmission: (admission: CountedAdmission) => void;
-  /** Notes the share of a priority that is admitted. */
+  /** Sets the admitted share of a priority. */
   readonly setAdmissionShare: (
     service: string,
     priority: number,
     share: number,
   ) => void;
-  /** Notes how long an admitted request has waited for a place. */
+  /** Records how long an admitted request has waited for a slot. */
   readonly observeSlotWait: (service: string, milliseconds: number) => void;
-  /** Counts a caller or target that was dropped since it read too slowly. */
+  /** Counts a caller or target that was dropped because it read too slowly. */
   readonly countDroppedReader: (kind: string) => void;
-  /** All of them as text. */
+  /** All metrics in the text format of Prometheus. */
   readonly text: () => Promise<string>;
   readonly contentType: string;
 }
--- a/packages/fleet/src/entry/header_recorder.ts
+++ b/packages/fleet/src/entry/header_recorder.ts
@@ -8,15 +8,15 @@
 import type {FleetMetrics} from './fleet_metrics';
 import type {RateLimitMonitor} from './rate_limit_monitor';
 
-/** The header of an answer, and the request that it answers. */
+/** The header of an answer, with the attempt that it belongs to. */
 export interface ReceivedHeader {
   readonly target: ListedTarget;
   readonly header: AnswerHeader;
-  /** When the request was sent. */
+  /** When the attempt was sent. */
   readonly sentAt: MonotonicInstant;
 }
 
-/** What taking targets' statements needs. */
+/** Dependencies of the header recorder. */
 export interface HeaderRecorderOptions {
   readonly registry: Pick<TargetRegistry, 'recordLeaving' | 'recordBackoff'>;
   readonly clock: Clock;
@@ -25,13 +25,16 @@
   readonly metrics: FleetMetrics;
 }
 
-/** Takes what targets say of themselves in the headers of their answers. */
+/**
+ * Records what targets report about themselves in the headers of their answers:
+ * rate limits, leaving and backoff.
+ */
 export interface HeaderRecorder {
-  /** Returns what the header says, for the story of its request. */
+  /** Returns the recorded facts, for the trace of the request. */
   readonly record: (answer: ReceivedHeader) => readonly string[];
 }
 
-/** Creates the taker of statements. */
+/** Creates the recorder. */
 export function createHeaderRecorder(
   options: HeaderRecorderOptions,
 ): HeaderRecorder {
@@ -39,12 +42,12 @@
 
   function recordLimit({target, header, sentAt}: ReceivedHeader): string[] {
     const {rateLimit, sealed} = header;
-    // A refusal need not name the limit that is still in force.
+    // A refusal need not repeat the limit that is still in force.
     if (rateLimit === undefined && !sealed) return [];
     limitMonitor.recordAnswer(target, rateLimit, sentAt);
     if (rateLimit === undefined) return [];
     metrics.countLimitedAnswer(target.service);
-    return [`names a limit of ${rateLimit} a second`];
+    return [`sets a limit of ${rateLimit} a second`];
   }
 
   function recordLeaving({target, header}: ReceivedHeader): string[] {
@@ -52,9 +55,9 @@
     metrics.countLeavingAnswer(target.service);
     if (registry.recordLeaving(target)) {
       const {instance, service} = target;
-      log.info('target says that it leaves', {instance, service});
+      log.info('target reports that it is leaving', {instance, service});
     }
-    return ['says that it leaves'];
+    return ['reports that it is leaving'];
   }
 
   function recordBackoff({target, header}: ReceivedHeader): string[] {
@@ -63,13 +66,13 @@
     metrics.countBackoffAnswer(target.service);
     registry.recordBackoff(target, clock() + backoff);
     const {instance, service} = target;
-    log.info('target asks to back off', {instance, service, backoff});
-    return [`asks to back off for ${Math.round(backoff)} ms`];
+    log.info('target requests a backoff', {instance, service, backoff});
+    return [`requests a backoff of ${Math.round(backoff)} ms`];
   }
 
   return {
     record: answer => {
-      // Another target, or another life of it, has answered.
+      // Another target, or another incarnation of this one, has answered.
       if (answer.header.misdirected) return [];
       return [
         ...recordLimit(answer),
--- a/packages/fleet/src/entry/held_configuration.ts
+++ b/packages/fleet/src/entry/held_configuration.ts
@@ -10,34 +10,40 @@
 import {servicesDigest} from '../link/services_digest';
 import type {OperatorFeed, OperatorReading, Revision} from '../ports';
 
-/** Conflicts named in one line of the log. */
+/** Conflicts that are listed in one log line. */
 const MAX_LOGGED_CONFLICTS = 10;
 
-/** The configuration that an entry goes by. */
+/** The configuration that an entry uses. */
 export interface HeldConfiguration {
-  /** The newest configuration; undefined until one was read. */
+  /** Routes of the newest configuration; undefined until one was read. */
   readonly table: () => RouteTable | undefined;
-  /** Digest of the configured services; of none before the first. */
+  /**
+   * Digest of the configured services; of an empty list before the first
+   * configuration.
+   */
   readonly servicesDigest: () => number;
-  /** Revision of the newest one; 0 if there is none, or it can't be read. */
+  /**
+   * Revision of the newest configuration; 0 if there is none or it is
+   * unreadable.
+   */
   readonly revision: () => Revision;
-  /** Whether a newer one was written that can't be read. */
+  /** Whether a newer configuration exists that can't be read. */
   readonly isNewestUnreadable: () => boolean;
   readonly takeReading: (reading: OperatorReading) => void;
-  /** Takes what another entry has read, if it is newer. */
+  /** Adopts the copy that another entry has read, if it is newer. */
   readonly takeCopy: (copy: ConfigurationCopy) => void;
 }
 
-/** What holding a configuration needs. */
+/** Dependencies of the held configuration. */
 export interface HeldConfigurationOptions {
   readonly copies: ConfigurationCopies;
   readonly decode: OperatorFeed['decode'];
   readonly log: Log;
-  /** Told when a newer one is held. */
+  /** Called when a newer configuration has been adopted. */
   readonly onAdopted: () => void;
 }
 
-/** Creates the holder; it goes by the newest configuration only. */
+/** Creates the holder; it only uses the newest configuration. */
 export function createHeldConfiguration(
   options: HeldConfigurationOptions,
 ): HeldConfiguration {
@@ -51,8 +57,8 @@
     if (isConfigurationLost) isNewestUnreadable = true;
     if (configuration === undefined) return;
     if (!isConfigurationLost) isNewestUnreadable = false;
-    // A store that was restored may have lost the one in force; entries that
-    // have started since must not go by the older one.
+    // A restored store may have lost the configuration in force; entries that
+    // have started since must not use the older one.
     if (isOlder(configuration)) copies.addUnchanged(reading.revision);
     else if (document !== undefined) copies.add(document);
     adopt(configuration);
@@ -62,15 +68,17 @@
     if (copy.revision <= copies.newestRevision()) return;
     const document = copies.read(copy);
     if (document.err) {
-      // The table's newest row is known to be newer than what is held here, so
-      // it is read from the store.
-      log.warn('copy of a configuration not read', {error: document.val});
+      // The copy announces a newer row than the one held here, so the row is
+      // read from the store.
+      log.warn('failed to read a copy of a configuration', {
+        error: document.val,
+      });
       return;
     }
     const configuration = options.decode(document.val);
     isNewestUnreadable = configuration.err;
     if (configuration.err) {
-      log.warn('configuration not usable', {error: configuration.val});
+      log.warn('configuration is unusable', {error: configuration.val});
       return;
     }
     copies.add(document.val);
@@ -82,8 +90,8 @@
   }
 
   function adopt(configuration: RoutingConfiguration): void {
-    // Failure: an answer that was held up brings an older configuration, and a
-    // request is handled by a route that was dropped. Versions only grow here.
+    // A delayed answer may contain an older configuration, and requests would
+    // be handled by routes that were removed. Versions only increase here.
     if (configuration.version <= (table?.version ?? -Infinity)) return;
     table = createRouteTable(configuration);
     digest = servicesDigest(configuration.services);
--- a/packages/fleet/src/entry/held_readings.ts
+++ b/packages/fleet/src/entry/held_readings.ts
@@ -8,29 +8,42 @@
 } from '@hibiscusbeam/core';
 import type {Clock} from '@hibiscusbeam/daemon';
 
-/** Share of the bound of configurations that may pass; the rest is for clocks. */
+/**
+ * Share of the configuration bound that a reading may be old; the rest covers
+ * clocks that run apart.
+ */
 const MAX_CONFIGURATION_AGE_SHARE = 0.95;
 
 /**
- * Share of the bound of evacuations that may pass; the rest is a request's way.
+ * Share of the evacuation bound that a reading may be old; the rest covers the
+ * request's way to the target.
  */
 const MAX_EVACUATIONS_AGE_SHARE = 0.9;
 
-/** Bound of evacuations where the settings name none. */
+/** Evacuation bound if the settings contain none. */
 export const DEFAULT_EVACUATION_BOUND: Milliseconds = 5_000;
 
-/** Share of the draining bound that may pass; the rest is a request's way. */
+/**
+ * Share of the draining bound that a reading may be old; the rest covers the
+ * request's way to the target.
+ */
 const MAX_TARGETS_AGE_SHARE = 0.9;
 
-/** What judging the held readings needs. */
+/** Dependencies of the held readings. */
 export interface HeldReadingsOptions {
   readonly confirmation: Confirmation;
-  /** When the list of targets was surely as it is held. */
+  /**
+   * Latest time at which the list of targets is known to have been as it is
+   * held.
+   */
   readonly listedAt: () => MonotonicInstant | undefined;
-  /** When the evacuations were surely as they are held. */
+  /**
+   * Latest time at which the evacuations are known to have been as they are
+   * held.
+   */
   readonly evacuationsReadAt: () => MonotonicInstant | undefined;
   readonly storeContact: StoreAvailability;
-  /** Counts suspensions of the machine. */
+  /** Clock that also counts while the machine is suspended. */
   readonly machineClock: Clock;
   readonly bounds: {
     readonly configuration: Milliseconds;
@@ -39,14 +52,14 @@
   };
 }
 
-/** What the held readings of the store are good for now. */
+/** Whether the data read from the store may still be used. */
 export interface HeldReadings {
   readonly configuration: () => ReadingUse;
   readonly targets: () => ReadingUse;
   readonly evacuations: () => ReadingUse;
 }
 
-/** Creates the judge of what an entry holds. */
+/** Creates the evaluation of the readings that an entry holds. */
 export function createHeldReadings(options: HeldReadingsOptions): HeldReadings {
   const {confirmation, storeContact, machineClock, bounds} = options;
 
--- a/packages/fleet/src/entry/idle_connections.ts
+++ b/packages/fleet/src/entry/idle_connections.ts
@@ -3,29 +3,34 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Socket} from 'node:net';
 
-/** Time beyond the idle time for a request that is on its way. */
+/** Time beyond the idle timeout for a request that is already on its way. */
 const IN_TRANSIT_MARGIN: Milliseconds = 1_000;
 
-/** Callers' connections on which no request is in progress. */
+/** Tracks callers' connections that have no request in progress. */
 export interface IdleConnections {
-  /** Notes a request, and when it will have been answered. */
+  /**
+   * Records a request; its connection counts as idle once the answer is
+   * written.
+   */
   readonly recordRequest: (
     request: IncomingMessage,
     response: ServerResponse,
   ) => void;
-  /** Closes a connection whose timer ran out, unless it is to be kept. */
+  /**
+   * Handles a socket timeout: closes the connection unless it must stay open.
+   */
   readonly handleTimeout: (socket: Socket) => void;
 }
 
 interface IdleSince {
   readonly at: MonotonicInstant;
-  /** The idle time that the caller's last answer named. */
+  /** Idle timeout that was announced with the last answer. */
   readonly announcedTimeout: Milliseconds;
 }
 
 /**
- * Creates the closing of idle connections; `idleTimeout` gives the time in force.
- * Callers may go by it or by the one announced to them, so the longer one counts.
+ * Creates the tracker; `idleTimeout` returns the timeout in force. Callers may
+ * rely on it or on the one announced to them, so the longer one counts.
  */
 export function createIdleConnections(
   idleTimeout: () => Milliseconds,
@@ -37,7 +42,10 @@
     return at + Math.max(announcedTimeout, idleTimeout()) + IN_TRANSIT_MARGIN;
   }
 
-  /** Timers run before sockets are read: a request may lie in the socket. */
+  /**
+   * Timers run before sockets are read, so a request may still wait in the
+   * socket.
+   */
   function closeAfterReading(socket: Socket, since: IdleSince): void {
     const {bytesRead} = socket;
     setImmediate(() => {
@@ -52,7 +60,7 @@
       const timeoutAtRequest = idleTimeout();
       idle.delete(socket);
       response.once('finish', () => {
-        // Node names the idle time in force when the answer begins.
+        // Node.js announces the idle timeout in force when the answer begins.
         const announcedTimeout = Math.max(timeoutAtRequest, idleTimeout());
         idle.set(socket, {at: clock(), announcedTimeout});
       });
--- a/packages/fleet/src/entry/local_answers.ts
+++ b/packages/fleet/src/entry/local_answers.ts
@@ -5,20 +5,26 @@
 } from '@hibiscusbeam/core';
 import type {ServerResponse} from 'node:http';
 
-/** An answer that the entry gives itself. */
+/** An answer that the entry itself gives, without a target. */
 export interface LocalAnswer {
   readonly status: 400 | 401 | 404 | 413 | 502 | 503 | 504;
   readonly reason: string;
-  /** When to come back; only with answers that say "not run". */
+  /**
+   * When to retry; only with answers that guarantee that the request did not
+   * run.
+   */
   readonly retryAfter?: Milliseconds;
 }
 
-/** Pause named to callers whose request no target took, in milliseconds. */
+/** Retry-After for callers whose request no target accepted. */
 const DEFAULT_RETRY_AFTER: Milliseconds = 250;
 
 const MS_PER_SECOND = 1_000;
 
-/** The entry's own answer for a result, if it calls for one. */
+/**
+ * Returns the local answer for a result, or undefined if there is nothing left
+ * to answer.
+ */
 export function localAnswerFor(result: ForwardResult): LocalAnswer | undefined {
   switch (result.kind) {
     case 'passOn':
@@ -39,7 +45,7 @@
   }
 }
 
-/** An answer that says that the request has not run and will not. */
+/** An answer that guarantees that the request has not run and will not run. */
 export function notRun(
   reason: string,
   retryAfter: Milliseconds | undefined,
@@ -47,7 +53,7 @@
   return {status: 503, reason, retryAfter: retryAfter ?? DEFAULT_RETRY_AFTER};
 }
 
-/** Writes an answer of our own. */
+/** Writes a local answer. */
 export function writeLocalAnswer(
   response: ServerResponse,
   answer: LocalAnswer,
--- a/packages/fleet/src/entry/operator_follower.ts
+++ b/packages/fleet/src/entry/operator_follower.ts
@@ -30,84 +30,90 @@
 import {createHeldConfiguration} from './held_configuration';
 
 /**
- * How long one question waits for a change, as a share of the bound in which a
- * configuration must be in force. Each question costs a call; the followers of a
- * relay know by each answer that nothing was written.
+ * How long one query waits for a change, as a share of the bound within which a
+ * configuration must be in force. Each query costs a call; each answer shows
+ * the followers of a relay that nothing was written.
  */
 const QUERY_WAIT_SHARE = 0.2;
 
 /**
- * Time beyond its wait after which a question is asked once more beside the one
- * without an answer, as a share of the same bound.
+ * Delay beyond its wait after which a query is hedged by a second one, as a
+ * share of the same bound.
  *
- * Failure: 40 entries start at once, the store is slow, and an answer is lost. The
- * next question comes 1.4 s after the last answer and waits for news for 0.4 s: at
- * 100 ms to the store, a configuration is outdated at 1.9 s of its bound of 2 s.
- * Guard: the second question, and each one after a failure, waits for nothing.
+ * When 40 entries start at once, the store is slow and an answer may be lost.
+ * The next query would come 1.4 s after the last answer and wait for changes
+ * for 0.4 s: at 100 ms to the store, a configuration would be outdated at 1.9 s
+ * of its bound of 2 s. So the hedge, and each query after a failure, waits for
+ * nothing.
  */
 const HEDGE_DELAY_SHARE = 0.2;
 
 /**
- * Age of the last confirmation, as a share of the same bound, after which an entry
- * with a relay asks the store itself: twice the reader's waits.
+ * Age of the last confirmation, as a share of the same bound, after which an
+ * entry with a relay queries the store itself: twice the wait of the reader.
  *
- * Failure: an answer to the relay is lost, and none of its zone hears of a new
- * configuration until the relay has given the question up. Asked after 2.6 s, the
- * store told a follower of it 0.6 s after its bound of 2 s. Guard: half of the
- * bound is left for the own question.
+ * If an answer to the relay is lost, its whole zone misses a new configuration
+ * until the relay gives the query up. With queries after 2.6 s, a follower
+ * received a configuration 0.6 s after its bound of 2 s. This share leaves half
+ * of the bound for the entry's own query.
  */
 const MAX_CONFIRMATION_AGE_SHARE = 0.4;
 
 /**
- * The same for a relay to which another zone's relay tells the table: sooner, so
- * that its followers hear of its own reading before each of them asks.
+ * The same for a relay that gets the table from another zone's relay: sooner,
+ * so that its followers receive its own reading before each of them queries the
+ * store.
  */
 const MAX_RELAY_CONFIRMATION_AGE_SHARE = 0.3;
 
 /**
- * Shortest time between two readings that bring a configuration, as a share of the
- * same bound. Changes that come more often are read together: to read, pass on and
- * adopt one of 1,650 routes takes some 30 ms of a core, and it must be in force in
- * the bound only.
+ * Minimum time between two readings that contain a configuration, as a share of
+ * the same bound. More frequent changes are read together: reading, relaying
+ * and adopting a configuration of 1,650 routes takes some 30 ms of a core, and
+ * it only has to be in force within the bound.
  */
 const MIN_READ_INTERVAL_SHARE = 0.06;
 
 /**
- * Times of that after which an entry with a relay asks again once a question has
- * shown that the store is away. Its relay asks meanwhile, and tells of its readings
- * once the store is back.
+ * Factor by which an entry with a relay waits longer once a query has shown
+ * that the store is unavailable. Its relay keeps querying, and relays its
+ * readings once the store is back.
  *
- * Failure: the store is away for 8 s, and each of 43 entries asks it for the table
- * twice a second.
+ * Otherwise, while the store is unavailable for 8 s, each of 43 entries queries
+ * it for the table twice a second.
  */
 const STORE_UNAVAILABLE_FACTOR = 2;
 
-/** Share of that which is added, by entry, so that not all ask at once. */
+/**
+ * Share of the delay that is added, by entry, so that not all query at the same
+ * time.
+ */
 const QUERY_SPREAD_SHARE = 0.1;
 
-/** Looks within the bound at whether the store has to be asked. */
+/** Checks within the bound for whether the store must be queried. */
 const CHECKS_IN_BOUND = 20;
 
 /**
- * Period in which an entry with a relay asks the store all the same: by the
- * answers it knows what the store's clock, as its relay tells it, means here.
+ * Interval at which an entry with a relay still queries the store: its answers
+ * relate the store's clock, which relayed readings refer to, to the local one.
  */
 const OWN_QUERY_PERIOD: Milliseconds = 20_000;
 
-/** Time beyond the wait after which a question counts as lost. */
+/** Time beyond the wait after which a query counts as lost. */
 const ANSWER_SLACK: Milliseconds = 800;
 
 /**
- * Time after which a version's naming is recorded by whoever still reads the
- * table for the site: after a start it takes that long to find a relay.
+ * Delay before a version's naming is recorded, by the entry that then still
+ * reads the table for the site: after a start it takes that long to find a
+ * relay.
  */
 const NAMING_RECORD_DELAY: Milliseconds = 500;
 
-/** Pauses after failed questions, from the first to the longest. */
+/** Pauses after failed queries, from the first to the longest. */
 const MIN_RETRY_PAUSE: Milliseconds = 100;
 const MAX_RETRY_PAUSE: Milliseconds = 500;
 
-/** Who reads the operator's table for an entry. */
+/** Where an entry gets the operator's table from. */
 export type TableSource =
   /** The entry itself. */
   | 'store'
@@ -116,43 +122,53 @@
   /** The relay of the own zone. */
   | 'zoneRelay';
 
-/** The operator's table at a reading, without its rows. */
+/** Metadata of a reading of the operator's table, without its rows. */
 export interface OperatorMoment {
   /** The store's revision. */
   readonly revision: Revision;
   /** Revision of the table's newest row. */
   readonly newestChange: Revision;
-  /** The store's own steady clock. */
+  /** The store's own monotonic clock. */
   readonly storeTime: Milliseconds;
-  /** Of the newest configuration; 0 if there is none, or it can't be read. */
+  /**
+   * Revision of the newest configuration; 0 if there is none or it is
+   * unreadable.
+   */
   readonly configurationRevision: Revision;
-  /** Zones whose targets are to get nothing; all of them. */
+  /** All zones whose targets must not be sent requests. */
   readonly evacuatedZones: readonly EvacuatedZone[];
 }
 
-/** What the operator wants, as far as this process knows. */
+/**
+ * The operator's configuration and evacuations, as far as this process knows
+ * them.
+ */
 export interface OperatorFollower {
   readonly start: (signal: AbortSignal) => void;
   /**
-   * Takes a reading of a relay, with the configuration if it was not told before.
-   * Versions that the relay knows are named before.
+   * Applies a reading of a relay, with the configuration if it wasn't sent
+   * before. Versions that the relay knows must have been named before.
    */
   readonly receive: (
     moment: OperatorMoment,
     configuration?: ConfigurationCopy,
   ) => void;
-  /** The newest configuration; undefined until one was read. */
+  /** Routes of the newest configuration; undefined until one was read. */
   readonly table: () => RouteTable | undefined;
-  /** Digest of the configured services; of none before the first. */
+  /**
+   * Digest of the configured services; of an empty list before the first
+   * configuration.
+   */
   readonly servicesDigest: () => number;
   /**
-   * The latest moment at which the evacuations were surely as they are held, also
-   * while the newest configuration can't be read; undefined before a reading.
+   * Latest time at which the evacuations are known to have been as they are
+   * held, even while the newest configuration is unreadable; undefined before a
+   * reading.
    */
   readonly evacuationsReadAt: () => MonotonicInstant | undefined;
 }
 
-/** What a follower needs. */
+/** Dependencies of the operator follower. */
 export interface OperatorFollowerOptions {
   readonly feed: OperatorFeed;
   readonly clock: Clock;
@@ -167,22 +183,24 @@
   /** Time from a configuration's writing until it must be in force. */
   readonly bound: Milliseconds;
   readonly source: () => TableSource;
-  /** Told of each reading, own or heard, that is newer than those before. */
+  /**
+   * Called for each reading, own or relayed, that is newer than those before.
+   */
   readonly onReading: (moment: OperatorMoment) => void;
   /** Number in [0, 1) that differs by entry. */
   readonly spread: number;
-  /** Told of a version that is new, and of other services. */
+  /** Called when a version is new, or the services have changed. */
   readonly onVersionsOrServices: () => void;
-  /** Told when a newer configuration is held. */
+  /** Called when a newer configuration has been adopted. */
   readonly onConfiguration: () => void;
 }
 
-/** A reading, and when its question was asked. */
+/** A reading, and when its query was sent. */
 interface TimedReading extends OperatorReading {
   readonly askedAt: MonotonicInstant;
 }
 
-/** Creates the follower of the operator's writing. */
+/** Creates the follower of the operator's table. */
 export function createOperatorFollower(
   options: OperatorFollowerOptions,
 ): OperatorFollower {
@@ -201,9 +219,9 @@
   let adoptedAt: MonotonicInstant = -Infinity;
   let newestChange: Revision = 0;
   let relayedChange: Revision = 0;
-  /** Up to here the table is known. */
+  /** Revision up to which the table is known. */
   let knownUntil: Revision = 0;
-  /** By the last own question. */
+  /** According to the last own query. */
   let isStoreAway = false;
   let wake = (): void => undefined;
 
@@ -214,14 +232,15 @@
     const answeredAt = clock();
     const before = held.servicesDigest();
     let hasUpdate = false;
-    // Before the configuration, so that no request goes by it without them.
+    // Applied before the configuration, so that no request uses it without the
+    // evacuations.
     evacuations.take(reading, scope);
     held.takeReading(reading);
     for (const {model, version, namedAt} of reading.namedVersions) {
-      // An answer may be late, and a version's bound counts from its naming.
+      // An answer may be late, while a version's bound counts from its naming.
       const storeTime = namedAt ?? reading.storeTime;
-      const lookedAt = options.storeClock.localTimeLowerBound(storeTime);
-      const knownSince = Math.min(answeredAt, lookedAt ?? answeredAt);
+      const readAt = options.storeClock.localTimeLowerBound(storeTime);
+      const knownSince = Math.min(answeredAt, readAt ?? answeredAt);
       const isNew = options.versions.name(model, version, knownSince);
       if (isNew) log.info('version named', {model, version, namedAt});
       if (isNew && namedAt === undefined) {
@@ -234,9 +253,9 @@
     }
     const {storeTime} = reading;
     evacuationConfirmation.record({askedAt, answeredAt, storeTime});
-    // Failure: the newest configuration can't be read and takes a key away,
-    // and the one before it counts as confirmed: the key is served for good.
-    // Guard: nothing is confirmed until a newer one can be read.
+    // While the newest configuration is unreadable, nothing is confirmed until
+    // a newer one can be read. It may revoke a key, which would be accepted
+    // forever if the configuration before it counted as confirmed.
     if (!held.isNewestUnreadable()) {
       confirmation.record({askedAt, answeredAt, storeTime});
     }
@@ -252,16 +271,20 @@
   }
 
   /**
-   * Failure: all processes of a site start anew, and each counts a version's bound
-   * from its own first look: engines get requests for the older version for
-   * seconds after it. Guard: the entry that reads the operator's table for the
-   * site records when it first read the name.
+   * Records when a version's name was first read, by the entry that reads the
+   * operator's table for the site. Otherwise, after a restart of all processes
+   * of a site, each counts the version's bound from its own first reading, and
+   * engines get requests for the older version for seconds after the bound.
    */
   function recordNamingSoon(named: NamedVersion): void {
     setTimeout(() => {
       if (options.source() !== 'store') return;
       void feed.recordNaming(named, ANSWER_SLACK).then(reply => {
-        if (reply.err) log.warn('naming not recorded', {error: reply.val});
+        if (reply.err) {
+          log.warn('failed to record a naming', {
+            error: reply.val,
+          });
+        }
       });
     }, NAMING_RECORD_DELAY);
   }
@@ -273,11 +296,12 @@
   }
 
   /**
-   * Failure: an entry takes its relay's word for a configuration that it does not
-   * hold, and serves a key that was taken away as confirmed. Guard: a moment
-   * confirms what is held here only if the table's newest row is not newer than
-   * what is known here, or the table's configuration is the one that is held; and
-   * by the store's clock, not by its arrival.
+   * Applies a reading of a relay. It only confirms what is held here if the
+   * table's newest row isn't newer than what is known here, or if the table's
+   * configuration is the one that is held; and its age is taken from the
+   * store's clock, not from its arrival. Otherwise an entry would take its
+   * relay's word for a configuration that it doesn't hold, and accept a revoked
+   * key as confirmed.
    */
   function receive(moment: OperatorMoment, copy?: ConfigurationCopy): void {
     relayedChange = Math.max(relayedChange, moment.newestChange);
@@ -333,7 +357,10 @@
     return bound * share * (1 + QUERY_SPREAD_SHARE * options.spread);
   }
 
-  /** A configuration that can't be read is never confirmed, however often asked. */
+  /**
+   * An unreadable configuration is never confirmed, however often the store is
+   * queried.
+   */
   function sinceAnswer(): Milliseconds {
     return held.isNewestUnreadable() ? clock() - askedAt : confirmationAge();
   }
@@ -349,14 +376,17 @@
     });
   }
 
-  /** Who answers for the zone waits for news; others want to know at once. */
+  /**
+   * The entry that reads for the zone waits for changes; others need an answer
+   * at once.
+   */
   function waitForChange(): Milliseconds {
     if (options.source() !== 'store' || isRenewalDue()) return 0;
-    // The store answers at once if the wait is no whole number.
+    // The store doesn't wait if the time isn't a whole number.
     return Math.floor(bound * QUERY_WAIT_SHARE);
   }
 
-  /** Whether the last answer is too old for a question that waits for news. */
+  /** Whether the last answer is too old for a query that waits for changes. */
   function isRenewalDue(): boolean {
     return (
       !held.isNewestUnreadable() && confirmationAge() > bound * QUERY_WAIT_SHARE
@@ -375,7 +405,7 @@
       first: query(wait),
       hedge: query(0),
       hedgeDelay: wait + bound * HEDGE_DELAY_SHARE,
-      // What is held counts in any case while the store is away.
+      // While the store is unavailable, what is held counts in any case.
       isHedgeWanted: () =>
         !options.storeContact.isUnavailableSince(
           confirmation.confirmedAt() ?? -Infinity,
@@ -388,7 +418,7 @@
     if (left > 0) await sleep(left, signal);
   }
 
-  /** Notes when a question is asked, which is when the store looks or later. */
+  /** Records when a query is sent: the store reads at that time or later. */
   async function sendQuery(
     query: () => Promise<Result<OperatorReading, HostError>>,
   ): Promise<Result<TimedReading, HostError>> {
--- a/packages/fleet/src/entry/quarantine_store.ts
+++ b/packages/fleet/src/entry/quarantine_store.ts
@@ -8,41 +8,41 @@
 import {runFeedLoop, type ReadingScope} from '../link/feed_loop';
 import type {QuarantineReading, QuarantineTable} from '../ports';
 
-/** How long one question waits for a change; each question costs a call. */
+/** How long one query waits for a change; each query costs a call. */
 const LONG_POLL_WAIT: Milliseconds = 25_000;
 
-/** Time beyond the wait after which a question counts as lost. */
+/** Time beyond the wait after which a query counts as lost. */
 const ANSWER_SLACK: Milliseconds = 1_000;
 
-/** Pause after a write without an answer. */
+/** Pause after a failed write. */
 const WRITE_RETRY_PAUSE: Milliseconds = 400;
 
-/** Longest time for one write. */
+/** Timeout of one write. */
 const WRITE_TIMEOUT: Milliseconds = 800;
 
-/** Rows that the table holds at most, so that it can be read at a start. */
+/** Maximum number of rows in the table, so that it can be read at startup. */
 const MAX_ROWS = 1_000;
 
-/** What keeping the quarantine in the store needs. */
+/** Dependencies of the quarantine store. */
 export interface QuarantineStoreOptions {
   readonly table: QuarantineTable;
   readonly quarantine: Quarantine;
-  /** Told when the store has come back from a copy. */
+  /** Called when the store was restored from a copy. */
   readonly onRestore: () => void;
   readonly failurePause: FailurePause;
   readonly log: Log;
 }
 
-/** Keeps quarantined requests in the store, for entries that start anew. */
+/** Persists quarantined requests in the store, for entries that restart. */
 export interface QuarantineStore {
   readonly start: (signal: AbortSignal) => void;
-  /** Whether what is stored has been read at all. */
+  /** Whether the stored rows have been read at least once. */
   readonly isKnown: () => boolean;
-  /** Writes or removes a row, after this entry has seen a cause for it. */
+  /** Writes or removes a row, after this entry has changed the quarantine. */
   readonly update: (fingerprint: RequestFingerprint) => void;
 }
 
-/** Creates the keeping of one entry's quarantine. */
+/** Creates the store of one entry's quarantine. */
 export function createQuarantineStore(
   options: QuarantineStoreOptions,
 ): QuarantineStore {
@@ -94,7 +94,10 @@
     }
   }
 
-  /** Writes again what a restore has lost, and removes what it has brought back. */
+  /**
+   * Writes the rows again that a restore has lost, and removes those that it
+   * has brought back.
+   */
   function takeRestored({changes}: QuarantineReading): void {
     const listed = changes
       .filter(({isStored}) => isStored)
@@ -134,11 +137,11 @@
       return;
     }
     const {val: error} = written;
-    log.warn('quarantine not stored yet', {fingerprint, error});
+    log.warn('failed to store a quarantine change', {fingerprint, error});
     await sleep(WRITE_RETRY_PAUSE, stopped);
   }
 
-  /** Gives up the oldest row for a new one. */
+  /** Removes the oldest row to make room for a new one. */
   function makeRoom(): void {
     if (rows.size < MAX_ROWS) return;
     const [oldest] = rows;
--- a/packages/fleet/src/entry/quarantine_trials.ts
+++ b/packages/fleet/src/entry/quarantine_trials.ts
@@ -6,52 +6,56 @@
 import type {Clock, Log} from '@hibiscusbeam/daemon';
 import type {QuarantineTable} from '../ports';
 
-/** Time in which targets that were lost together are back. */
+/**
+ * Delay before a trial, in which targets that were lost together have
+ * recovered.
+ */
 const TRIAL_DELAY: Milliseconds = 10_000;
 
-/** Pause named to callers once the site's one trial is taken. */
+/** Retry-After once the site's only trial is taken. */
 const RETRY_AFTER_TRIAL: Milliseconds = 30_000;
 
-/** Longest wait for the store; the caller waits with it. */
+/** Timeout of store calls; the caller waits for them. */
 const CLAIM_TIMEOUT: Milliseconds = 300;
 
 /** Requests whose state is remembered. */
 const MAX_REMEMBERED = 2_000;
 
-/** What claiming trials needs. */
+/** Dependencies of the quarantine trials. */
 export interface QuarantineTrialsOptions {
   readonly table: QuarantineTable;
-  /** Names the life of this process. */
+  /** Identifies the incarnation of this process. */
   readonly holder: string;
   readonly clock: Clock;
   readonly log: Log;
 }
 
-/** The one trial that each quarantined request has on the site. */
+/** The single trial that each quarantined request has on the site. */
 export interface QuarantineTrials {
-  /** Claims the trial; whether this request may be sent once. */
+  /** Claims the trial; resolves to whether this request may be sent once. */
   readonly claim: (fingerprint: RequestFingerprint) => Promise<boolean>;
-  /** Gives a trial back that was not used. */
+  /** Releases a trial that was not used. */
   readonly release: (fingerprint: RequestFingerprint) => void;
-  /** When the caller of a refused request may come back. */
+  /** Retry-After for the caller of a refused request. */
   readonly retryAfter: (fingerprint: RequestFingerprint) => Milliseconds;
-  /** Claims anew what this entry holds, after a restore of the store. */
+  /** Claims the trials of this entry again, after the store was restored. */
   readonly reclaim: () => void;
-  /** Forgets a request that is released. */
+  /** Forgets a request that is no longer quarantined. */
   readonly forget: (fingerprint: RequestFingerprint) => void;
 }
 
 interface KnownTrial {
   readonly dueAt: MonotonicInstant;
   isTaken: boolean;
-  /** Whether this entry has taken it. */
+  /** Whether this entry holds the trial. */
   isOwn: boolean;
 }
 
 /**
- * Creates the claims of one entry. A request that shared its targets with an
- * outage would stay quarantined for good, since only a whole answer releases it;
- * the store's row sees to it that the whole site tries it once.
+ * Creates the trials of one entry. A request that was running when its targets
+ * failed for another reason would stay quarantined forever, since only a
+ * complete answer releases it. A row in the store ensures that the whole site
+ * tries it once.
  */
 export function createQuarantineTrials(
   options: QuarantineTrialsOptions,
@@ -84,8 +88,9 @@
       });
       return claimed.val;
     }
-    log.warn('trial not claimed', {fingerprint, error: claimed.val});
-    // Without an answer the row may have been written: then nobody tries it.
+    log.warn('failed to claim a trial', {fingerprint, error: claimed.val});
+    // Without an answer the row may have been written: then no entry tries the
+    // request.
     trial.isTaken = claimed.val.kind === 'noAnswer';
     return false;
   }
@@ -93,13 +98,16 @@
   async function reclaim(fingerprint: RequestFingerprint): Promise<void> {
     const claimed = await table.claimTrial(fingerprint, holder, CLAIM_TIMEOUT);
     if (claimed.ok) return;
-    log.warn('trial not claimed again', {fingerprint, error: claimed.val});
+    log.warn('failed to claim a trial again', {
+      fingerprint,
+      error: claimed.val,
+    });
   }
 
   async function release(fingerprint: RequestFingerprint): Promise<void> {
     const removed = await table.removeTrial(fingerprint, CLAIM_TIMEOUT);
     if (removed.ok) trials.delete(fingerprint);
-    else log.warn('trial not given back', {fingerprint, error: removed.val});
+    else log.warn('trial not released', {fingerprint, error: removed.val});
   }
 
   return {
--- a/packages/fleet/src/entry/rate_limit_monitor.ts
+++ b/packages/fleet/src/entry/rate_limit_monitor.ts
@@ -6,25 +6,25 @@
 } from '@hibiscusbeam/core';
 import type {Log} from '@hibiscusbeam/daemon';
 
-/** What the watch needs. */
+/** Dependencies of the rate limit monitor. */
 export interface RateLimitMonitorOptions {
   readonly limits: RateLimits;
   readonly log: Log;
-  /** Told when an answer seen here has changed a limit. */
+  /** Called when an answer to this entry has changed a limit. */
   readonly onChange: () => void;
 }
 
-/** Takes the limits that targets name in their answers. */
+/** Records the rate limits that targets set in their answers. */
 export interface RateLimitMonitor {
   readonly recordAnswer: (
     target: ListedTarget,
-    /** Undefined if the answer names no limit. */
+    /** Requests a second; undefined if the answer sets no limit. */
     rate: number | undefined,
     sentAt: MonotonicInstant,
   ) => void;
 }
 
-/** Creates the watch. */
+/** Creates the monitor; it logs each change of a limit. */
 export function createRateLimitMonitor(
   options: RateLimitMonitorOptions,
 ): RateLimitMonitor {
@@ -35,8 +35,8 @@
       if (!limits.recordAnswer({life, rate, sentAt})) return;
       const {instance, service} = target;
       if (rate === undefined) {
-        log.info('limit of a target is over', {instance, service});
-      } else log.info('target names a limit', {instance, service, rate});
+        log.info('target no longer sets a rate limit', {instance, service});
+      } else log.info('target sets a rate limit', {instance, service, rate});
       options.onChange();
     },
   };
--- a/packages/fleet/src/entry/relay_follower.ts
+++ b/packages/fleet/src/entry/relay_follower.ts
@@ -20,28 +20,36 @@
 import type {Revision} from '../ports';
 import type {OperatorMoment} from './operator_follower';
 
-/** Period in which all entries' states are passed on. */
+/** Interval at which the states of all entries are sent. */
 const STATES_PERIOD: Milliseconds = 1_000;
 
-/** How much sooner they go on with other news, for looks that come early. */
+/**
+ * How much earlier states may be sent with other updates, for checks that run
+ * early.
+ */
 const STATES_PERIOD_TOLERANCE: Milliseconds = 50;
 
-/** Looks after which news go out though there are none: a sign of life. */
+/** Checks without an update after which an empty one is sent as a keepalive. */
 const CHECKS_BETWEEN_KEEPALIVES = 3;
 
-/** Silence of a follower after which it counts as lost; two of its greetings. */
+/** Silence after which a follower counts as lost; two of its greetings. */
 const MAX_SILENCE: Milliseconds = 2_200;
 
-/** Time after which a configuration is sent again that a follower doesn't hold. */
+/**
+ * Time after which a configuration is sent again if the follower still doesn't
+ * hold it.
+ */
 const CONFIGURATION_RESEND_TIMEOUT: Milliseconds = 1_000;
 
-/** Change of the demand, as a share of what was told, that is told at once. */
+/**
+ * Change of the demand, as a share of what was last sent, that is sent at once.
+ */
 const MIN_DEMAND_CHANGE = 0.1;
 
-/** A stream of a follower's greetings, with news in the other direction. */
+/** A stream of a follower's greetings, with updates in the other direction. */
 export type FollowCall = ServerDuplexStream<FollowerGreeting, RelayNews>;
 
-/** The list of targets at a reading, to be passed on. */
+/** A reading of the list of targets, to be relayed. */
 export interface RelayedListing {
   readonly revision: Revision;
   readonly era: number;
@@ -49,53 +57,56 @@
   readonly targets: NumberedTargets;
 }
 
-/** Reports to be passed on, by where they are from and where they go. */
+/** Reports to be relayed, by source and destination. */
 export interface RelayedReports {
-  /** Of agents, for entries of the own zone. */
+  /** From agents, for entries of the own zone. */
   readonly fromAgents: readonly RelayedReport[];
-  /** Of other zones' relays, for entries of the own zone. */
+  /** From other zones' relays, for entries of the own zone. */
   readonly fromRelays: readonly RelayedReport[];
-  /** Of agents, for relays of other zones. */
+  /** From agents, for relays of other zones. */
   readonly forOtherZones: readonly RelayedReport[];
 }
 
-/** None at all. */
+/** No reports. */
 export const NO_REPORTS: RelayedReports = {
   fromAgents: [],
   fromRelays: [],
   forOtherZones: [],
 };
 
-/** What an entry knows and passes on. */
+/** Where updates for followers come from. */
 export interface UpdateSources {
   readonly states: () => readonly RelayedState[];
   readonly namings: () => VersionNaming[];
   readonly copies: ConfigurationCopies;
-  /** This entry's distance from the store if it reads the operator's table. */
+  /**
+   * Round trip time to the store if this entry reads the operator's table
+   * itself.
+   */
   readonly readingDistance: () => Milliseconds | undefined;
   readonly operator: () => OperatorMoment | undefined;
   readonly targets: () => RelayedListing | undefined;
   readonly records: SiteRecords;
-  /** What callers ask for by zone, the own one first. */
+  /** Demand of callers by zone, the own zone first. */
   readonly demands: () => readonly ZoneDemand[];
 }
 
 /** An entry that follows this one. */
 export interface RelayFollower {
-  /** Its name; empty before its first greeting. */
+  /** Its instance name; empty before its first greeting. */
   readonly instance: () => string;
   readonly greet: (greeting: FollowerGreeting, now: MonotonicInstant) => void;
   readonly isSilent: (now: MonotonicInstant) => boolean;
-  /** Counts a look; after some without news, a sign of life is due. */
+  /** Counts a check; after some without an update, a keepalive is due. */
   readonly check: () => void;
-  /** Lets the states be passed on with the next news. */
+  /** Includes the states in the next update. */
   readonly requestStates: () => void;
-  /** Writes what it does not know yet, unless its window is full. */
+  /** Sends what the follower doesn't know yet, unless its window is full. */
   readonly sendUpdate: (reports: RelayedReports, now: MonotonicInstant) => void;
   readonly end: () => void;
 }
 
-/** Creates a follower, which remembers what it was told on its stream. */
+/** Creates a follower, which remembers what was sent on its stream. */
 export function createRelayFollower(
   call: FollowCall,
   sources: UpdateSources,
@@ -108,15 +119,17 @@
   let greetedAt: MonotonicInstant = -Infinity;
   let checksSinceUpdate = 0;
   let statesSentAt: MonotonicInstant = -Infinity;
-  /** Store times of the newest readings of both tables that it was told. */
+  /** Slots in the demand that was last sent. */
   let sentDemand = 0;
+  /** Store times of the last sent readings of both tables. */
   let sentOperatorTime = -Infinity;
   let sentTargetsTime = -Infinity;
   let sentConfiguration: Revision = 0;
   let sentConfigurationAt: MonotonicInstant = -Infinity;
 
   function sendUpdate(relayed: RelayedReports, now: MonotonicInstant): void {
-    // Old news are of no use, so they don't queue behind a full window.
+    // Updates don't queue behind a full window, since they would be outdated
+    // when sent.
     if (greeting === undefined || call.writableLength > 0) return;
     const update = collectUpdate(
       greeting,
@@ -152,8 +165,8 @@
         reports.length > 0
           ? writeReports(reports, sentReports, now)
           : undefined,
-      // Whoever is told of a newer row is told of what it says in the same news:
-      // the versions that are named, and the configuration if it is another.
+      // A newer row is sent together with its contents: the named versions, and
+      // the configuration if it has changed.
       namings: areStatesDue || operator ? sources.namings() : [],
       operator,
       configuration: operator && takeConfiguration(now),
@@ -164,9 +177,9 @@
   }
 
   /**
-   * Failure: relays of two zones tell each other of the same reports for good.
-   * Guard: what a relay has passed on goes to entries of the own zone only, which
-   * are those that want the tables.
+   * Relayed reports only go to entries of the own zone, which are those that
+   * want the tables. Otherwise relays of two zones would forward the same
+   * reports to each other forever.
    */
   function wantedReports(
     {wantsReports, wantsTables}: FollowerGreeting,
@@ -176,7 +189,10 @@
     return wantsReports ? [...fromAgents, ...fromRelays] : fromRelays;
   }
 
-  /** Other relays add up their own zones themselves. */
+  /**
+   * Relays of other zones only get the own zone's demand, since they add up the
+   * zones themselves.
+   */
   function takeDemands(
     isOfZone: boolean,
     areDue: boolean,
--- a/packages/fleet/src/entry/relay_link.ts
+++ b/packages/fleet/src/entry/relay_link.ts
@@ -9,36 +9,39 @@
 import type {MemberDescription} from '../ports';
 import {createUpdateReader, type RelayUpdate} from './relay_updates';
 
-/** Looks in a row without news after which a relay counts as silent. */
+/** Checks in a row without an update after which a relay counts as silent. */
 const MAX_SILENT_CHECKS = 3;
 
 /**
- * The same before its first news: a process under way to its start, or a new
+ * Limit before the first update: a process that is starting, or a new
  * connection under load, takes up to two seconds.
  */
 const MAX_INITIAL_SILENT_CHECKS = 8;
 
-/** What following a relay needs. */
+/** Options of a link to a relay. */
 export interface RelayLinkOptions {
   readonly relay: MemberDescription;
   readonly clock: Clock;
   readonly channels: Channels<FleetEntryClient>;
   readonly greeting: () => FollowerGreeting;
   readonly onUpdate: (update: RelayUpdate, relay: MemberDescription) => void;
-  /** Told once, when the relay is silent or the connection has broken. */
+  /** Called once, when the relay is silent or the connection has broken. */
   readonly onLost: (relay: MemberDescription) => void;
 }
 
-/** A connection to a relay, over which its news come. */
+/** A connection to a relay, over which its updates arrive. */
 export interface RelayLink {
   readonly relay: MemberDescription;
-  /** Whether news have come, and come still. */
+  /** Whether updates have arrived and the link is still open. */
   readonly isLive: () => boolean;
-  /** Tells the relay how this entry stands. */
+  /** Sends the relay the status of this entry. */
   readonly greet: () => void;
-  /** Counts a look; to be called at a steady pace. */
+  /** Counts a check; must be called at regular intervals. */
   readonly check: () => void;
-  /** Ends the connection by plan: the relay goes on to trust this entry. */
+  /**
+   * Ends the connection cleanly, so that the relay doesn't count this entry as
+   * lost.
+   */
   readonly end: () => void;
 }
 
@@ -47,10 +50,10 @@
 /**
  * Follows a relay.
  *
- * Failure: a relay freezes, or the connection to it falls silent for good, and a
- * whole zone goes by old news. Guard: news come each 300 ms at least, and without
- * them the link is given up. Looks are counted, not time: after a freeze of this
- * process itself, the news that have come meanwhile are read first.
+ * If a relay freezes or its connection goes silent, a whole zone would use old
+ * data. A relay sends an update at least every 300 ms, and without one the link
+ * is given up. Checks are counted instead of time: after a freeze of this
+ * process, the updates that arrived meanwhile are read first.
  */
 export function openRelayLink(options: RelayLinkOptions): RelayLink {
   const {relay, channels} = options;
--- a/packages/fleet/src/entry/relay_server.ts
+++ b/packages/fleet/src/entry/relay_server.ts
@@ -23,67 +23,70 @@
 import type {TargetListing} from './target_follower';
 
 /**
- * Period of looks for what is to be passed on; agents report up to each 100 ms in
- * the zone, so that a report waits for half of that in the mean.
+ * Interval between updates to followers. Agents of the zone report up to every
+ * 100 ms, so a report waits for half of that on average.
  */
 const SEND_PERIOD: Milliseconds = 100;
 
 /**
- * Looks between two lists of reports for relays of other zones. Their entries may
- * give an engine two requests within a report, so a report each 100 ms would let
- * them fill engines of this zone.
+ * Checks between two batches of reports for relays of other zones. Their
+ * entries may send an engine two requests for each report, so reports every 100
+ * ms would let them fill the engines of this zone.
  */
 const CHECKS_BETWEEN_ZONE_REPORTS = 3;
 
-/** Time in which changes are collected before they are passed on at once. */
+/** Delay in which urgent changes are collected before they are sent. */
 const SEND_DELAY: Milliseconds = 10;
 
-/** What passing news on needs. */
+/** Options of the relay server. */
 export interface RelayServerOptions {
   readonly clock: Clock;
-  /** All entries that are known of here, this one included. */
+  /** All known entries, including this one. */
   readonly states: () => readonly EntryState[];
   readonly namings: () => VersionNaming[];
   readonly copies: ConfigurationCopies;
   readonly records: SiteRecords;
-  /** This entry's distance from the store if it reads the operator's table. */
+  /**
+   * Round trip time to the store if this entry reads the operator's table
+   * itself.
+   */
   readonly readingDistance: () => Milliseconds | undefined;
-  /** What callers ask for by zone, the own one first. */
+  /** Demand of callers by zone, the own zone first. */
   readonly demands: () => readonly ZoneDemand[];
-  /** Told of each greeting of a follower. */
+  /** Called for each greeting of a follower. */
   readonly onGreeting: (greeting: FollowerGreeting) => void;
-  /** Told when a follower has fallen silent or its connection has broken. */
+  /** Called when a follower has fallen silent or its connection has broken. */
   readonly onFollowerLost: (instance: string) => void;
 }
 
-/** Passes on to other entries what this one knows. */
+/** Sends other entries what this one knows. */
 export interface RelayServer {
   readonly handleStream: (call: FollowCall) => void;
-  /** Takes a report that an agent has sent here. */
+  /** Queues a report that an agent has sent here. */
   readonly queueReport: (report: EngineReport) => void;
-  /** Takes reports that the relay of another zone has passed on. */
+  /** Queues reports that the relay of another zone has sent. */
   readonly queueZoneReports: (reports: readonly EngineReport[]) => void;
   readonly setOperator: (moment: OperatorMoment) => void;
   readonly setTargets: (listing: TargetListing) => void;
-  /** Passes all states and namings on at once. */
+  /** Sends all states and version namings at once. */
   readonly sendStates: () => void;
-  /** Passes on soon what has changed in the site's records. */
+  /** Schedules an update with what has changed in the site's records. */
   readonly scheduleRecords: () => void;
-  /** Stops passing on. */
+  /** Stops sending updates. */
   readonly close: () => void;
 }
 
-/** Creates the face for followers. */
+/** Creates the server for followers. */
 export function createRelayServer(options: RelayServerOptions): RelayServer {
   const {clock} = options;
   const followers = new Set<RelayFollower>();
   const numberState = createStateNumbers();
   const numberReport = createReportNumbers();
   const numberTargets = createTargetNumbers();
-  /** Of agents, for entries of the own zone, and for other zones' relays. */
+  /** From agents, for entries of the own zone, and for other zones' relays. */
   const agentReports = new Map<string, RelayedReport>();
   const reportsForOtherZones = new Map<string, RelayedReport>();
-  /** Of other zones' relays, for entries of the own zone. */
+  /** From other zones' relays, for entries of the own zone. */
   const zoneReports = new Map<string, RelayedReport>();
   let checks = 0;
   let hasStateChange = false;
@@ -105,7 +108,7 @@
       options.onGreeting(greeting);
     });
     call.on('end', () => {
-      // It follows another relay now, which tells how it stands.
+      // It follows another relay now, which reports its status.
       if (follower !== undefined) followers.delete(follower);
       call.end();
     });
@@ -172,17 +175,17 @@
   }
 
   /**
-   * Failure: an engine is about to load or has died, and entries three steps away
-   * send to it for 300 ms more. Guard: what changes what an engine serves goes on
-   * at once; how much it runs goes on with the next look.
+   * Changes of what an engine serves are sent at once, how much it runs with
+   * the next check. Otherwise entries three hops away would keep sending for
+   * 300 ms to an engine that is about to load or has died.
    */
   function recordReport(report: EngineReport): RelayedReport {
-    const passed = numberReport(report, clock());
-    if (passed.changesState) {
+    const relayed = numberReport(report, clock());
+    if (relayed.changesState) {
       hasStateChange = true;
       sendSoon();
     }
-    return passed;
+    return relayed;
   }
 
   function close(): void {
@@ -209,9 +212,9 @@
     handleStream,
     queueReport: report => {
       if (followers.size === 0) return;
-      const passed = recordReport(report);
-      agentReports.set(report.engineAddress, passed);
-      reportsForOtherZones.set(report.engineAddress, passed);
+      const relayed = recordReport(report);
+      agentReports.set(report.engineAddress, relayed);
+      reportsForOtherZones.set(report.engineAddress, relayed);
     },
     queueZoneReports: reports => {
       if (followers.size === 0) return;
@@ -233,7 +236,10 @@
   };
 }
 
-/** A store in which nothing changes has the same revision at each reading. */
+/**
+ * If nothing changes in the store, all readings have the same revision; then
+ * the later one is newer.
+ */
 function isNewer(next: TargetListing, before: RelayedListing): boolean {
   if (next.revision !== before.revision) return next.revision > before.revision;
   return next.storeTime > before.storeTime;
--- a/packages/fleet/src/entry/relay_updates.ts
+++ b/packages/fleet/src/entry/relay_updates.ts
@@ -18,13 +18,16 @@
 import type {OperatorMoment} from './operator_follower';
 import type {TargetListing} from './target_follower';
 
-/** A reading of the operator's table that a relay passes on. */
+/** A reading of the operator's table that a relay forwards. */
 export interface RelayedMoment extends OperatorMoment {
-  /** The relay's distance from the store; undefined unless it reads itself. */
+  /**
+   * Round trip time from the relay to the store; undefined unless the relay
+   * reads the table itself.
+   */
   readonly storeDistance?: Milliseconds;
 }
 
-/** What a relay has told, whole. */
+/** A decoded update of a relay, with batches and differences resolved. */
 export interface RelayUpdate {
   readonly entries: readonly EntryState[];
   readonly reports: readonly EngineReport[];
@@ -33,13 +36,16 @@
   readonly configuration: ConfigurationCopy | undefined;
   readonly targets: TargetListing | undefined;
   readonly records: SiteRecordsMessage;
-  /** What callers ask for, by zone. */
+  /** Demand of callers, by zone. */
   readonly demands: readonly ZoneDemand[];
 }
 
-/** Creates the reader of one stream of news. */
+/**
+ * Creates a decoder for the updates of one stream. It is stateful: updates
+ * refer to rows that were sent before.
+ */
 export function createUpdateReader(): (
-  news: RelayNews,
+  update: RelayNews,
   now: MonotonicInstant,
 ) => RelayUpdate {
   const readStates = createStateReader();
@@ -53,14 +59,14 @@
     return {revision, era, storeTime, targets: readTargets(listing)};
   }
 
-  return (news, now) => ({
-    entries: news.entries ? readStates(news.entries) : [],
-    reports: news.reports ? readReports(news.reports, now) : [],
-    namings: news.namings,
-    operator: news.operator,
-    configuration: news.configuration,
-    targets: news.targets && readListing(news.targets),
-    records: news,
-    demands: readZoneDemands(news.demands, now),
+  return (update, now) => ({
+    entries: update.entries ? readStates(update.entries) : [],
+    reports: update.reports ? readReports(update.reports, now) : [],
+    namings: update.namings,
+    operator: update.operator,
+    configuration: update.configuration,
+    targets: update.targets && readListing(update.targets),
+    records: update,
+    demands: readZoneDemands(update.demands, now),
   });
 }
--- a/packages/fleet/src/entry/request_acceptance.ts
+++ b/packages/fleet/src/entry/request_acceptance.ts
@@ -21,19 +21,25 @@
 import {notRun, type LocalAnswer} from './local_answers';
 import {fingerprintOf} from './request_fingerprint';
 
-/** How far a planned stop has come. */
+/** Phase of a planned stop. */
 export type StoppingPhase = 'serving' | 'leaving' | 'closing';
 
-/** How long a configuration counts without being confirmed. */
+/**
+ * Decides whether the configuration was confirmed recently enough to trust its
+ * keys.
+ */
 export interface KeyConfirmation {
   readonly confirmation: Confirmation;
-  /** Counts suspensions of the machine; for the age of confirmations. */
+  /**
+   * Clock that also counts while the machine is suspended, for the age of
+   * confirmations.
+   */
   readonly machineClock: Clock;
-  /** Longest age of the confirmed configuration for requests with a key. */
+  /** Maximum age of the confirmed configuration for requests with a key. */
   readonly maxConfirmationAge: Milliseconds;
 }
 
-/** What the acceptance of requests goes by. */
+/** Dependencies of the acceptance of requests. */
 export interface RequestAcceptanceOptions extends KeyConfirmation {
   readonly operator: OperatorFollower;
   readonly readings: HeldReadings;
@@ -43,10 +49,13 @@
   readonly expectedRuns: ExpectedRuns;
 }
 
-/** Pause named to callers of an entry that leaves. */
+/** Retry-After for callers of an entry that is leaving. */
 const RETRY_ELSEWHERE_AFTER: Milliseconds = 20;
 
-/** Pause named where only another configuration lets the request be served. */
+/**
+ * Retry-After if the request can only be served after a change of the
+ * configuration.
+ */
 const RETRY_RECONFIGURED_AFTER: Milliseconds = 1_000;
 
 /** A request that may be forwarded. */
@@ -57,7 +66,7 @@
   readonly access: Exclude<CallerAccess, {kind: 'denied'}>;
   /** Where it may be served. */
   readonly destinations: Destinations;
-  /** What it will probably ask of its target. */
+  /** Its expected cost for the target. */
   readonly run: ExpectedRun;
   readonly body: Buffer;
   readonly fingerprint: RequestFingerprint;
@@ -65,7 +74,7 @@
   readonly deadline: MonotonicInstant;
 }
 
-/** A request as it came in. */
+/** A request as it arrived. */
 export interface ArrivedRequest {
   readonly header: CallerHeader;
   readonly path: string;
@@ -73,7 +82,7 @@
   readonly arrivedAt: MonotonicInstant;
 }
 
-/** Decides whether a request may be forwarded, or what it is answered. */
+/** Decides whether a request may be forwarded; otherwise returns its answer. */
 export function acceptRequest(
   options: RequestAcceptanceOptions,
   {header, path, body, arrivedAt}: ArrivedRequest,
@@ -92,8 +101,8 @@
   if (access.kind === 'denied') {
     return deny(use, {status: 401, reason: 'unknown key'});
   }
-  // A process that is cut off or was frozen must not serve a key that was taken
-  // away meanwhile.
+  // A process that is disconnected from the store or was frozen must not accept
+  // a key that has since been revoked.
   if (access.kind === 'workspace' && !isKeyConfirmed(options)) {
     return notRun('staleConfiguration', undefined);
   }
@@ -113,7 +122,10 @@
   return {...content, route, service, access, destinations, run};
 }
 
-/** Where a request may be served by a table; undefined without such a route. */
+/**
+ * Where a request may be served by the routes of `table`; undefined if none
+ * matches.
+ */
 export function destinationsIn(
   table: RouteTable,
   {header, path}: Pick<ArrivedRequest, 'header' | 'path'>,
@@ -126,14 +138,16 @@
 }
 
 /**
- * A denial is final for its caller, so it needs a configuration that can't have
- * been replaced in force; otherwise the caller is told to come back.
+ * Callers treat a denial as final, so it needs a configuration that can't have
+ * been replaced; otherwise the caller is asked to retry.
  */
 export function deny(use: ReadingUse, denial: LocalAnswer): LocalAnswer {
   return use === 'current' ? denial : notRun('staleConfiguration', undefined);
 }
 
-/** Whether the configuration was confirmed lately enough to go by its keys. */
+/**
+ * Whether the configuration was confirmed recently enough to trust its keys.
+ */
 export function isKeyConfirmed(options: KeyConfirmation): boolean {
   return options.confirmation.isFresh(
     options.machineClock(),
--- a/packages/fleet/src/entry/request_body.ts
+++ b/packages/fleet/src/entry/request_body.ts
@@ -1,6 +1,10 @@
 import type {IncomingMessage} from 'node:http';
 
-/** Reads a whole body; bodies are small and may have to be sent again. */
+/**
+ * Reads the whole body into memory: bodies are small and may have to be sent
+ * again. Resolves to `tooLarge` once `limit` bytes are exceeded, and to `gone`
+ * if the connection closes first.
+ */
 export function readBody(
   request: IncomingMessage,
   limit: number,
@@ -19,7 +23,7 @@
   });
 }
 
-/** Header lines with the length of the body as it is sent on. */
+/** Adds a Content-Length for the body as it is forwarded. */
 export function withContentLength(
   lines: readonly string[],
   method: string | undefined,
--- a/packages/fleet/src/entry/request_context.ts
+++ b/packages/fleet/src/entry/request_context.ts
@@ -23,7 +23,7 @@
 import type {HeaderRecorder} from './header_recorder';
 import type {Timeliness} from './timeliness';
 
-/** What carrying out a request's flow needs. */
+/** Dependencies shared by the runs of all requests. */
 export interface RequestRunOptions extends KeyConfirmation {
   readonly protocol: RequestProtocol;
   readonly operator: OperatorFollower;
@@ -42,11 +42,11 @@
   readonly metrics: FleetMetrics;
   readonly clock: Clock;
   readonly log: Log;
-  /** Header lines of our own for the caller. */
+  /** Header lines that the entry adds to answers. */
   readonly ownLines: () => readonly string[];
 }
 
-/** One request and what is known of it while it runs. */
+/** One request and its state while it runs. */
 export interface RequestRunContext {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
@@ -54,20 +54,20 @@
   readonly trace: RequestTrace;
   readonly progress: StreamProgress;
   readonly buffers: RequestBuffers;
-  /** Aborts at the deadline and when the caller has gone. */
+  /** Aborts at the deadline and when the caller has disconnected. */
   readonly signal: AbortSignal;
-  /** Why it was aborted; undefined while it was not. */
+  /** Why the signal was aborted; undefined until then. */
   readonly endedBy: () => 'callerGone' | 'timedOut' | undefined;
 }
 
-/** A place that a request has taken. */
+/** A slot that a request has taken. */
 export type TakenSlot = Extract<SlotOutcome, {readonly kind: 'place'}>;
 
-/** A send that is to be made. */
+/** An attempt that is about to start. */
 export interface PlannedAttempt {
   readonly place: TakenSlot;
-  /** Targets that have had the request before. */
+  /** Targets that were sent the request before. */
   readonly tried: readonly ListedTarget[];
-  /** The version that the target must have; undefined if any may do. */
+  /** The version that the target must hold; undefined if any will do. */
   readonly version: number | undefined;
 }
--- a/packages/fleet/src/entry/request_fingerprint.ts
+++ b/packages/fleet/src/entry/request_fingerprint.ts
@@ -1,10 +1,13 @@
 import type {RequestFingerprint, WorkspaceName} from '@hibiscusbeam/core';
 import {createHash} from 'node:crypto';
 
-/** Hexadecimal digits that are kept; 128 bits don't collide by chance. */
+/**
+ * Hexadecimal digits of the hash that are kept; 128 bits make a collision
+ * negligible.
+ */
 const FINGERPRINT_DIGITS = 32;
 
-/** What stays the same when a caller sends a request again. */
+/** The parts of a request that stay the same when its caller retries it. */
 export interface FingerprintedContent {
   /** Undefined for an anonymous caller. */
   readonly workspace: WorkspaceName | undefined;
@@ -12,7 +15,10 @@
   readonly body: Buffer;
 }
 
-/** Names a request by its caller and content; its id is new at each attempt. */
+/**
+ * Identifies a request by its caller and content. The request id can't be used
+ * since it is new for each attempt.
+ */
 export function fingerprintOf({
   workspace,
   path,
--- a/packages/fleet/src/entry/request_handler.ts
+++ b/packages/fleet/src/entry/request_handler.ts
@@ -37,13 +37,16 @@
   reason: 'the body is too large',
 };
 
-/** The answer if the handling fails; whether the request has run isn't known. */
+/**
+ * Answer if the handler itself fails; it is unknown whether the request has
+ * run.
+ */
 const FAILED_ANSWER: LocalAnswer = {status: 502, reason: 'failed'};
 
-/** Longest time that a timer counts; it runs out at once if set to more. */
+/** Maximum delay of a Node.js timer; with a longer one it fires at once. */
 const MAX_TIMER: Milliseconds = 2 ** 31 - 1;
 
-/** What the handling of requests needs. */
+/** Dependencies of the request handler. */
 export interface RequestHandlerOptions
   extends
     Omit<RequestAcceptanceOptions, 'expectedRuns'>,
@@ -51,20 +54,26 @@
   readonly metrics: FleetMetrics;
   readonly buffers: BufferedBytes;
   readonly log: Log;
-  /** When the list of targets was surely as it is held here. */
+  /**
+   * Latest time at which the list of targets is known to have been as it is
+   * held here.
+   */
   readonly listedAt: () => MonotonicInstant | undefined;
 }
 
 /** Handles callers' requests. */
 export interface RequestHandler {
   readonly handle: (request: IncomingMessage, response: ServerResponse) => void;
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   readonly running: () => number;
-  /** Gives all requests in progress their final answers, as at their deadlines. */
+  /**
+   * Ends all requests in progress with the answers they would get at their
+   * deadlines.
+   */
   readonly endAll: () => void;
 }
 
-/** Creates the handler of callers' requests. */
+/** Creates the request handler. */
 export function createRequestHandler(
   options: RequestHandlerOptions,
 ): RequestHandler {
@@ -152,7 +161,10 @@
     expectedRuns.recordWritten(run, clock() - begunAt);
   }
 
-  /** Notes the deadline, and a caller who leaves before the answer's end. */
+  /**
+   * Watches for the deadline, and for a caller that disconnects before the end
+   * of the answer.
+   */
   function watchEnding(response: ServerResponse, accepted: AcceptedRequest) {
     const ended = new AbortController();
     let by: 'callerGone' | 'timedOut' | undefined;
@@ -200,13 +212,13 @@
       return;
     }
     const own = localAnswerFor(result);
-    // A stream that was begun can only be cut: closing without the end of its
-    // framing is what tells the caller.
+    // A stream that has begun can only be cut: closing the connection without
+    // the end of the framing tells the caller that it is incomplete.
     if (own === undefined || isBegun) response.destroy();
     else writeLocalAnswer(response, own, ownLines());
   }
 
-  /** Asks callers to open their next connection elsewhere, when leaving. */
+  /** While stopping, asks callers to open their next connection elsewhere. */
   function ownLines(): readonly string[] {
     return options.stopping() === 'serving' ? [] : ['Connection', 'close'];
   }
@@ -230,7 +242,7 @@
     });
   }
 
-  /** Ages of the readings of the store that requests are decided by. */
+  /** Ages of the store readings that requests are decided by. */
   function readingAges() {
     return {
       confirmationAge: ageOf(options.confirmation.confirmedAt()),
@@ -286,7 +298,7 @@
     });
   }
 
-  /** A request whose handling fails still gets a final answer. */
+  /** Gives a request whose handling fails a final answer. */
   function answerFailure(response: ServerResponse, error: unknown): void {
     log.error('request failed in this process', {error});
     if (response.writableEnded) return;
--- a/packages/fleet/src/entry/request_run.ts
+++ b/packages/fleet/src/entry/request_run.ts
@@ -35,18 +35,20 @@
   outdated: 'outdatedTargets',
 } as const;
 
-/** Carries out the effects of one request's flow. */
+/** Performs the effects of one request's flow. */
 export interface RequestRun {
   readonly perform: (
     effect: ForwardEffect<ListedTarget>,
   ) => ForwardReply<ListedTarget> | Promise<ForwardReply<ListedTarget>>;
-  /** The last whole answer of a target. */
+  /** The last complete answer of a target. */
   readonly answer: () => WholeAnswer | undefined;
-  /** Ends all sends; gives back what the request has taken and not used. */
+  /**
+   * Ends all attempts, and releases what the request has taken and not used.
+   */
   readonly end: () => void;
 }
 
-/** Creates what carries out the flow of one request. */
+/** Creates the run of one request. */
 export function createRequestRun(
   options: RequestRunOptions,
   context: RequestRunContext,
@@ -67,7 +69,7 @@
   let decidedTable = options.operator.table();
   let destinations = accepted.destinations;
   let answer: WholeAnswer | undefined;
-  /** Set on arrival, so that later sends are never refused by the level. */
+  /** Set on arrival, so that later attempts are never refused by the level. */
   let isAdmitted = false;
   let place: TakenSlot | undefined;
   let isChoosing = false;
@@ -92,7 +94,10 @@
     };
   }
 
-  /** By the newest configuration, which may have changed since the request came. */
+  /**
+   * Evaluated with the newest configuration, which may have changed since the
+   * request arrived.
+   */
   function destinationsNow(): Destinations {
     const table = options.operator.table();
     if (table !== undefined && table !== decidedTable) {
@@ -122,7 +127,7 @@
     return options.quarantine.isQuarantined(fingerprint);
   }
 
-  /** A trial is one send: nothing is begun beside it. */
+  /** A trial is a single attempt: no other one starts alongside it. */
   async function takeTrial(): Promise<boolean> {
     if (attempts.count() > 0) return false;
     if (trial === 'none' && (await options.trials.claim(fingerprint))) {
@@ -162,7 +167,7 @@
     options.admission.recordWait(accepted, waited, refusedFor);
   }
 
-  /** Waits for a place, but for no longer than until a send reports. */
+  /** Waits for a slot, but only until an attempt reports. */
   async function takeSlot(
     tried: readonly ListedTarget[],
   ): Promise<SlotOutcome | 'withdrawn'> {
@@ -193,7 +198,7 @@
     const limits = progress.begun
       ? timeliness.resumeLimits(accepted, options.clock())
       : timeliness.limits(accepted);
-    // Its caller waits in any case.
+    // The caller has to wait in any case.
     return attempts.areSilent()
       ? {...limits, waitUntil: accepted.deadline}
       : limits;
@@ -236,9 +241,9 @@
   }
 
   /**
-   * The version that the target must have, once older ones may not start
-   * anything: the one it is known to hold. Naming the oldest one allowed
-   * would turn away a target that already holds a newer one.
+   * Version that the target must hold, once older ones may not start new
+   * requests: the version it is known to hold. The oldest version allowed would
+   * turn away a target that already holds a newer one.
    */
   function versionFor(target: ListedTarget): number | undefined {
     if (
@@ -258,21 +263,22 @@
   }
 
   function send(): Promise<ForwardReply<ListedTarget>> {
-    if (place === undefined) throw new Error('a send without a place');
+    if (place === undefined) throw new Error('an attempt needs a slot');
     const version = versionFor(place.target);
     sendTo({place, tried: triedTargets, version});
     place = undefined;
     return attempts.next();
   }
 
-  /** The next report, or a repeat that was denied before. */
+  /** Resolves to the next report, or to a retry that was denied before. */
   async function nextOrRetry(): Promise<ForwardReply<ListedTarget>> {
     if (attempts.hasReport()) return attempts.next();
     const withdrawal = new AbortController();
     const repeat = options.budgets.awaitRetry(service, withdrawal.signal);
     await Promise.race([attempts.reported(), repeat]);
     withdrawal.abort();
-    // One that was granted beside a report counts: its search meets the report.
+    // A retry that was granted alongside a report counts: its search for a slot
+    // finds the report.
     if (!(await repeat)) return attempts.next();
     trace.repeat(true);
     return {kind: 'repeat', allowed: true};
--- a/packages/fleet/src/entry/request_trace.ts
+++ b/packages/fleet/src/entry/request_trace.ts
@@ -1,22 +1,22 @@
 import type {ListedTarget} from '@hibiscusbeam/core';
 import type {Clock} from '@hibiscusbeam/daemon';
 
-/** What happened to one request, for its line in the log. */
+/** Records what happened to one request, for its log line. */
 export interface RequestTrace {
   readonly send: (target: ListedTarget) => AttemptTrace;
   readonly repeat: (allowed: boolean) => void;
-  /** Notes that no target takes the request now. */
+  /** Records that no target has a free slot, and why. */
   readonly noPlace: (reason: string) => void;
   readonly lines: () => readonly string[];
 }
 
-/** The line of one send; it is written when the send ends. */
+/** Trace of one attempt; its line is added when the attempt ends. */
 export interface AttemptTrace {
   readonly explain: (detail: string) => void;
   readonly end: (outcome: string, cause: string | undefined) => void;
 }
 
-/** Begins the story of a request. */
+/** Starts the trace of a request; its times count from now. */
 export function createRequestTrace(clock: Clock): RequestTrace {
   const lines: string[] = [];
   const startedAt = clock();
@@ -32,9 +32,9 @@
       };
     },
     repeat: allowed => {
-      if (!allowed) lines.push('no repeat left in the budget');
+      if (!allowed) lines.push('no retry left in the budget');
     },
-    noPlace: reason => lines.push(`${since()} ms no place: ${reason}`),
+    noPlace: reason => lines.push(`${since()} ms no slot: ${reason}`),
     lines: () => lines,
   };
 }
--- a/packages/fleet/src/entry/retry_budgets.ts
+++ b/packages/fleet/src/entry/retry_budgets.ts
@@ -4,48 +4,49 @@
   type ServiceName,
 } from '@hibiscusbeam/core';
 
-/** Repeats that this entry may make, for each service. */
+/** Retries that this entry may make, for each service. */
 export interface RetryBudgets {
   readonly recordFirstAttempt: (service: ServiceName) => void;
   readonly takeRetry: (service: ServiceName) => boolean;
   /**
-   * Takes a repeat as soon as first requests allow one, in the order of asking;
-   * resolves without one once the signal aborts.
+   * Takes a retry as soon as first attempts allow one, in the order of the
+   * calls; resolves to false if the signal aborts before.
    */
   readonly awaitRetry: (
     service: ServiceName,
     signal: AbortSignal,
   ) => Promise<boolean>;
-  /** Takes one for a stream that is moved, if enough is left for failures. */
+  /** Takes a retry to move a stream, if enough are left for failures. */
   readonly takeMove: (service: ServiceName) => boolean;
 }
 
-/** The site's bound on repeats, and among how many entries it is shared. */
+/** The site's limit on retries, and the number of entries that share it. */
 export interface RetryBudgetsOptions {
   readonly share: number;
   readonly slack: number;
-  /** Entries that may repeat at the same time; undefined until it is known. */
+  /** Entries that may retry at the same time; undefined until it is known. */
   readonly entries: () => number | undefined;
 }
 
 /**
- * Part of the site's bound that is used. The rest is for entries that start
- * anew, and with them a new part of the slack.
+ * Share of the site's limit that is used. The rest is for entries that restart
+ * and take a new part of the slack.
  */
 const USED_SHARE = 0.6;
 
 /**
- * Creates budgets that need no messages: each entry keeps to its own requests'
- * share, and to an equal part of what the site may repeat besides.
+ * Creates budgets that need no messages: each entry keeps to the share of its
+ * own requests, and to an equal part of the slack of the site.
  */
 export function createRetryBudgets(options: RetryBudgetsOptions): RetryBudgets {
   const budgets = new Map<ServiceName, RetryBudget>();
   const waiting = new Map<ServiceName, Set<() => void>>();
 
   /**
-   * Failure: an entry that has just started knows no other one, takes the whole
-   * slack for its own, and all of them together exceed the site's bound. Until
-   * the others are known it repeats nothing, and its part shrinks as others join.
+   * An entry that has just started knows no other one, so it would take the
+   * whole slack for itself, and all entries together would exceed the site's
+   * limit. Until the others are known it doesn't retry, and its part shrinks as
+   * others join.
    */
   function budgetOf(service: ServiceName): RetryBudget | undefined {
     const entries = options.entries();
--- a/packages/fleet/src/entry/silence_monitor.ts
+++ b/packages/fleet/src/entry/silence_monitor.ts
@@ -1,18 +1,20 @@
 import type {Milliseconds, MonotonicInstant} from '@hibiscusbeam/core';
 
-/** What a silence watch needs. */
+/** Options of a silence monitor. */
 export interface SilenceMonitorOptions {
   readonly maxSilence: Milliseconds;
   readonly now: () => MonotonicInstant;
-  /** Is told of a silence, and how late the loop of this process noticed it. */
+  /**
+   * Called when the target is silent, with how late the event loop detected it.
+   */
   readonly onSilence: (detectionDelay: Milliseconds) => void;
-  /** Is told when bytes come again after a silence. */
+  /** Called when bytes arrive again after a silence. */
   readonly onResumed: () => void;
 }
 
-/** Notices when nothing comes from a target for a while. */
+/** Detects that a target has sent nothing for a while. */
 export interface SilenceMonitor {
-  /** Notes bytes of the target. */
+  /** Records that bytes of the target have arrived. */
   readonly recordBytes: () => void;
   /** Stops counting while nothing is read from the target. */
   readonly pause: () => void;
@@ -20,7 +22,7 @@
   readonly stop: () => void;
 }
 
-/** Starts a watch; it counts from now. */
+/** Starts a monitor; the silence counts from now. */
 export function startSilenceMonitor(
   options: SilenceMonitorOptions,
 ): SilenceMonitor {
@@ -36,7 +38,9 @@
     timer = setTimeout(onTimer, maxSilence);
   }
 
-  /** Timers run before sockets are read: bytes may wait in the socket. */
+  /**
+   * Timers run before sockets are read, so bytes may still wait in the socket.
+   */
   function onTimer(): void {
     const expected = silentAt;
     setImmediate(() => {
--- a/packages/fleet/src/entry/site_reader.ts
+++ b/packages/fleet/src/entry/site_reader.ts
@@ -11,37 +11,42 @@
 
 /**
  * How long a relay of another zone counts as the reader of the operator's table
- * after its last word of it, which comes each 0.8 s at a bound of 4 s.
+ * after its last reading. Readings arrive every 0.8 s at a bound of 4 s.
  */
 const READER_TIMEOUT: Milliseconds = 2_000;
 
-/** What choosing the reader needs. */
+/** Dependencies of the site reader. */
 export interface SiteReaderOptions {
   readonly instance: InstanceName;
   readonly clock: Clock;
-  /** Time to the store and back; undefined if it is not known yet. */
+  /** Round trip time to the store; undefined until it is known. */
   readonly storeDistance: () => Milliseconds | undefined;
 }
 
-/** Knows which relays read the operator's table for the whole site. */
+/** Tracks which relays read the operator's table for the whole site. */
 export interface SiteReader {
-  /** Takes what a relay tells of the operator's table, if it tells of it. */
+  /**
+   * Records a reading of the operator's table that a relay has sent, if any.
+   */
   readonly record: (
     moment: RelayedMoment | undefined,
     relay: MemberDescription,
   ) => void;
-  /** Forgets a relay that is lost. */
+  /** Forgets a lost relay. */
   readonly forget: (relay: MemberDescription) => void;
-  /** Whether this entry, as a relay, leaves the reading to another one. */
+  /** Whether this entry, as a relay, leaves the reading to another entry. */
   readonly isDelegated: () => boolean;
 }
 
-/** A relay that has told of its own readings. */
+/** A relay that has sent readings of its own. */
 interface KnownReader extends TableReader {
   readonly receivedAt: MonotonicInstant;
 }
 
-/** Creates the choice; without any word this entry reads by itself. */
+/**
+ * Creates the tracker. While no other reader is known, this entry reads the
+ * table itself.
+ */
 export function createSiteReader(options: SiteReaderOptions): SiteReader {
   const {instance, clock} = options;
   const readers = new Map<string, KnownReader>();
--- a/packages/fleet/src/entry/site_regions.ts
+++ b/packages/fleet/src/entry/site_regions.ts
@@ -1,15 +1,18 @@
 import type {RegionName, ZoneName} from '@hibiscusbeam/core';
 import type {FleetEntrySettings} from '../settings';
 
-/** Which region each zone of the site belongs to. */
+/** Region of each zone of the site. */
 export interface SiteRegions {
   /** Undefined if the zone's region is not known. */
   readonly regionOf: (zone: ZoneName) => RegionName | undefined;
-  /** Whether a zone is one of the site's; true for all if none are named. */
+  /**
+   * Whether a zone belongs to the site; always true if no regions are
+   * configured.
+   */
   readonly isKnownZone: (zone: ZoneName) => boolean;
 }
 
-/** Creates the table from an entry's settings. */
+/** Builds the zone table from the settings of an entry. */
 export function createSiteRegions({
   zone: ownZone,
   region: ownRegion,
--- a/packages/fleet/src/entry/slot_queue.ts
+++ b/packages/fleet/src/entry/slot_queue.ts
@@ -14,13 +14,16 @@
 } from '@hibiscusbeam/core';
 import type {Clock} from '@hibiscusbeam/daemon';
 
-/** How waiting for a place ended. */
+/** Result of waiting for a slot. */
 export type SlotOutcome =
   | {
       readonly kind: 'place';
       readonly target: ListedTarget;
       readonly inFlight: InFlightRequest;
-      /** Aborts when the target's life ends, and with it the request there. */
+      /**
+       * Aborts when the target's incarnation ends, and with it the request
+       * there.
+       */
       readonly lifeEnded: AbortSignal;
     }
   | {readonly kind: 'full'}
@@ -32,29 +35,29 @@
   | {readonly kind: 'outdated'}
   | {readonly kind: 'abandoned'};
 
-/** A request that asks for a place. */
+/** A request that waits for a slot. */
 export interface SlotRequest extends WaitingRequest {
-  /** The need as of now; read anew at each look. */
+  /** The current need; evaluated at each check. */
   readonly need: () => PlacementRequest;
-  /** Time in which a target reads its prompt. */
+  /** Time that a target takes to read its prompt. */
   readonly promptTime: Milliseconds;
   /** Until when it may wait. */
   readonly waitUntil: MonotonicInstant;
-  /** Aborts when the caller has gone. */
+  /** Aborts when the caller has disconnected. */
   readonly signal: AbortSignal;
 }
 
-/** Requests that wait at the entry for a target with room. */
+/** Requests that wait at the entry for a target with a free slot. */
 export interface SlotQueue {
   readonly take: (request: SlotRequest) => Promise<SlotOutcome>;
-  /** Looks again, after something has changed. */
+  /** Checks all waiting requests again, after something has changed. */
   readonly pump: () => void;
   readonly waiting: () => number;
-  /** Those that wait for a service, of one priority or of all. */
+  /** Requests that wait for a service, of one priority or of all. */
   readonly waitingFor: (service: ServiceName, priority?: number) => number;
 }
 
-/** Period of looks without a change, for waits that run out. */
+/** Interval between checks without a change, for waits that expire. */
 const CHECK_PERIOD: Milliseconds = 20;
 
 interface Waiter {
@@ -62,13 +65,16 @@
   readonly resolve: (outcome: SlotOutcome) => void;
 }
 
-/** The order without admission by level. */
+/** Order without admission by level. */
 const ORDER_BY_PRIORITY: WaitingOrder<SlotRequest> = {
   compare,
   recordStart: () => undefined,
 };
 
-/** Creates the queue over the places of `book`; `onPlaced` is told of each taken. */
+/**
+ * Creates the queue for the slots of `registry`; `onSlotTaken` is called for
+ * each slot that is taken.
+ */
 export function createSlotQueue(
   registry: TargetRegistry,
   clock: Clock,
@@ -102,7 +108,7 @@
     }, CHECK_PERIOD);
   }
 
-  /** Undefined while it has to wait. */
+  /** Returns undefined while the request has to wait. */
   function tryTake(
     request: SlotRequest,
     now: MonotonicInstant,
@@ -114,14 +120,14 @@
       const {target} = choice;
       onSlotTaken(target, now);
       order.recordStart(request, now);
-      const life = new AbortController();
+      const incarnation = new AbortController();
       const inFlight = registry.begin(target, {
         promptTime: request.promptTime,
         memory: need.memory,
         at: now,
-        onIncarnationEnded: () => life.abort(),
+        onIncarnationEnded: () => incarnation.abort(),
       });
-      return {kind: 'place', target, inFlight, lifeEnded: life.signal};
+      return {kind: 'place', target, inFlight, lifeEnded: incarnation.signal};
     }
     return isWorthWaiting(choice, request, now) ? undefined : choice;
   }
@@ -144,18 +150,18 @@
   }
 
   function waitingFor(service: ServiceName, priority?: number): number {
-    const asking = waiters.filter(
+    const matching = waiters.filter(
       ({request}) =>
         request.need().service === service &&
         (priority === undefined || wirePriority(request.priority) === priority),
     );
-    return asking.length;
+    return matching.length;
   }
 
   return {take, pump, waiting: () => waiters.length, waitingFor};
 }
 
-/** Whether a place may come up while the request may wait. */
+/** Whether a slot may become free while the request may wait. */
 function isWorthWaiting(
   choice: Exclude<TargetSelection, {kind: 'chosen'}>,
   {waitUntil}: SlotRequest,
@@ -176,10 +182,11 @@
 }
 
 /**
- * Who goes first: streams that go on, since their callers count each pause and
- * their work so far would be lost; then requests that can still be answered on time, by priority and
- * then by what time they have; then those that are late anyhow. A late one
- * earns a quarter, and would make another one late besides.
+ * Order of waiting requests. Resumed streams go first, since their callers
+ * count each pause and the work done so far would be lost. Then come requests
+ * that can still be answered on time, by priority and then by the time left,
+ * and last those that are late in any case: a late answer is worth a quarter,
+ * and serving it would make another request late too.
  */
 function compare(
   one: SlotRequest,
--- a/packages/fleet/src/entry/stream_handover.ts
+++ b/packages/fleet/src/entry/stream_handover.ts
@@ -13,36 +13,38 @@
 } from '@hibiscusbeam/core';
 import type {Clock} from '@hibiscusbeam/daemon';
 
-/** A stream that could go on at another target. */
+/** A stream that could continue at another target. */
 export interface MovableStream {
-  /** What its next place must have. */
+  /** What its next slot must provide. */
   readonly need: () => PlacementRequest;
-  /** When its first event was passed on; undefined before. */
+  /** When its first event was forwarded; undefined before. */
   readonly begunAt: () => MonotonicInstant | undefined;
-  /** What is left of it; undefined while that can't be told. */
+  /** What is left of it; undefined while that is unknown. */
   readonly rest: () => RemainingStream | undefined;
-  /** Whether it can go on where it stands now. */
+  /** Whether it can currently be moved. */
   readonly mayMove: () => boolean;
-  /** Takes one of the repeats that the site allows, if one is left. */
+  /** Takes one of the retries that the site allows, if one is left. */
   readonly takeMove: () => boolean;
-  /** Lets the stream go on at its next place, once that has begun. */
+  /** Lets the stream continue at its next target, once that has started. */
   readonly handOver: () => void;
 }
 
 /**
- * Moves streams away from targets that are to load weights, and those that won't
- * end before their callers' deadline to faster ones.
+ * Moves streams away from targets that are about to load weights, and streams
+ * that won't end before their callers' deadline to faster targets.
  */
 export interface StreamHandover {
-  /** Offers a stream at `target`; the returned function takes it back. */
+  /**
+   * Registers a stream that runs at `target`; the returned function removes it.
+   */
   readonly offer: (target: ListedTarget, stream: MovableStream) => () => void;
-  /** Lengths of the streams that this entry has passed on. */
+  /** Lengths of the streams that this entry has forwarded. */
   readonly lengths: StreamLengths;
   /** Looks for streams to move, after something has changed. */
   readonly check: () => void;
 }
 
-/** What the handover needs. */
+/** Options of the stream handover. */
 export interface StreamHandoverOptions {
   readonly registry: TargetRegistry;
   readonly clock: Clock;
@@ -51,8 +53,8 @@
 }
 
 /**
- * Pause before the next stream is moved: each sees the places that the ones
- * before it have taken.
+ * Pause before the next stream is moved, so that each sees the slots that the
+ * ones before it have taken.
  */
 const NEXT_MOVE_DELAY: Milliseconds = 5;
 
@@ -65,7 +67,7 @@
   movedAt: MonotonicInstant;
 }
 
-/** Creates the handover over the places of `book`. */
+/** Creates the handover; slots are those of `registry`. */
 export function createStreamHandover(
   options: StreamHandoverOptions,
 ): StreamHandover {
@@ -80,7 +82,7 @@
       .filter(offer => isMovable(offer, now))
       .sort((one, other) => gain(other, now) - gain(one, now));
     if (candidates.length === 0) return;
-    // Without a place or a repeat the next report is waited for.
+    // Without a free slot or a retry, the next report triggers another check.
     if (!candidates.some(tryToMove)) return;
     timer = setTimeout(() => {
       timer = undefined;
@@ -97,8 +99,9 @@
     const first = registry.forecast(place.target, need);
     if (rest !== undefined && !endsInTime(rest, first ?? 0)) return false;
     if (!stream.takeMove()) return false;
-    // Failure: the move finds no place, or its send fails, and the stream stays at
-    // an engine that waits for it. Guard: it is offered until it has left.
+    // The move may find no slot, or its attempt may fail, and the stream stays
+    // at an engine that waits for it. It remains registered until it has left,
+    // so that the move is tried again.
     offer.movedAt = clock();
     stream.handOver();
     return true;
@@ -116,7 +119,10 @@
     return options.movesLateStreams ? stream.rest() : undefined;
   }
 
-  /** The rest of a stream that won't end in time where it runs. */
+  /**
+   * What is left of a stream that won't end in time where it runs; undefined
+   * for others.
+   */
   function lateRest({stream}: Offer): RemainingStream | undefined {
     const rest = restOf(stream);
     return rest && timeSavedByMove(rest) !== undefined ? rest : undefined;
--- a/packages/fleet/src/entry/stream_relay.ts
+++ b/packages/fleet/src/entry/stream_relay.ts
@@ -11,44 +11,44 @@
 import type {ForwardedStream} from './attempts_in_flight';
 import type {SilenceMonitor} from './silence_monitor';
 
-/** What reached the caller of one stream, over all of its attempts. */
+/** What has reached the caller of one stream, over all attempts. */
 export interface StreamProgress {
   begun: boolean;
   lastEventId: string | undefined;
-  /** When the first event was passed on. */
+  /** When the first event was forwarded. */
   begunAt: MonotonicInstant | undefined;
 }
 
-/** What a relay needs. */
+/** Options of forwarding one stream. */
 export interface StreamRelayOptions {
   readonly answer: IncomingAnswer;
   readonly response: ServerResponse;
   readonly buffers: Pick<RequestBuffers, 'note'>;
   readonly protocol: RequestProtocol;
   readonly progress: StreamProgress;
-  /** Is told of the target's bytes; doesn't count while none are read. */
+  /** Records the target's bytes; paused while none are read. */
   readonly silence: SilenceMonitor;
-  /** Aborts when nothing more may be passed on. */
+  /** Aborts when nothing more may be forwarded. */
   readonly signal: AbortSignal;
-  /** Takes the stream, so that it can be held. */
+  /** Receives the stream, so that it can be held. */
   readonly onStream: (stream: ForwardedStream) => void;
-  /** Is told before anything is passed on. */
+  /** Called before anything is forwarded. */
   readonly onForward: () => void;
   readonly now: () => MonotonicInstant;
-  /** Header lines of our own for the caller. */
+  /** Header lines that the entry adds for the caller. */
   readonly ownLines: () => readonly string[];
-  /** Is told of each event that this target has sent. */
+  /** Called for each event of this target. */
   readonly onEvent: () => void;
-  /** Is told when the first event of all attempts has come. */
+  /** Called when the first event of all attempts has arrived. */
   readonly onFirstEvent: () => void;
 }
 
 /**
- * Passes a target's events on as they come, whole ones only.
+ * Forwards a target's events as they arrive, only whole ones.
  *
- * Failure: a target stops in the middle of an event, and another one goes on
- * after it: the caller would see half an event run into the next. So bytes wait
- * until their event is whole.
+ * If a target stops in the middle of an event and another target resumes the
+ * stream, the caller would see half an event run into the next. So bytes are
+ * buffered until their event is complete.
  */
 export function relayStream(
   options: StreamRelayOptions,
@@ -105,8 +105,8 @@
       }
       options.onForward();
       begin();
-      // Whether events passed on by length may end here is not for a body to
-      // say that has none.
+      // An answer without framing can't confirm that a stream is complete whose
+      // response to the caller was begun with chunked encoding.
       if (!answer.isFramed && progress.begun && response.chunkedEncoding) {
         return broken('connectionLost');
       }
@@ -118,7 +118,10 @@
   });
 }
 
-/** Reads the target's body while the stream is not held and its caller takes it. */
+/**
+ * Reads the target's body unless the stream is held or its caller's buffer is
+ * full.
+ */
 function createBodyReader({answer, response, silence}: StreamRelayOptions) {
   let isHeld = false;
   let isCallerFull = false;
@@ -147,7 +150,7 @@
   return {
     hold: () => setHeld(true),
     release: () => setHeld(false),
-    /** Reads on once the caller has taken what was passed on. */
+    /** Pauses reading until the caller has taken what was forwarded. */
     awaitCaller: () => {
       if (isCallerFull || response.destroyed) return;
       setCallerFull(true);
@@ -156,7 +159,10 @@
   };
 }
 
-/** Whether an event may follow: ids only grow, one by one where they count. */
+/**
+ * Whether an event may follow the last one: numeric ids increase by one, others
+ * are not checked.
+ */
 function mayFollow(
   last: string | undefined,
   next: string | undefined,
--- a/packages/fleet/src/entry/target_follower.ts
+++ b/packages/fleet/src/entry/target_follower.ts
@@ -19,85 +19,97 @@
 import type {Revision, TargetList, TargetReading, UnusableRow} from '../ports';
 
 /**
- * Share of the draining bound after which the list is read again. Three reads fit
- * into the bound: one may be lost and the next one late, and a target that was
- * kept for a while after the store's return is dropped sooner.
+ * Interval between reads of the list, as a share of the draining bound. Three
+ * reads fit into the bound: one may be lost and the next one late. It also
+ * drops a target sooner that was kept for a while after the store's return.
  */
 const READ_PERIOD_SHARE = 0.3;
 
 /**
- * Longest time for one read, as a share of the draining bound: what the period
- * leaves of it, less a little for what follows.
+ * Timeout of one read, as a share of the draining bound: what the interval
+ * leaves of it, minus a little for what follows.
  *
- * Failure: a configuration goes to all processes of a region, and answers of the
- * store come a second late. Given up after 0.6 s and asked anew after a period,
- * an entry learned of a target's leaving 3.3 s after the store had, and sent it
- * requests after its bound of 3 s. Guard: reads begin by the clock, whether or
- * not the one before has been answered, and each may take what is left.
+ * Reads start by the clock, whether or not the one before has been answered,
+ * and each may take the rest of the bound. When a configuration goes to all
+ * processes of a region, answers of the store come a second late. With reads
+ * given up after 0.6 s and repeated after a period, an entry learned 3.3 s
+ * after the store that a target was leaving, and sent it requests after its
+ * bound of 3 s.
  */
 const READ_TIMEOUT_SHARE = 0.5;
 
-/** How long after the store's return lapsed targets may come back. */
+/** How long lapsed targets may come back after the store's return. */
 const LAPSED_RETURN_TIME: Milliseconds = 2_000;
 
 /**
- * Share of the draining bound by which the relay's last look at the store may lie
- * back before an entry reads the list itself: the relay's period and a quarter of
- * it. With a look's delay (0.1) and the longest read it stays within the bound.
+ * Maximum age of the relay's last reading, as a share of the draining bound,
+ * before an entry reads the list itself: the relay's interval and a quarter of
+ * it. With the delay of a check (0.1) and the longest read it stays within the
+ * bound.
  */
 const MAX_RELAYED_AGE_SHARE = 0.37;
 
 /**
- * Times of that after which an entry with a relay reads again once a read has shown
- * that the store is away: its relay reads meanwhile. Once the store is back, the list is read
- * within 0.78 of the bound even if the relay is lost too.
+ * Factor by which an entry with a relay waits longer once a read has shown that
+ * the store is unavailable: its relay keeps reading. Once the store is back,
+ * the list is read within 0.78 of the bound even if the relay is lost too.
  */
 const STORE_UNAVAILABLE_FACTOR = 2;
 
-/** Share of that which is added, by entry, so that not all read at once. */
+/**
+ * Share of the delay that is added, by entry, so that not all read at the same
+ * time.
+ */
 const READ_SPREAD_SHARE = 0.05;
 
 /**
  * Heartbeats between two listings after which the store counts as having been
- * away: a line lapses after three without one, and the last of a target came up
- * to one before the store went.
+ * unavailable: a row lapses after three without one, and the last one of a
+ * target came up to one before the store went away.
  */
 const LAPSED_HEARTBEATS = 2;
 
-/** Looks in a reading period at whether a read is due. */
+/** Checks in a read interval for whether a read is due. */
 const CHECKS_IN_PERIOD = 3;
 
-/** The targets at a reading of the list. */
+/** A reading of the list of targets. */
 export interface TargetListing {
   readonly revision: Revision;
-  /** How often the store had come back from a copy. */
+  /** Number of times the store was restored from a copy. */
   readonly era: number;
-  /** The store's own steady clock. */
+  /** The store's own monotonic clock. */
   readonly storeTime: Milliseconds;
-  /** As they were listed; each process knows itself which may come back. */
+  /**
+   * Targets as listed; each process decides itself which lapsed ones it keeps.
+   */
   readonly targets: readonly ListedTarget[];
 }
 
-/** What a follower of the list needs. */
+/** Dependencies of the target follower. */
 export interface TargetFollowerOptions {
   readonly list: TargetList;
   readonly registry: TargetRegistry;
   readonly clock: Clock;
-  /** Counts suspensions, in which what a relay has told grows old too. */
+  /**
+   * Clock that also counts while the machine is suspended, since relayed
+   * readings age then too.
+   */
   readonly machineClock: Clock;
   readonly storeClock: StoreClock;
   readonly storeDistance: StoreDistance;
   readonly storeContact: StoreAvailability;
   /** Whether no relay of the zone reads the list for this entry. */
   readonly readsStore: () => boolean;
-  /** Told of each listing, own or heard, that is newer than those before. */
+  /**
+   * Called for each listing, own or relayed, that is newer than those before.
+   */
   readonly onListing: (listing: TargetListing) => void;
   /** Number in [0, 1) that differs by entry. */
   readonly spread: number;
   readonly log: Log;
   readonly draining: Milliseconds;
   readonly heartbeat: Milliseconds;
-  /** Told of the targets to go by, before the book is. */
+  /** Called with the targets in use, before the registry gets them. */
   readonly onTargets: (targets: readonly ListedTarget[]) => void;
   readonly onChange: () => void;
   /** Whether a service is configured; undefined before any configuration. */
@@ -106,13 +118,16 @@
 
 /** Follows the platform's list of targets. */
 export interface TargetFollower {
-  /** Takes a listing of the relay. */
+  /** Applies a listing that the relay has sent. */
   readonly receive: (listing: TargetListing) => void;
-  /** When the list was surely as it is held; undefined before the first one. */
+  /**
+   * Latest time at which the list is known to have been as it is held;
+   * undefined before the first listing.
+   */
   readonly listedAt: () => MonotonicInstant | undefined;
 }
 
-/** Keeps the book in step with the platform's list of targets. */
+/** Keeps the registry in sync with the platform's list of targets. */
 export function startTargetFollower(
   options: TargetFollowerOptions,
   signal: AbortSignal,
@@ -133,15 +148,18 @@
     (1 + READ_SPREAD_SHARE * options.spread);
   let loggedTargets = new Map<string, string>();
   let lost = false;
-  /** By the last own read. */
+  /** According to the last own read. */
   let isStoreAway = false;
   let newestRevision: Revision = -Infinity;
   let era: number | undefined;
   let askedAt: MonotonicInstant = -Infinity;
-  /** The list was surely so at this moment, by what a relay has told. */
+  /**
+   * Latest time at which the list is known to have been like this, from relayed
+   * readings.
+   */
   let relayedAt: MonotonicInstant = -Infinity;
   const startedAt = machineClock();
-  /** The same by any reading. */
+  /** The same from any reading. */
   let listedAt: MonotonicInstant | undefined;
 
   async function read(): Promise<void> {
@@ -167,10 +185,10 @@
     logAvailability(reply.err, reply.ok ? undefined : reply.val);
   }
 
-  /** Reads begin by the clock, whether or not the one before is answered. */
+  /** Starts reads by the clock, whether or not the one before is answered. */
   function readIfDue(): void {
     const now = machineClock();
-    // A look that comes a little early counts, so that reads don't slip.
+    // A check that runs a little early counts, so that reads don't drift.
     if (now - askedAt < period - checkPeriod / 2) return;
     if (options.readsStore()) return void read();
     if (now - relayedAt < relayedBound) return;
@@ -179,15 +197,16 @@
   }
 
   /**
-   * Failure: a relay is frozen, or its words are held up on their way, and an
-   * entry takes an old list for a new one: it sends requests to a target that has
-   * left. Guard: how old a list is goes by the store's clock at its reading, as
-   * the answers to this entry's own reads relate it to the clock here.
+   * Applies a listing of a relay. Its age is taken from the store's clock at
+   * its reading, which the answers to this entry's own reads relate to the
+   * local clock. Otherwise, if the relay is frozen or its updates are delayed
+   * on their way, an entry would take an old list for a new one and send
+   * requests to a target that has left.
    */
   function receive(listing: TargetListing): void {
-    const lookedAt = options.storeClock.localTimeLowerBound(listing.storeTime);
-    if (lookedAt === undefined || listing.revision < newestRevision) return;
-    const provenAt = Math.min(machineClock(), lookedAt);
+    const readAt = options.storeClock.localTimeLowerBound(listing.storeTime);
+    if (readAt === undefined || listing.revision < newestRevision) return;
+    const provenAt = Math.min(machineClock(), readAt);
     if (provenAt - (listedAt ?? startedAt) >= absence) {
       memory.recordFailure(clock() - absence);
     }
@@ -217,13 +236,13 @@
     options.onChange();
   }
 
-  /** Targets of services that no route can name, as rows that are of no use. */
+  /** Targets of services that no route can use, reported like unusable rows. */
   function unconfiguredRows(reading: TargetReading): readonly UnusableRow[] {
     return reading.targets
       .filter(({service}) => options.isConfigured(service) === false)
       .map(({instance, service}) => ({
         key: instance,
-        // The same for each of its revisions, so that it is told of once.
+        // The same for all its revisions, so that it is reported once.
         revision: 0,
         reason: `service ${service} is not configured`,
       }));
--- a/packages/fleet/src/entry/target_sender.ts
+++ b/packages/fleet/src/entry/target_sender.ts
@@ -22,26 +22,26 @@
 import {createAttemptRecorder, type AttemptRecorder} from './attempt_recorder';
 import {maxSilence} from './timeliness';
 
-/** What the sends of one request need from its run. */
+/** What the attempts of one request need from its run. */
 export interface TargetSenderHooks {
   readonly attempts: AttemptsInFlight;
   readonly needOf: (tried: readonly ListedTarget[]) => PlacementRequest;
-  /** Whether what led to the choice of the target still holds. */
+  /** Whether the choice of the target is still valid. */
   readonly mayBegin: (planned: PlannedAttempt) => boolean;
-  /** Whether a place for another send is looked for. */
+  /** Whether a slot for another attempt is being looked for. */
   readonly isChoosing: () => boolean;
-  /** Takes a whole answer that may be passed on. */
+  /** Receives a complete answer that may be forwarded. */
   readonly keepAnswer: (answer: WholeAnswer) => void;
-  /** Is told that a send has ended and may have run. */
+  /** Called when an attempt has ended that may have run. */
   readonly onRun: () => void;
 }
 
-/** A send under way, and what it has taken. */
+/** An attempt in flight, and what it has taken. */
 interface StartedAttempt {
   readonly planned: PlannedAttempt;
   readonly send: AttemptInFlight;
   readonly sentAt: MonotonicInstant;
-  /** Time until its first event; undefined for plain targets. */
+  /** Forecast time until its first event; undefined for plain targets. */
   readonly forecast: Milliseconds | undefined;
   readonly line: AttemptTrace;
   readonly recorder: AttemptRecorder;
@@ -49,13 +49,16 @@
   readonly foundClosed: AbortController;
   /** Pauses between the events of this target. */
   readonly pauses: EventPauses;
-  /** Gives back what the send has taken. */
+  /** Releases what the attempt has taken. */
   readonly leave: () => void;
-  /** The whole answer, once it is there. */
+  /** The complete answer, once received. */
   answer: WholeAnswer | undefined;
 }
 
-/** Creates what sends one request to targets; reports go to `sends`. */
+/**
+ * Creates the function that sends one request to targets; results are reported
+ * to `attempts`.
+ */
 export function createTargetSender(
   options: RequestRunOptions,
   context: RequestRunContext,
@@ -65,16 +68,16 @@
   const {header, route, service, access, run} = accepted;
   const {attempts} = hooks;
   let startedAttempts = 0;
-  /** Whether a move was paid for that no send has used. */
+  /** Whether a retry was taken for a move that no attempt has used yet. */
   let hasPaidMove = false;
 
   function headerLines({place, version}: PlannedAttempt): readonly string[] {
-    const patience = accepted.deadline - options.clock();
+    const timeLeft = accepted.deadline - options.clock();
     const lines = options.protocol.writeTarget(request.rawHeaders, {
       target: place.target,
       workspace:
         access.kind === 'workspace' ? access.workspace.name : undefined,
-      patience: Math.max(1, Math.floor(patience)),
+      patience: Math.max(1, Math.floor(timeLeft)),
       priority: options.admission.isByLevel
         ? enginePriority(accepted)
         : undefined,
@@ -131,7 +134,7 @@
     };
   }
 
-  /** Its own prompt is among those that the target has not read. */
+  /** The target's unread prompts already include the request's own. */
   function forecastOf({
     place,
     tried,
@@ -218,7 +221,7 @@
     options.metrics.observeForecastError(service, took - forecast);
   }
 
-  /** What ended the request has ended the send, too. */
+  /** The attempt ends for the same reason as the request, if that has ended. */
   function endOf(outcome: ForwardAttemptEnd): ForwardAttemptEnd {
     const by = context.endedBy();
     if (by === undefined || outcome.kind === 'streamed') return outcome;
@@ -230,7 +233,9 @@
     detectionDelay: Milliseconds,
   ): void {
     options.metrics.countSilence(route.name);
-    begun.line.explain(`silent; noticed ${Math.round(detectionDelay)} ms late`);
+    begun.line.explain(
+      `silent; detected ${Math.round(detectionDelay)} ms late`,
+    );
     begun.recorder.recordSilence();
     const {begun: streamBegun} = progress;
     const lastEventId = streamBegun ? progress.lastEventId : undefined;
@@ -239,8 +244,8 @@
   }
 
   /**
-   * A silent target at whose address nothing listens has ended, unless it leaves:
-   * then it may finish what it runs.
+   * A silent target has ended if nothing listens at its address, unless it is
+   * leaving: then it may still finish what it runs.
    */
   async function probeTarget({
     planned,
@@ -253,7 +258,9 @@
     if (options.registry.isStaying(target)) foundClosed.abort();
   }
 
-  /** Lets the stream go on elsewhere once its target is to load weights. */
+  /**
+   * Registers a resumable stream, so that it can be moved to another target.
+   */
   function offerToMove(
     {place: {target}, tried}: PlannedAttempt,
     send: AttemptInFlight,
@@ -304,7 +311,7 @@
     };
   }
 
-  /** Ids of streams that can go on count their events. */
+  /** The event ids of resumable streams count the events. */
   function forwardedEvents(): number | undefined {
     const forwarded = Number(progress.lastEventId);
     return Number.isInteger(forwarded) ? forwarded : undefined;
@@ -316,9 +323,12 @@
     options.handover.lengths.record(route.name, events, run.answerTokens);
   }
 
-  /** The request may have ended before the failure of its send is known. */
+  /**
+   * Reports an internal failure. The request may have ended before, so it is
+   * also logged.
+   */
   function fail(error: unknown): void {
-    options.log.error('send failed in this process', {error});
+    options.log.error('attempt failed in this process', {error});
     attempts.fail(error);
   }
 
--- a/packages/fleet/src/entry/timeliness.ts
+++ b/packages/fleet/src/entry/timeliness.ts
@@ -10,56 +10,66 @@
 import type {AcceptedRequest} from './request_acceptance';
 
 /**
- * Time that a target takes, as a share of its route's objective, before any
- * answer of its service was seen. Idle engines took 130 ms of 400, plain
- * services 80 ms of 195.
+ * Expected answer time as a share of the route's objective, before any answer
+ * of the service was seen. Idle engines took 130 ms of 400, plain services 80
+ * ms of 195.
  */
 const INITIAL_ANSWER_SHARE = 0.35;
 
 /**
- * Longest wait for a place of a request that is late anyhow. Held longer, its
- * refusal would cost its caller more than the chance of a place is worth.
+ * Maximum wait for a slot of a request that is late in any case. Waiting longer
+ * would delay its refusal by more than the chance of a slot is worth to the
+ * caller.
  */
 const MAX_LATE_WAIT: Milliseconds = 60;
 
-/** Silence, in objectives, after which a target is suspected to have ended. */
+/**
+ * Silence, in multiples of the route's objective, after which a target is
+ * suspected to have ended.
+ */
 const MAX_SILENCE_OBJECTIVES = 3.5;
 
-/** Least silence after which a target is suspected to have ended. */
+/** Minimum silence after which a target is suspected to have ended. */
 const MIN_SILENCE: Milliseconds = 500;
 
 /**
- * Longest wait for a place of a stream that broke. Callers give a stream up
+ * Maximum wait for a slot of a stream that broke. Callers give a stream up
  * after a pause of two seconds, and the new run needs a part of that.
  */
 const MAX_RESUME_WAIT: Milliseconds = 1_000;
 
 /**
- * Share of the longest patience on a route that a first attempt has at least.
+ * Minimum share of the route's longest caller timeout that a first attempt has.
  *
- * Callers of one route differ in patience by up to 15 in 100; taken for time spent,
- * the difference makes first attempts look late. Refused callers return with less.
+ * Timeouts of callers of one route differ by up to 15 in 100. Counted as time
+ * already spent, the difference would make first attempts look late, while
+ * refused callers return with a timeout shorter than that.
  */
 const MIN_FIRST_ATTEMPT_SHARE = 0.85;
 
-/** Weight of one first attempt in the mean patience of its route. */
+/** Weight of one first attempt in the mean timeout of its route. */
 const TIMEOUT_WEIGHT = 0.05;
 
-/** Until when a request may wait for a place. */
+/** Until when a request may wait for a slot. */
 export interface SlotWaitLimits {
-  /** Until then a place makes for an answer on time. */
+  /** A slot taken until then still yields an answer on time. */
   readonly onTimeUntil: MonotonicInstant;
   readonly waitUntil: MonotonicInstant;
 }
 
-/** Knows until when requests are worth waiting for. */
+/** Computes until when it is worth waiting with a request. */
 export interface Timeliness {
-  /** When the request's objective ends, counted from its caller's first attempt. */
+  /**
+   * When the request's objective ends, counted from its caller's first attempt.
+   */
   readonly objectiveEnd: (accepted: AcceptedRequest) => MonotonicInstant;
   readonly limits: (accepted: AcceptedRequest) => SlotWaitLimits;
-  /** Whether the caller has asked before, by the patience that it has lost. */
+  /**
+   * Whether the caller has sent the request before, by the part of its timeout
+   * that has passed.
+   */
   readonly isLaterAttempt: (accepted: AcceptedRequest) => boolean;
-  /** Limits for a stream that has begun and goes on elsewhere. */
+  /** Limits for a stream that has begun and resumes elsewhere. */
   readonly resumeLimits: (
     accepted: AcceptedRequest,
     now: MonotonicInstant,
@@ -67,8 +77,8 @@
 }
 
 /**
- * Creates the limits; they learn how long callers wait on each route, and go by
- * the times that targets take.
+ * Creates the limits. They learn the timeouts of callers on each route, and use
+ * the answer times of targets.
  */
 export function createTimeliness(answerTimes: FirstEventTimes): Timeliness {
   const routeTimeouts = createRouteTimeouts();
@@ -106,8 +116,8 @@
 }
 
 /**
- * When to come back, not before `least`: spread, so that refused requests don't
- * return at once.
+ * Retry-After, at least `min`; spread, so that refused requests don't return
+ * all at once.
  */
 export function spreadRetryAfter(
   requestId: string | undefined,
@@ -119,27 +129,27 @@
   return first + objective * share * RETRY_SPREAD_OBJECTIVES;
 }
 
-/** Longest silence of a target before it is suspected to have ended. */
+/** Maximum silence of a target before it is suspected to have ended. */
 export function maxSilence(route: Route): Milliseconds {
   return Math.max(MIN_SILENCE, route.objective * MAX_SILENCE_OBJECTIVES);
 }
 
-/** The patience of first attempts on a route. */
+/** Caller timeouts of first attempts on a route. */
 interface FirstAttemptTimeouts {
   longest: Milliseconds;
   mean: Milliseconds;
 }
 
-/** Tells first attempts of callers from later ones by their patience. */
+/** Distinguishes first attempts from later ones by the caller's timeout. */
 function createRouteTimeouts() {
   /**
-   * Failure: an operator shortens a route's timeout. Measured against the
-   * patience seen before, all requests on it look late, go behind all others
-   * and are refused first. Guard: each timeout is learned apart.
+   * Learned separately for each route timeout. Otherwise, after an operator
+   * shortens a timeout, all requests look late against the timeouts seen
+   * before: they are ordered behind all others and refused first.
    */
   const learned = new Map<string, FirstAttemptTimeouts>();
 
-  /** How long ago the caller's first attempt was; 0 if it is this one. */
+  /** How long ago the caller's first attempt was; 0 if this is the first. */
   function timeSpent({header, route}: AcceptedRequest): Milliseconds {
     const timeout = Math.min(header.patience ?? Infinity, route.timeout);
     const key = `${route.name} ${route.timeout}`;
--- a/test/fleet/attempt_recorder.test.ts
+++ b/test/fleet/attempt_recorder.test.ts
@@ -32,7 +32,7 @@
     },
   } as unknown as RequestRunOptions;
 
-  function send(foundClosed = new AbortController()) {
+  function createRecorder(foundClosed = new AbortController()) {
     const never = new AbortController().signal;
     const place = {target: doubted, lifeEnded: never} as TakenSlot;
     return createAttemptRecorder(options, {accepted, place, foundClosed});
@@ -49,53 +49,53 @@
     return !taken.includes('doubted');
   }
 
-  return {send, isAvoided, endings};
+  return {createRecorder, isAvoided, endings};
 }
 
 const LOST = {kind: 'unknown', cause: 'connectionLost'} as const;
 
 test('a target is avoided after two silent sends', () => {
-  const {send, isAvoided} = startSite();
-  send().recordSilence();
-  send().recordSilence();
+  const {createRecorder, isAvoided} = startSite();
+  createRecorder().recordSilence();
+  createRecorder().recordSilence();
   expect(isAvoided()).toBe(true);
 });
 
 test('a target is avoided after one refused connection', () => {
-  const {send, isAvoided} = startSite();
-  send().recordEnd({kind: 'notRun', cause: 'connectionRefused'});
+  const {createRecorder, isAvoided} = startSite();
+  createRecorder().recordEnd({kind: 'notRun', cause: 'connectionRefused'});
   expect(isAvoided()).toBe(true);
 });
 
 test('a send that was silent and then failed counts once', () => {
-  const {send, isAvoided} = startSite();
-  const notes = send();
+  const {createRecorder, isAvoided} = startSite();
+  const notes = createRecorder();
   notes.recordSilence();
   notes.recordEnd(LOST);
   expect(isAvoided()).toBe(false);
 });
 
 test('a silent target that answers in the end is in no doubt', () => {
-  const {send, isAvoided} = startSite();
-  const both = [send(), send()];
+  const {createRecorder, isAvoided} = startSite();
+  const both = [createRecorder(), createRecorder()];
   for (const notes of both) notes.recordSilence();
   both[0]!.recordEnd({kind: 'answered', success: true});
   expect(isAvoided()).toBe(false);
 });
 
 test('the deadline of a silent send is no success of its target', () => {
-  const {send, isAvoided} = startSite();
-  const both = [send(), send()];
+  const {createRecorder, isAvoided} = startSite();
+  const both = [createRecorder(), createRecorder()];
   for (const notes of both) notes.recordSilence();
   for (const notes of both) notes.recordEnd({kind: 'timedOut'});
   expect(isAvoided()).toBe(true);
 });
 
 test('a target at whose address nothing listens has ended under its request', () => {
-  const {send, endings} = startSite();
+  const {createRecorder, endings} = startSite();
   const foundClosed = new AbortController();
   foundClosed.abort();
-  send(foundClosed).recordEnd(LOST);
-  send().recordEnd(LOST);
+  createRecorder(foundClosed).recordEnd(LOST);
+  createRecorder().recordEnd(LOST);
   expect(endings).toEqual(['ended', 'lost']);
 });
