--- a/packages/fleet/src/entry/attempt_recorder.ts
+++ b/packages/fleet/src/entry/attempt_recorder.ts
@@ -61,7 +61,7 @@
     switch (end.kind) {
       case 'unknown':
       case 'broken':
-        if (place.lifeEnded.aborted || foundClosed.signal.aborted) {
+        if (place.incarnationEnded.aborted || foundClosed.signal.aborted) {
           return crashMonitor.recordEnded(fingerprint, target);
         }
         return void crashMonitor.recordLostConnection(fingerprint, target);
--- a/packages/fleet/src/entry/buffered_bytes.ts
+++ b/packages/fleet/src/entry/buffered_bytes.ts
@@ -59,12 +59,12 @@
    * Whether there is anything for the reader to take: a whole answer may still
    * be arriving.
    */
-  readonly isOffered: () => boolean;
+  readonly hasPending: () => boolean;
   /** Bytes that the operating system has accepted on the connection. */
   readonly taken: () => Bytes;
   readonly drop: () => void;
   takenBefore: Bytes;
-  movedAt: MonotonicInstant;
+  progressedAt: MonotonicInstant;
 }
 
 /**
@@ -84,11 +84,11 @@
   let stopChecks: (() => void) | undefined;
 
   function track(
-    reader: Omit<Reader, 'takenBefore' | 'movedAt'>,
+    reader: Omit<Reader, 'takenBefore' | 'progressedAt'>,
     closing: ClientRequest | ServerResponse,
   ): void {
     if (closing.destroyed) return;
-    const tracked = {...reader, takenBefore: 0, movedAt: clock()};
+    const tracked = {...reader, takenBefore: 0, progressedAt: clock()};
     readers.add(tracked);
     stopChecks ??= every(CHECK_PERIOD_MS, check);
     closing.once('close', () => {
@@ -111,10 +111,10 @@
     const buffered = [...readers].map(reader => {
       const held = reader.held();
       const taken = reader.taken();
-      const isStalled = reader.isOffered() && taken <= reader.takenBefore;
-      if (!isStalled) reader.movedAt = now;
+      const isStalled = reader.hasPending() && taken <= reader.takenBefore;
+      if (!isStalled) reader.progressedAt = now;
       reader.takenBefore = taken;
-      return {reader, held, stalledFor: now - reader.movedAt};
+      return {reader, held, stalledFor: now - reader.progressedAt};
     });
     for (const {reader, held, stalledFor} of selectReadersToDrop(
       buffered,
@@ -140,7 +140,7 @@
         kind: 'caller',
         requestId,
         held: () => wholeAnswerBytes + response.writableLength,
-        isOffered: () => response.writableLength > 0,
+        hasPending: () => response.writableLength > 0,
         taken: () => takenBy(response.socket),
         drop: () => void response.destroy(),
       } as const;
@@ -157,7 +157,7 @@
               kind: 'target',
               requestId,
               held: () => request.writableLength,
-              isOffered: () => request.writableLength > 0,
+              hasPending: () => request.writableLength > 0,
               taken: () => takenBy(request.socket),
               drop: () => void request.destroy(new Error('read too slowly')),
             },
--- a/packages/fleet/src/entry/entry.ts
+++ b/packages/fleet/src/entry/entry.ts
@@ -147,7 +147,7 @@
   const storeClock = createStoreClock();
   const storeDistance = createStoreDistance();
   const failurePause = createFailurePause(hash32(settings.instance) / 2 ** 32);
-  const storeContact = createStoreAvailability(failurePause.recordAnswer);
+  const storeAvailability = createStoreAvailability(failurePause.recordAnswer);
   const confirmation = createConfirmation(storeClock);
   const copies = createConfigurationCopies();
   const spread = hash32(settings.instance) / 2 ** 32;
@@ -155,7 +155,7 @@
     confirmation,
     listedAt: () => targets.listedAt(),
     evacuationsReadAt: () => operator.evacuationsReadAt(),
-    storeContact,
+    storeAvailability,
     machineClock,
     bounds: {...bounds, evacuation},
   });
@@ -182,7 +182,7 @@
     metrics,
     table: () => operator.table(),
   });
-  const paced = createSendPacer({
+  const sendPacer = createSendPacer({
     self: {instance: settings.instance, zone: settings.zone},
     rateOf: target =>
       minDefined(limits.rateOf(target), coldTargets.rateOf(target)),
@@ -209,7 +209,7 @@
   const registry = createTargetRegistry(
     {instance: settings.instance, zone: settings.zone},
     areTargetsKnown,
-    paced.maySend,
+    sendPacer.maySend,
     {
       placement: settings.placement,
       isEvacuated: evacuations.isEvacuated,
@@ -220,7 +220,7 @@
   const slotQueue = createSlotQueue(
     registry,
     clock,
-    paced.recordSend,
+    sendPacer.recordSend,
     settings.admission === 'level' ? createFairOrder() : undefined,
   );
   const admission =
@@ -262,7 +262,7 @@
     clock: machineClock,
     confirmation,
     storeClock,
-    storeContact,
+    storeAvailability,
     versions,
     evacuations,
     log: logs('configuration'),
@@ -323,7 +323,7 @@
     onUsable: () => {
       const senders = [self, ...entryPeers.usable()];
       registry.setEntries(senders);
-      paced.setSenders(senders);
+      sendPacer.setSenders(senders);
     },
   });
   const members = createMemberFollower({
@@ -410,7 +410,7 @@
       machineClock,
       storeClock,
       storeDistance,
-      storeContact,
+      storeAvailability,
       readsStore: entryPeers.readsTargets,
       onListing: entryPeers.relayServer.setTargets,
       spread,
--- a/packages/fleet/src/entry/entry_peers.ts
+++ b/packages/fleet/src/entry/entry_peers.ts
@@ -290,9 +290,9 @@
   function recordState(
     instance: string,
     ready: boolean,
-    heardAt: number,
+    observedAt: number,
   ): void {
-    if (!states.record({instance, ready, observedAt: heardAt})) return;
+    if (!states.record({instance, ready, observedAt})) return;
     log.info(ready ? 'entry is ready' : 'entry is not ready', {instance});
     reportUsable();
     // Changes are sent on; relays that already know them don't send them again.
@@ -323,14 +323,14 @@
 
   function allStates(): EntryState[] {
     const now = clock();
-    const heard = states
+    const received = states
       .recentStates(now)
-      .map(({instance, ready, observedAt: heardAt}) => ({
+      .map(({instance, ready, observedAt}) => ({
         instance,
         ready,
-        ageMilliseconds: Math.max(0, Math.round(now - heardAt)),
+        ageMilliseconds: Math.max(0, Math.round(now - observedAt)),
       }));
-    return [ownState(), ...heard];
+    return [ownState(), ...received];
   }
 
   function check(): void {
--- a/packages/fleet/src/entry/held_readings.ts
+++ b/packages/fleet/src/entry/held_readings.ts
@@ -42,7 +42,7 @@
    * held.
    */
   readonly evacuationsReadAt: () => MonotonicInstant | undefined;
-  readonly storeContact: StoreAvailability;
+  readonly storeAvailability: StoreAvailability;
   /** Clock that also counts while the machine is suspended. */
   readonly machineClock: Clock;
   readonly bounds: {
@@ -61,7 +61,7 @@
 
 /** Creates the evaluation of the readings that an entry holds. */
 export function createHeldReadings(options: HeldReadingsOptions): HeldReadings {
-  const {confirmation, storeContact, machineClock, bounds} = options;
+  const {confirmation, storeAvailability, machineClock, bounds} = options;
 
   function evaluate(
     bound: Milliseconds,
@@ -70,7 +70,7 @@
     return evaluateReading({
       age: machineClock() - readAt,
       bound,
-      isStoreUnavailable: storeContact.isUnavailableSince(readAt),
+      isStoreUnavailable: storeAvailability.isUnavailableSince(readAt),
     });
   }
 
--- a/packages/fleet/src/entry/operator_follower.ts
+++ b/packages/fleet/src/entry/operator_follower.ts
@@ -174,7 +174,7 @@
   readonly clock: Clock;
   readonly confirmation: Confirmation;
   readonly storeClock: StoreClock;
-  readonly storeContact: StoreAvailability;
+  readonly storeAvailability: StoreAvailability;
   readonly versions: NamedVersions;
   readonly copies: ConfigurationCopies;
   readonly evacuations: EvacuationMonitor;
@@ -215,14 +215,14 @@
     },
   });
   const evacuationConfirmation = createConfirmation(options.storeClock);
-  let askedAt: MonotonicInstant = -Infinity;
+  let queryAt: MonotonicInstant = -Infinity;
   let adoptedAt: MonotonicInstant = -Infinity;
   let newestChange: Revision = 0;
   let relayedChange: Revision = 0;
   /** Revision up to which the table is known. */
   let knownUntil: Revision = 0;
   /** According to the last own query. */
-  let isStoreAway = false;
+  let isStoreDown = false;
   let wake = (): void => undefined;
 
   function take(
@@ -280,11 +280,7 @@
     setTimeout(() => {
       if (options.source() !== 'store') return;
       void feed.recordNaming(named, ANSWER_SLACK).then(reply => {
-        if (reply.err) {
-          log.warn('failed to record a naming', {
-            error: reply.val,
-          });
-        }
+        if (reply.err) log.warn('naming was not recorded', {error: reply.val});
       });
     }, NAMING_RECORD_DELAY);
   }
@@ -340,12 +336,12 @@
   function mustQuery(): boolean {
     const source = options.source();
     if (source === 'store' || relayedChange > knownUntil) return true;
-    if (isStoreAway && source === 'zoneRelay') {
-      return clock() - askedAt >= queryAfter(source) * STORE_UNAVAILABLE_FACTOR;
+    if (isStoreDown && source === 'zoneRelay') {
+      return clock() - queryAt >= queryAfter(source) * STORE_UNAVAILABLE_FACTOR;
     }
     return (
       sinceAnswer() >= queryAfter(source) ||
-      clock() - askedAt >= OWN_QUERY_PERIOD
+      clock() - queryAt >= OWN_QUERY_PERIOD
     );
   }
 
@@ -362,7 +358,7 @@
    * queried.
    */
   function sinceAnswer(): Milliseconds {
-    return held.isNewestUnreadable() ? clock() - askedAt : confirmationAge();
+    return held.isNewestUnreadable() ? clock() - queryAt : confirmationAge();
   }
 
   async function untilMustQuery(signal: AbortSignal): Promise<void> {
@@ -407,7 +403,7 @@
       hedgeDelay: wait + bound * HEDGE_DELAY_SHARE,
       // While the store is unavailable, what is held counts in any case.
       isHedgeWanted: () =>
-        !options.storeContact.isUnavailableSince(
+        !options.storeAvailability.isUnavailableSince(
           confirmation.confirmedAt() ?? -Infinity,
         ),
     });
@@ -423,11 +419,11 @@
     query: () => Promise<Result<OperatorReading, HostError>>,
   ): Promise<Result<TimedReading, HostError>> {
     const sentAt = clock();
-    askedAt = sentAt;
+    queryAt = sentAt;
     const reply = await query();
-    const sign = storeCallOutcome(reply);
-    isStoreAway = showsStoreUnavailable(sign);
-    options.storeContact.record(sentAt, sign);
+    const outcome = storeCallOutcome(reply);
+    isStoreDown = showsStoreUnavailable(outcome);
+    options.storeAvailability.record(sentAt, outcome);
     return reply.map(reading => ({...reading, askedAt: sentAt}));
   }
 
--- a/packages/fleet/src/entry/relay_follower.ts
+++ b/packages/fleet/src/entry/relay_follower.ts
@@ -200,11 +200,11 @@
   ): RelayNews['demands'] {
     const known = sources.demands();
     const zones = isOfZone ? known : known.slice(0, 1);
-    const places = countRequestedSlots(zones);
-    const change = Math.abs(places - sentDemand);
+    const slots = countRequestedSlots(zones);
+    const change = Math.abs(slots - sentDemand);
     const isChanged = change > Math.max(1, sentDemand) * MIN_DEMAND_CHANGE;
     if (!areDue && !isChanged) return [];
-    sentDemand = places;
+    sentDemand = slots;
     return writeZoneDemands(zones, now);
   }
 
--- a/packages/fleet/src/entry/request_run.ts
+++ b/packages/fleet/src/entry/request_run.ts
@@ -58,7 +58,7 @@
   const attempts = createAttemptsInFlight();
   const sendTo = createTargetSender(options, context, {
     attempts,
-    needOf,
+    placementRequestFor,
     mayBegin,
     isChoosing: () => isChoosing,
     keepAnswer: kept => (answer = kept),
@@ -76,12 +76,14 @@
   let triedTargets: readonly ListedTarget[] = [];
   let trial: 'none' | 'held' | 'used' = 'none';
 
-  function needOf(tried: readonly ListedTarget[]): PlacementRequest {
+  function placementRequestFor(
+    tried: readonly ListedTarget[],
+  ): PlacementRequest {
     return {
       service,
       model: header.model,
-      minVersion: leastVersion(0),
-      minFarVersion: leastVersion(MAX_FAR_DELAY),
+      minVersion: oldestAllowedVersion(0),
+      minFarVersion: oldestAllowedVersion(MAX_FAR_DELAY),
       destinations: destinationsNow(),
       promptTime: run.promptTime,
       expectedRun: run.writingTime,
@@ -136,7 +138,7 @@
     return trial === 'held';
   }
 
-  async function choosePlace(
+  async function chooseSlot(
     tried: readonly ListedTarget[],
   ): Promise<ForwardReply<ListedTarget>> {
     const refusal = isAdmitted ? undefined : refusalOnArrival();
@@ -148,16 +150,16 @@
       return {kind: 'placed', place: {kind: 'noPlace', reason, retryAfter}};
     }
     triedTargets = [...tried];
-    const askedAt = options.clock();
+    const requestedAt = options.clock();
     const outcome = await takeSlot(triedTargets);
-    noteWait(outcome, options.clock() - askedAt);
+    recordWait(outcome, options.clock() - requestedAt);
     if (outcome === 'withdrawn') return attempts.next();
     if (outcome.kind === 'place') place = outcome;
     else trace.noPlace(outcome.kind);
     return {kind: 'placed', place: slotReply(outcome)};
   }
 
-  function noteWait(
+  function recordWait(
     outcome: SlotOutcome | 'withdrawn',
     waited: Milliseconds,
   ): void {
@@ -177,7 +179,7 @@
       void attempts.reported().then(() => withdrawal.abort());
     }
     const outcome = await options.places.take({
-      need: () => needOf(tried),
+      need: () => placementRequestFor(tried),
       promptTime: run.promptTime,
       isResumed: progress.begun,
       priority: priorityOf(accepted),
@@ -223,15 +225,15 @@
       case 'backingOff':
       case 'outdated': {
         const reason = NO_SLOT_REASONS[outcome.kind];
-        const least =
+        const minDelay =
           outcome.kind === 'backingOff' ? outcome.until - options.clock() : 0;
-        const retryAfter = options.admission.retryAfter(accepted, least);
+        const retryAfter = options.admission.retryAfter(accepted, minDelay);
         return {kind: 'noPlace', reason, retryAfter};
       }
     }
   }
 
-  function leastVersion(delay: Milliseconds): number | undefined {
+  function oldestAllowedVersion(delay: Milliseconds): number | undefined {
     if (header.model === undefined) return undefined;
     return options.versions.oldestAllowed(
       header.model,
@@ -248,7 +250,7 @@
   function versionFor(target: ListedTarget): number | undefined {
     if (
       header.model === undefined ||
-      leastVersion(MAX_FAR_DELAY) === undefined
+      oldestAllowedVersion(MAX_FAR_DELAY) === undefined
     ) {
       return undefined;
     }
@@ -259,7 +261,7 @@
     if (signal.aborted) return false;
     if (isQuarantined() && trial !== 'held') return false;
     if (access.kind === 'workspace' && !isKeyConfirmed(options)) return false;
-    return options.registry.mayStart(target, needOf(tried));
+    return options.registry.mayStart(target, placementRequestFor(tried));
   }
 
   function send(): Promise<ForwardReply<ListedTarget>> {
@@ -274,12 +276,12 @@
   async function nextOrRetry(): Promise<ForwardReply<ListedTarget>> {
     if (attempts.hasReport()) return attempts.next();
     const withdrawal = new AbortController();
-    const repeat = options.budgets.awaitRetry(service, withdrawal.signal);
-    await Promise.race([attempts.reported(), repeat]);
+    const retry = options.budgets.awaitRetry(service, withdrawal.signal);
+    await Promise.race([attempts.reported(), retry]);
     withdrawal.abort();
     // A retry that was granted alongside a report counts: its search for a slot
     // finds the report.
-    if (!(await repeat)) return attempts.next();
+    if (!(await retry)) return attempts.next();
     trace.repeat(true);
     return {kind: 'repeat', allowed: true};
   }
@@ -290,7 +292,7 @@
     switch (effect.kind) {
       case 'choosePlace':
         isChoosing = true;
-        return choosePlace(effect.tried).finally(() => (isChoosing = false));
+        return chooseSlot(effect.tried).finally(() => (isChoosing = false));
       case 'send':
         return send();
       case 'wait':
--- a/packages/fleet/src/entry/slot_queue.ts
+++ b/packages/fleet/src/entry/slot_queue.ts
@@ -24,7 +24,7 @@
        * Aborts when the target's incarnation ends, and with it the request
        * there.
        */
-      readonly lifeEnded: AbortSignal;
+      readonly incarnationEnded: AbortSignal;
     }
   | {readonly kind: 'full'}
   | {readonly kind: 'none'}
@@ -127,7 +127,12 @@
         at: now,
         onIncarnationEnded: () => incarnation.abort(),
       });
-      return {kind: 'place', target, inFlight, lifeEnded: incarnation.signal};
+      return {
+        kind: 'place',
+        target,
+        inFlight,
+        incarnationEnded: incarnation.signal,
+      };
     }
     return isWorthWaiting(choice, request, now) ? undefined : choice;
   }
--- a/packages/fleet/src/entry/stream_handover.ts
+++ b/packages/fleet/src/entry/stream_handover.ts
@@ -93,10 +93,10 @@
   function tryToMove(offer: Offer): boolean {
     const {stream} = offer;
     const need = stream.need();
-    const place = registry.choose(need);
-    if (place.kind !== 'chosen') return false;
+    const slot = registry.choose(need);
+    if (slot.kind !== 'chosen') return false;
     const rest = lateRest(offer);
-    const first = registry.forecast(place.target, need);
+    const first = registry.forecast(slot.target, need);
     if (rest !== undefined && !endsInTime(rest, first ?? 0)) return false;
     if (!stream.takeMove()) return false;
     // The move may find no slot, or its attempt may fail, and the stream stays
--- a/packages/fleet/src/entry/target_follower.ts
+++ b/packages/fleet/src/entry/target_follower.ts
@@ -97,7 +97,7 @@
   readonly machineClock: Clock;
   readonly storeClock: StoreClock;
   readonly storeDistance: StoreDistance;
-  readonly storeContact: StoreAvailability;
+  readonly storeAvailability: StoreAvailability;
   /** Whether no relay of the zone reads the list for this entry. */
   readonly readsStore: () => boolean;
   /**
@@ -149,10 +149,10 @@
   let loggedTargets = new Map<string, string>();
   let lost = false;
   /** According to the last own read. */
-  let isStoreAway = false;
+  let isStoreDown = false;
   let newestRevision: Revision = -Infinity;
   let era: number | undefined;
-  let askedAt: MonotonicInstant = -Infinity;
+  let lastReadAt: MonotonicInstant = -Infinity;
   /**
    * Latest time at which the list is known to have been like this, from relayed
    * readings.
@@ -164,12 +164,12 @@
 
   async function read(): Promise<void> {
     const sentAt = machineClock();
-    askedAt = sentAt;
+    lastReadAt = sentAt;
     const reply = await list.read(options.draining * READ_TIMEOUT_SHARE);
     if (signal.aborted) return;
-    const sign = storeCallOutcome(reply);
-    isStoreAway = showsStoreUnavailable(sign);
-    options.storeContact.record(sentAt, sign);
+    const outcome = storeCallOutcome(reply);
+    isStoreDown = showsStoreUnavailable(outcome);
+    options.storeAvailability.record(sentAt, outcome);
     if (reply.err) memory.recordFailure(clock());
     else {
       logEra(reply.val);
@@ -189,11 +189,11 @@
   function readIfDue(): void {
     const now = machineClock();
     // A check that runs a little early counts, so that reads don't drift.
-    if (now - askedAt < period - checkPeriod / 2) return;
+    if (now - lastReadAt < period - checkPeriod / 2) return;
     if (options.readsStore()) return void read();
     if (now - relayedAt < relayedBound) return;
-    const pause = isStoreAway ? relayedBound * STORE_UNAVAILABLE_FACTOR : 0;
-    if (now - askedAt >= pause) void read();
+    const pause = isStoreDown ? relayedBound * STORE_UNAVAILABLE_FACTOR : 0;
+    if (now - lastReadAt >= pause) void read();
   }
 
   /**
--- a/packages/fleet/src/entry/target_sender.ts
+++ b/packages/fleet/src/entry/target_sender.ts
@@ -25,7 +25,9 @@
 /** What the attempts of one request need from its run. */
 export interface TargetSenderHooks {
   readonly attempts: AttemptsInFlight;
-  readonly needOf: (tried: readonly ListedTarget[]) => PlacementRequest;
+  readonly placementRequestFor: (
+    tried: readonly ListedTarget[],
+  ) => PlacementRequest;
   /** Whether the choice of the target is still valid. */
   readonly mayBegin: (planned: PlannedAttempt) => boolean;
   /** Whether a slot for another attempt is being looked for. */
@@ -139,7 +141,7 @@
     place,
     tried,
   }: PlannedAttempt): Milliseconds | undefined {
-    const need = {...hooks.needOf(tried), promptTime: 0};
+    const need = {...hooks.placementRequestFor(tried), promptTime: 0};
     return options.registry.forecast(place.target, need);
   }
 
@@ -168,7 +170,7 @@
       onForward: send.win,
       signal: AbortSignal.any([
         context.signal,
-        planned.place.lifeEnded,
+        planned.place.incarnationEnded,
         foundClosed.signal,
         send.signal,
       ]),
@@ -272,7 +274,7 @@
       return () => undefined;
     }
     return options.handover.offer(target, {
-      need: () => hooks.needOf([...tried, target]),
+      need: () => hooks.placementRequestFor([...tried, target]),
       begunAt: () => progress.begunAt,
       rest: () => restOf(pauses),
       mayMove: () =>
--- a/test/fleet/attempt_recorder.test.ts
+++ b/test/fleet/attempt_recorder.test.ts
@@ -15,7 +15,10 @@
 
 const target = (instance: string) => plainTarget(instance, {slots: 100});
 
-/** Two targets, the first of which is in doubt; the clock stands still. */
+/**
+ * Two targets, the first of which the attempts are sent to; the clock stands
+ * still.
+ */
 function startSite() {
   const registry = createTargetRegistry({instance: 'entry', zone: 'north'});
   const [doubted, other] = [target('doubted'), target('other')];
@@ -32,9 +35,9 @@
     },
   } as unknown as RequestRunOptions;
 
-  function createRecorder(foundClosed = new AbortController()) {
+  function send(foundClosed = new AbortController()) {
     const never = new AbortController().signal;
-    const place = {target: doubted, lifeEnded: never} as TakenSlot;
+    const place = {target: doubted, incarnationEnded: never} as TakenSlot;
     return createAttemptRecorder(options, {accepted, place, foundClosed});
   }
 
@@ -49,53 +52,53 @@
     return !taken.includes('doubted');
   }
 
-  return {createRecorder, isAvoided, endings};
+  return {send, isAvoided, endings};
 }
 
 const LOST = {kind: 'unknown', cause: 'connectionLost'} as const;
 
-test('a target is avoided after two silent sends', () => {
-  const {createRecorder, isAvoided} = startSite();
-  createRecorder().recordSilence();
-  createRecorder().recordSilence();
+test('a target is avoided after two silent attempts', () => {
+  const {send, isAvoided} = startSite();
+  send().recordSilence();
+  send().recordSilence();
   expect(isAvoided()).toBe(true);
 });
 
 test('a target is avoided after one refused connection', () => {
-  const {createRecorder, isAvoided} = startSite();
-  createRecorder().recordEnd({kind: 'notRun', cause: 'connectionRefused'});
+  const {send, isAvoided} = startSite();
+  send().recordEnd({kind: 'notRun', cause: 'connectionRefused'});
   expect(isAvoided()).toBe(true);
 });
 
-test('a send that was silent and then failed counts once', () => {
-  const {createRecorder, isAvoided} = startSite();
-  const notes = createRecorder();
-  notes.recordSilence();
-  notes.recordEnd(LOST);
+test('an attempt that was silent and then failed counts once', () => {
+  const {send, isAvoided} = startSite();
+  const recorder = send();
+  recorder.recordSilence();
+  recorder.recordEnd(LOST);
   expect(isAvoided()).toBe(false);
 });
 
-test('a silent target that answers in the end is in no doubt', () => {
-  const {createRecorder, isAvoided} = startSite();
-  const both = [createRecorder(), createRecorder()];
-  for (const notes of both) notes.recordSilence();
+test('a silent target that answers in the end is not avoided', () => {
+  const {send, isAvoided} = startSite();
+  const both = [send(), send()];
+  for (const recorder of both) recorder.recordSilence();
   both[0]!.recordEnd({kind: 'answered', success: true});
   expect(isAvoided()).toBe(false);
 });
 
-test('the deadline of a silent send is no success of its target', () => {
-  const {createRecorder, isAvoided} = startSite();
-  const both = [createRecorder(), createRecorder()];
-  for (const notes of both) notes.recordSilence();
-  for (const notes of both) notes.recordEnd({kind: 'timedOut'});
+test('a silent attempt that reaches its deadline is no success of its target', () => {
+  const {send, isAvoided} = startSite();
+  const both = [send(), send()];
+  for (const recorder of both) recorder.recordSilence();
+  for (const recorder of both) recorder.recordEnd({kind: 'timedOut'});
   expect(isAvoided()).toBe(true);
 });
 
-test('a target at whose address nothing listens has ended under its request', () => {
-  const {createRecorder, endings} = startSite();
+test('a target at whose address nothing listens has ended while it ran its request', () => {
+  const {send, endings} = startSite();
   const foundClosed = new AbortController();
   foundClosed.abort();
-  createRecorder(foundClosed).recordEnd(LOST);
-  createRecorder().recordEnd(LOST);
+  send(foundClosed).recordEnd(LOST);
+  send().recordEnd(LOST);
   expect(endings).toEqual(['ended', 'lost']);
 });
--- a/test/fleet/cold_target.test.ts
+++ b/test/fleet/cold_target.test.ts
@@ -5,7 +5,7 @@
 
 const RATE = 4;
 const SECONDS = 3;
-const COLD_FOR = 60_000;
+const COLD_MS = 60_000;
 
 let site: HostSite;
 let cold: HostEngine;
@@ -16,7 +16,7 @@
   site = await startHostSite();
   cold = await startHostEngine({instance: 'cold'});
   warm = await startHostEngine({instance: 'warm'});
-  site.register(cold, {ColdRemainingMs: COLD_FOR});
+  site.register(cold, {ColdRemainingMs: COLD_MS});
   site.register(warm);
   const Services = [{Name: 'plain', ColdStartS: 60, ColdPerS: RATE}];
   site.configure({Services});
@@ -35,7 +35,7 @@
   return Promise.all([send(address, '/safe/a'), send(address, '/safe/a')]);
 }
 
-test('a target that says it is cold takes its rate, and more once it is warm', async () => {
+test('a cold target gets requests at its rate, and more once it is warm', async () => {
   const until = performance.now() + SECONDS * 1_000;
   while (performance.now() < until) await sendPair();
   const took = performance.now() - until + SECONDS * 1_000;
@@ -44,9 +44,7 @@
   expect(whileCold).toBeLessThanOrEqual(1.5 * RATE * (took / 1_000) + 5);
   site.register(cold, {ColdRemainingMs: 0, Sequence: 2});
   await eventually(() =>
-    site.lines.some(
-      ({message: sentence}) => sentence === 'target is cold no longer',
-    ),
+    site.lines.some(({message}) => message === 'target is cold no longer'),
   );
   await eventually(async () => {
     await sendPair();
--- a/test/fleet/confirmation_renewal.test.ts
+++ b/test/fleet/confirmation_renewal.test.ts
@@ -15,7 +15,7 @@
 
 const BOUND = 2_000;
 
-/** Period in which the list of targets is read; its reads are answered. */
+/** Interval at which the list of targets is read; these reads are answered. */
 const LIST_PERIOD = 600;
 
 const LOST: HostError = {
@@ -24,7 +24,7 @@
   progress: 'underWay',
 };
 
-const TURNED_AWAY: HostError = {kind: 'unavailable', detail: 'status 503'};
+const REFUSED: HostError = {kind: 'unavailable', detail: 'status 503'};
 
 const log = {info: () => undefined, warn: () => undefined} as unknown as Log;
 
@@ -47,8 +47,8 @@
 function startEntry(legTime: number) {
   const now = () => Date.now();
   let lost = 0;
-  let turnedAway = 0;
-  let questions = 0;
+  let refusals = 0;
+  let queries = 0;
   const reading = () => ({
     revision: 1,
     era: 0,
@@ -62,15 +62,15 @@
     newestChange: 0,
   });
   async function answer(wait: number, timeout: number) {
-    questions += 1;
+    queries += 1;
     if (lost > 0) {
       lost -= 1;
       await later(timeout);
       return Err(LOST);
     }
-    if (turnedAway > 0) {
-      turnedAway -= 1;
-      return Err(TURNED_AWAY);
+    if (refusals > 0) {
+      refusals -= 1;
+      return Err(REFUSED);
     }
     await later(legTime + wait);
     const answered = reading();
@@ -85,12 +85,12 @@
   };
   const storeClock = createStoreClock();
   const confirmation = createConfirmation(storeClock);
-  const storeContact = createStoreAvailability();
+  const storeAvailability = createStoreAvailability();
   const follower = createOperatorFollower({
     feed,
     clock: now,
     confirmation,
-    storeContact,
+    storeAvailability,
     versions: createNamedVersions(8_000),
     storeClock,
     log,
@@ -112,7 +112,7 @@
     confirmation,
     listedAt: now,
     evacuationsReadAt: now,
-    storeContact,
+    storeAvailability,
     machineClock: now,
     bounds: {configuration: BOUND, draining: BOUND, evacuation: BOUND},
   });
@@ -120,27 +120,29 @@
   return {
     readings,
     lose: (count: number) => (lost = count),
-    turnAway: (count: number) => (turnedAway = count),
-    questions: () => questions,
-    noteList: () => storeContact.record(now(), 'answered'),
+    refuse: (count: number) => (refusals = count),
+    queries: () => queries,
+    recordListRead: () => storeAvailability.record(now(), 'answered'),
   };
 }
 
 type Entry = ReturnType<typeof startEntry>;
 
-/** Whatever moment of a question's life the trouble comes at. */
+/**
+ * Expects a current configuration at whatever time of a query the fault occurs.
+ */
 async function expectCurrent(
   legTime: number,
-  trouble: (entry: Entry) => void,
+  injectFault: (entry: Entry) => void,
 ): Promise<void> {
   for (let offset = 0; offset < 500; offset += 50) {
     stopped.abort();
     stopped = new AbortController();
     const entry = startEntry(legTime);
     await vi.advanceTimersByTimeAsync(2_000 + offset);
-    trouble(entry);
+    injectFault(entry);
     for (let time = 0; time < 4_000; time += 20) {
-      if (time % LIST_PERIOD === 0) entry.noteList();
+      if (time % LIST_PERIOD === 0) entry.recordListRead();
       expect(entry.readings.configuration()).toBe('current');
       await vi.advanceTimersByTimeAsync(20);
     }
@@ -148,25 +150,26 @@
 }
 
 // All entries start at once, and the store answers late and loses an answer of
-// each. The list of targets is read meanwhile, so the store counts as serving.
+// each. The list of targets is read meanwhile, so the store counts as
+// available.
 test.each([20, 100, 150])(
-  'one lost answer makes no configuration outdated, at %i ms to the store',
+  'one lost answer does not make the configuration outdated, at %i ms to the store',
   async legTime => {
     await expectCurrent(legTime, entry => entry.lose(1));
   },
 );
 
-// The first question that the store takes again waits for news, while what is
+// The first query that the store accepts again waits for changes, while what is
 // held is nearly too old.
-test('questions that are turned away make no configuration outdated', async () => {
-  await expectCurrent(150, entry => entry.turnAway(3));
+test('refused queries do not make the configuration outdated', async () => {
+  await expectCurrent(150, entry => entry.refuse(3));
 });
 
-test('a lost answer costs one further question', async () => {
+test('a lost answer costs one additional query', async () => {
   const entry = startEntry(20);
   await vi.advanceTimersByTimeAsync(2_000);
-  const before = entry.questions();
+  const before = entry.queries();
   entry.lose(1);
   await vi.advanceTimersByTimeAsync(4_000);
-  expect(entry.questions() - before).toBeLessThanOrEqual(11);
+  expect(entry.queries() - before).toBeLessThanOrEqual(11);
 });
--- a/test/fleet/crash_monitor.test.ts
+++ b/test/fleet/crash_monitor.test.ts
@@ -12,61 +12,63 @@
   return {instance, born, address: '10.0.0.1:80'} as ListedTarget;
 }
 
-function startWatch(state: AddressState) {
+function startMonitor(state: AddressState) {
   const quarantine = createQuarantine();
-  let looks = 0;
-  const watch = createCrashMonitor({
+  let probes = 0;
+  const monitor = createCrashMonitor({
     quarantine,
     clock: () => 1,
     log,
     probe: () => {
-      looks += 1;
+      probes += 1;
       return Promise.resolve(state);
     },
     onChange: () => undefined,
   });
   const endings = (): number =>
     quarantine.changedSince(0, 100).rows.flatMap(({endings}) => endings).length;
-  return {quarantine, watch, looks: () => looks, endings};
+  return {quarantine, monitor, probes: () => probes, endings};
 }
 
 test('a target at whose address nothing listens has ended', async () => {
-  const {watch, endings} = startWatch('closed');
-  await watch.recordLostConnection('request', target('one'));
+  const {monitor, endings} = startMonitor('closed');
+  await monitor.recordLostConnection('request', target('one'));
   expect(endings()).toBe(1);
 });
 
-test('a connection reset by the network accuses no request', async () => {
-  const {watch, endings} = startWatch('listening');
-  await watch.recordLostConnection('request', target('one'));
+test('a connection reset by the network does not count as a crash of the target', async () => {
+  const {monitor, endings} = startMonitor('listening');
+  await monitor.recordLostConnection('request', target('one'));
   expect(endings()).toBe(0);
 });
 
-test('one look serves all requests that were lost with a target', async () => {
-  const {watch, looks, endings} = startWatch('closed');
+test('one probe serves all requests that lost their connection to a target', async () => {
+  const {monitor, probes, endings} = startMonitor('closed');
   const requests = ['a', 'b', 'c'];
   await Promise.all(
-    requests.map(request => watch.recordLostConnection(request, target('one'))),
+    requests.map(request =>
+      monitor.recordLostConnection(request, target('one')),
+    ),
   );
-  expect(looks()).toBe(1);
+  expect(probes()).toBe(1);
   expect(endings()).toBe(3);
 });
 
-test('lives under one id are told apart by their births', () => {
-  const {watch, quarantine} = startWatch('closed');
+test('incarnations under one instance id are distinguished by their start time', () => {
+  const {monitor, quarantine} = startMonitor('closed');
   for (const born of [1, 2, 3]) {
-    watch.recordEnded('request', target('one', born));
+    monitor.recordEnded('request', target('one', born));
   }
   expect(quarantine.isQuarantined('request')).toBe(true);
 });
 
-test('a look at a target serves those who ask while it runs', async () => {
-  const {watch, looks} = startWatch('closed');
+test('a probe of a target is shared by calls that arrive while it runs', async () => {
+  const {monitor, probes} = startMonitor('closed');
   const [one] = await Promise.all([
-    watch.probe(target('one')),
-    watch.probe(target('one')),
-    watch.recordLostConnection('request', target('one')),
+    monitor.probe(target('one')),
+    monitor.probe(target('one')),
+    monitor.recordLostConnection('request', target('one')),
   ]);
   expect(one).toBe('closed');
-  expect(looks()).toBe(1);
+  expect(probes()).toBe(1);
 });
--- a/test/fleet/entry.test.ts
+++ b/test/fleet/entry.test.ts
@@ -40,7 +40,7 @@
   return engine;
 }
 
-/** An entry that knows the configuration and the targets. */
+/** An entry that has read the configuration and the targets. */
 async function startReadyEntry(targets: number) {
   site.configure();
   const entry = await site.startEntry();
@@ -52,7 +52,7 @@
 
 const STREAM = {'x-hibiscusbeam-model': 'model'};
 
-test('passes a request on as it came and its answer back', async () => {
+test('forwards a request unchanged and returns its answer', async () => {
   const engine = await startPlain('one');
   const {settings} = await startReadyEntry(1);
   const answer = await send(settings.callerAddress, '/unsafe/a?b=1');
@@ -70,10 +70,10 @@
   expect(engine.runs[0]?.headers.authorization).toBeUndefined();
 });
 
-// A caller sends a charge. The target runs it and its answer is lost. Sent
-// again, the charge would be made twice; called "not run", the caller would
-// send it again. So it gets an answer that promises nothing.
-test('never repeats an unsafe request that may have run', async () => {
+// The target runs a charge and its answer is lost. A retry would charge twice,
+// and so would the caller after a 503 "not run". So the caller gets a 502,
+// which leaves open whether it ran.
+test('never retries an unsafe request that may have run', async () => {
   const [one, two] = [await startPlain('one'), await startPlain('two')];
   const {settings} = await startReadyEntry(2);
   one.setFault({kind: 'answerLost'});
@@ -83,7 +83,7 @@
   expect(one.runs.length + two.runs.length).toBe(1);
 });
 
-test('sends a safe request again after a lost answer', async () => {
+test('retries a safe request after a lost answer', async () => {
   const [one, two] = [await startPlain('one'), await startPlain('two')];
   const {settings} = await startReadyEntry(2);
   one.setFault({kind: 'answerLost'});
@@ -98,9 +98,9 @@
   expect(two.runs.length).toBe(4);
 });
 
-// A target answers with what belongs to another request. Passed on, the caller
-// would see a stranger's data.
-test('keeps an answer that belongs to another request back', async () => {
+// Forwarded, an answer to another request would expose someone else's data to
+// the caller.
+test('withholds an answer that belongs to another request', async () => {
   const engine = await startPlain('one');
   const {settings} = await startReadyEntry(1);
   engine.setFault({kind: 'foreignAnswer'});
@@ -108,10 +108,10 @@
   expect(answer.status).toBe(502);
 });
 
-// A target crashes in the middle of an answer that has no length, and its
-// connection ends as if by plan. A length of our own would call half a body
-// whole; so the answer goes on without one.
-test('gives no length to an answer that has none', async () => {
+// A target crashes in the middle of an answer without a length, and its
+// connection closes cleanly. Adding a length would declare half a body
+// complete.
+test('adds no length to an answer without one', async () => {
   const engine = await startPlain('one');
   const {settings} = await startReadyEntry(1);
   engine.setFault({kind: 'unframed'});
@@ -122,7 +122,7 @@
   expect(answer.headers.connection).toBe('close');
 });
 
-test('says "not run" with when to come back if no target takes it', async () => {
+test('answers 503 with Retry-After if no target accepts the request', async () => {
   const engine = await startPlain('one');
   const {settings} = await startReadyEntry(1);
   engine.setFault({kind: 'full'});
@@ -141,8 +141,8 @@
   expect((await send(settings.callerAddress, '/none/a')).status).toBe(404);
 });
 
-// An engine dies in the middle of an event. The caller's stream goes on at
-// another engine: each event comes once, whole and in order.
+// An engine dies in the middle of an event. The stream resumes at another
+// engine: each event arrives once, complete and in order.
 test('resumes a broken stream within the same answer', async () => {
   const [one, two] = [
     await startModelEngine('one'),
@@ -158,9 +158,9 @@
   expect(one.runs.length + two.runs.length).toBe(2);
 });
 
-// The last engine that may run a stream dies too. What the caller has must not
-// look like a whole answer.
-test('cuts a stream that cannot go on', async () => {
+// The last engine that may run a stream dies too. What the caller has received
+// must not look like a complete answer.
+test('cuts off a stream that cannot be resumed', async () => {
   const engine = await startModelEngine('one');
   const {settings} = await startReadyEntry(1);
   engine.setFault({kind: 'cutStream', after: 2});
@@ -169,7 +169,7 @@
   ).rejects.toThrow();
 });
 
-test('lets the target go when the caller has left', async () => {
+test('closes the connection to the target when the caller disconnects', async () => {
   const engine = await startPlain('one');
   const {settings} = await startReadyEntry(1);
   engine.setFault({kind: 'mute'});
@@ -190,10 +190,9 @@
   await eventually(run.isCut);
 });
 
-// The store goes silent. Without word from it a key may have been taken away,
-// so after the bound no request with a key runs any more; when the store is
-// back, they run again.
-test('stops to serve keys once their configuration is too old', async () => {
+// While the store is silent, a key may have been revoked. So after the bound no
+// request with a key runs, until the store is back.
+test('stops accepting keys once their configuration is too old', async () => {
   const engine = await startPlain('one');
   site.configure();
   const entry = await site.startEntry({revocation: 900});
@@ -210,8 +209,8 @@
   await eventually(isServed);
 });
 
-// An entry is cut off from the store. It refuses requests with a key, and the
-// callers that the directory goes on sending there are refused in vain.
+// An entry that is disconnected from the store refuses requests with a key, so
+// the directory must stop sending callers there.
 test('counts as unready before its configuration is too old', async () => {
   const {settings} = await site.startEntry({revocation: 1_500});
   site.configure();
@@ -222,7 +221,7 @@
   await eventually(() => isReady(settings.readinessAddress));
 });
 
-test('serves a key until it is taken away, and not after', async () => {
+test('accepts a key until it is revoked', async () => {
   await startPlain('one');
   const {settings} = await startReadyEntry(1);
   expect((await send(settings.callerAddress, '/safe/a')).status).toBe(200);
@@ -232,7 +231,7 @@
   await eventually(isDenied);
 });
 
-test('sends nothing to a target that leaves', async () => {
+test('sends nothing to a target that is leaving', async () => {
   const [one, two] = [await startPlain('one'), await startPlain('two')];
   const {settings} = await startReadyEntry(2);
   site.register(one, {State: 'draining'});
@@ -247,8 +246,8 @@
   expect(two.runs.length).toBe(6);
 });
 
-// The store is away long enough that targets cannot renew their lines. Right
-// after its return the list is empty; requests are served all the same.
+// The store is unavailable for so long that targets can't renew their rows.
+// Right after its return the list is empty; requests must still be served.
 test('keeps lapsed targets while they may still come back', async () => {
   const engine = await startPlain('one');
   const {settings} = await startReadyEntry(1);
@@ -266,8 +265,8 @@
 });
 
 // An operator stops an entry while it serves a slow request. The request is
-// answered whole; new callers are sent elsewhere.
-test('a planned stop cuts no request', async () => {
+// answered completely; new callers are sent elsewhere.
+test('a planned stop cuts off no request', async () => {
   const engine = await startModelEngine('one');
   const {settings, running} = await startReadyEntry(1);
   const answer = send(settings.callerAddress, '/stream/a', STREAM);
@@ -278,10 +277,10 @@
   await stopped;
 });
 
-// A caller of the directory opens a connection, sends half of its question and
-// falls silent, as one behind a cut link does. The entry that is stopped waited for
-// the rest of it until the platform killed it, with all that it was answering.
-test('a planned stop waits for no question that does not come', async () => {
+// A caller of the directory sends half of its request and goes silent, like one
+// behind a broken link. Waiting for the rest would last until the platform
+// kills the entry, with all requests in progress.
+test('a planned stop does not wait for an incomplete directory request', async () => {
   const {settings, running} = await startReadyEntry(0);
   const [host, port] = settings.directoryAddress.split(':');
   const caller = connect(Number(port), host);
@@ -296,10 +295,10 @@
   caller.destroy();
 });
 
-test('the directory names the entries that are ready', async () => {
+test('the directory lists the entries that are ready', async () => {
   const first = await startReadyEntry(0);
   const second = await site.startEntry();
-  const ask = async () => {
+  const resolveAddresses = async () => {
     const reply = await request(
       `http://${first.settings.directoryAddress}/resolve?Name=${HOST}&Zone=north`,
     );
@@ -310,8 +309,12 @@
     first.settings.callerAddress,
     second.settings.callerAddress,
   ].sort();
-  await eventually(async () => String(await ask()) === String(both));
+  await eventually(
+    async () => String(await resolveAddresses()) === String(both),
+  );
   void second.running.stop();
   const one = [first.settings.callerAddress];
-  await eventually(async () => String(await ask()) === String(one));
+  await eventually(
+    async () => String(await resolveAddresses()) === String(one),
+  );
 });
--- a/test/fleet/entry_peers.test.ts
+++ b/test/fleet/entry_peers.test.ts
@@ -44,7 +44,7 @@
   let follows = 0;
   let ready = true;
   const reports: EngineReport[] = [];
-  const news: RelayUpdate[] = [];
+  const updates: RelayUpdate[] = [];
   const copies = createConfigurationCopies();
   const quarantine = createQuarantine();
   const limits = createRateLimits(() => performance.now());
@@ -52,9 +52,9 @@
     zone,
     own: () => [{service: 'engines', priority: 1, places: 2, waiting: 1}],
     entries: () => 1,
-    followsRelay: () => !circle.readsTargets(),
+    followsRelay: () => !entryPeers.readsTargets(),
   });
-  const circle = createEntryPeers({
+  const entryPeers = createEntryPeers({
     self,
     isReady: () => ready,
     clock: () => performance.now(),
@@ -72,7 +72,7 @@
       recordZones: demand.recordZones,
     },
     storeDistance: () => distance,
-    onTables: told => void news.push(told),
+    onTables: update => void updates.push(update),
     onUsable: () => undefined,
   });
   const server = await openPeerServer(self.address, {
@@ -81,11 +81,11 @@
       reportEngine: call => call.end(),
       follow: call => {
         follows += 1;
-        circle.relayServer.handleStream(call);
+        entryPeers.relayServer.handleStream(call);
       },
     },
   });
-  const stop = circle.start();
+  const stop = entryPeers.start();
   const close = (): void => {
     stop();
     server.close();
@@ -93,17 +93,17 @@
   closing.push(close);
   return {
     self,
-    circle,
+    entryPeers,
     places: () => demand.demandFor('engines', performance.now()).get(1),
     reports,
-    news,
+    updates,
     copies,
     quarantine,
     limits,
     close,
     follows: () => follows,
     setReady: (next: boolean) => (ready = next),
-    usable: () => circle.usable().map(member => member.instance),
+    usable: () => entryPeers.usable().map(member => member.instance),
   };
 }
 
@@ -118,39 +118,39 @@
     ),
   );
   for (const entry of entries) {
-    entry.circle.setMembers(
+    entry.entryPeers.setMembers(
       entries.filter(other => other !== entry).map(other => other.self),
     );
   }
   return entries;
 }
 
-/** The one that the others of its zone follow. */
+/** The entry that the others of its zone follow. */
 function relayOf(entries: readonly Entry[], zone: string): Entry {
   const inZone = entries.filter(entry => entry.self.zone === zone);
-  return inZone.find(entry => entry.circle.readsTargets())!;
+  return inZone.find(entry => entry.entryPeers.readsTargets())!;
 }
 
 async function untilSettled(entries: readonly Entry[]): Promise<void> {
   await eventually(
-    () => entries.filter(entry => entry.circle.readsTargets()).length === 2,
+    () => entries.filter(entry => entry.entryPeers.readsTargets()).length === 2,
   );
 }
 
-test('one entry of a zone reads the store, and the others follow it alone', async () => {
+test('one entry of a zone reads the store, and the others follow only that entry', async () => {
   const entries = await startSite(5);
   await untilSettled(entries);
   const follows = entries.reduce((sum, entry) => sum + entry.follows(), 0);
-  // Four in each zone, and the two relays each other.
+  // Four in each zone, and the two relays follow each other.
   expect(follows).toBe(10);
 });
 
-test('how an entry stands is known in all zones', async () => {
+test('the status of an entry reaches all zones', async () => {
   const entries = await startSite(3);
   await untilSettled(entries);
   const [first] = entries;
   first!.setReady(false);
-  first!.circle.announceSelf();
+  first!.entryPeers.announceSelf();
   await eventually(() =>
     entries.every(
       entry =>
@@ -165,24 +165,24 @@
   await untilSettled(entries);
   const relay = relayOf(entries, 'north');
   await new Promise(resolve => setTimeout(resolve, 1_200));
-  relay.circle.takeReport(report);
+  relay.entryPeers.takeReport(report);
   await eventually(() => entries.every(entry => entry.reports.length === 1));
   expect(entries.every(({reports}) => reports[0]?.running === 3)).toBe(true);
 });
 
-// Relays of two zones follow each other. A report that each passes on to the other
-// would go round for good.
-test('a report comes to each entry once, however many pass it on', async () => {
+// Relays of two zones follow each other, so a report that each forwards to the
+// other would circulate forever.
+test('a report reaches each entry once, however many entries forward it', async () => {
   const entries = await startSite(4);
   await untilSettled(entries);
   await new Promise(resolve => setTimeout(resolve, 1_200));
   const inZone = entries.filter(entry => entry.self.zone === 'north');
-  // Both of those that agents report to take it.
+  // Both entries that agents report to receive it.
   const relay = relayOf(entries, 'north');
-  relay.circle.takeReport(report);
-  inZone.find(entry => entry !== relay)!.circle.takeReport(report);
+  relay.entryPeers.takeReport(report);
+  inZone.find(entry => entry !== relay)!.entryPeers.takeReport(report);
   await eventually(() => entries.every(entry => entry.reports.length > 0));
-  relay.circle.takeReport({...report, sequence: 2, running: 4});
+  relay.entryPeers.takeReport({...report, sequence: 2, running: 4});
   await eventually(() =>
     entries.every(({reports}) => reports.at(-1)?.running === 4),
   );
@@ -191,28 +191,30 @@
   );
 });
 
-test('entries of a small zone hear of engines in other zones', async () => {
+test('entries of a small zone receive reports of engines in other zones', async () => {
   const entries = await startSite(2);
   await untilSettled(entries);
-  const hearing = setInterval(() => {
+  const reporting = setInterval(() => {
     // Their own agents report to both.
-    for (const {circle, self} of entries) {
+    for (const {entryPeers, self} of entries) {
       const {zone} = self;
       const sequence = Math.floor(performance.now());
-      circle.takeReport({...report, engineAddress: zone, sequence});
+      entryPeers.takeReport({...report, engineAddress: zone, sequence});
     }
   }, 100);
-  closing.push(() => clearInterval(hearing));
-  const heardOf = (entry: Entry, zone: string): boolean =>
+  closing.push(() => clearInterval(reporting));
+  const hasReportOf = (entry: Entry, zone: string): boolean =>
     entry.reports.some(({engineAddress}) => engineAddress === zone);
   await eventually(() =>
-    entries.every(entry => heardOf(entry, 'north') && heardOf(entry, 'south')),
+    entries.every(
+      entry => hasReportOf(entry, 'north') && hasReportOf(entry, 'south'),
+    ),
   );
 });
 
-// A relay is killed. Its followers must know what agents report, and callers must
-// not be sent to it: another entry takes its place.
-test('another entry takes the place of a relay that is lost', async () => {
+// After a relay was killed, its followers must still get the reports of agents,
+// and callers must not be sent to it.
+test('another entry becomes the relay when the relay is lost', async () => {
   const entries = await startSite(4);
   await untilSettled(entries);
   const lost = relayOf(entries, 'north');
@@ -220,7 +222,7 @@
   const others = entries.filter(entry => entry !== lost);
   const inZone = others.filter(entry => entry.self.zone === 'north');
   await eventually(
-    () => inZone.filter(entry => entry.circle.readsTargets()).length === 1,
+    () => inZone.filter(entry => entry.entryPeers.readsTargets()).length === 1,
   );
   await eventually(() =>
     others.every(entry => !entry.usable().includes(lost.self.instance)),
@@ -228,9 +230,10 @@
   expect(others.every(entry => entry.usable().length === 6)).toBe(true);
 });
 
-// The relay of each zone read each configuration itself, over links between
-// regions that requests need. The one in the store's zone reads for all.
-test('the relay nearest to the store reads the operator for all zones', async () => {
+// If the relay of each zone read each configuration itself, it would use links
+// between regions that requests need. So the relay in the store's zone reads
+// for all.
+test('the relay nearest to the store reads the operator table for all zones', async () => {
   const distances = {north: 6.5, south: 4.3, west: 6.6};
   const entries = await Promise.all(
     Object.entries(distances).flatMap(([zone, distance]) =>
@@ -239,17 +242,17 @@
   );
   for (const entry of entries) {
     const others = entries.filter(other => other !== entry);
-    entry.circle.setMembers(others.map(other => other.self));
+    entry.entryPeers.setMembers(others.map(other => other.self));
   }
   let revision = 7;
   let storeTime = 0;
   const readers = () =>
-    entries.filter(({circle}) => circle.operatorSource() === 'store');
-  const tellReadings = (): void => {
+    entries.filter(({entryPeers}) => entryPeers.operatorSource() === 'store');
+  const sendReadings = (): void => {
     storeTime += 1;
-    for (const {circle, copies} of readers()) {
+    for (const {entryPeers, copies} of readers()) {
       copies.add({revision, text: Buffer.from(`configuration ${revision}`)});
-      circle.relayServer.setOperator({
+      entryPeers.relayServer.setOperator({
         revision,
         newestChange: revision,
         storeTime,
@@ -259,17 +262,17 @@
     }
   };
   await eventually(() => {
-    tellReadings();
+    sendReadings();
     return readers().length === 1;
   });
   expect(readers()[0]?.self.zone).toBe('south');
   revision = 8;
-  tellReadings();
+  sendReadings();
   for (const zone of ['north', 'west']) {
     const relay = relayOf(entries, zone);
-    expect(relay.circle.operatorSource()).toBe('siteReader');
+    expect(relay.entryPeers.operatorSource()).toBe('siteReader');
     await eventually(() =>
-      relay.news.some(({configuration}) => configuration?.revision === 8),
+      relay.updates.some(({configuration}) => configuration?.revision === 8),
     );
   }
 });
@@ -277,60 +280,60 @@
 function endTarget(entry: Entry, life: string): void {
   const ending = {life, endedAt: performance.now()};
   entry.quarantine.recordEnding('c0ffee', ending);
-  entry.circle.scheduleRecords();
+  entry.entryPeers.scheduleRecords();
 }
 
 const isQuarantined = ({quarantine}: Entry): boolean =>
   quarantine.isQuarantined('c0ffee');
 
-test('endings at three entries of two zones quarantine a request at all', async () => {
+test('crashes seen by three entries of two zones quarantine a request at all entries', async () => {
   const entries = await startSite(3);
   await untilSettled(entries);
   [0, 2, 5].forEach(index => endTarget(entries[index]!, `life-${index}`));
   await eventually(() => entries.every(isQuarantined));
 });
 
-test('an entry that follows late learns of all endings before', async () => {
+test('an entry that joins late learns of all crashes before', async () => {
   const entries = await startSite(2);
   await untilSettled(entries);
   const relay = relayOf(entries, 'north');
   const late = entries.find(
     entry => entry !== relay && entry.self.zone === 'north',
   )!;
-  late.circle.setMembers([]);
+  late.entryPeers.setMembers([]);
   for (const life of ['one', 'two', 'three']) endTarget(relay, life);
-  late.circle.setMembers(
+  late.entryPeers.setMembers(
     entries.filter(entry => entry !== late).map(({self}) => self),
   );
   await eventually(() => isQuarantined(late));
 });
 
-test('a whole answer releases a request at all entries', async () => {
+test('a complete answer ends the quarantine of a request at all entries', async () => {
   const entries = await startSite(3);
   await untilSettled(entries);
   for (const life of ['one', 'two', 'three']) endTarget(entries[0]!, life);
   await eventually(() => entries.every(isQuarantined));
   const last = entries.at(-1)!;
   last.quarantine.recordCompletion('c0ffee', performance.now());
-  last.circle.scheduleRecords();
+  last.entryPeers.scheduleRecords();
   await eventually(() => !entries.some(isQuarantined));
 });
 
-test('a limit that one entry was told is known to all, also to one that follows late', async () => {
+test('a rate limit that one entry receives reaches all entries, including one that joins late', async () => {
   const entries = await startSite(2);
   await untilSettled(entries);
   const [first, late] = entries;
-  late!.circle.setMembers([]);
+  late!.entryPeers.setMembers([]);
   first!.limits.recordAnswer({life: 'engine', rate: 2, sentAt: 0});
-  first!.circle.scheduleRecords();
+  first!.entryPeers.scheduleRecords();
   const others = entries.filter(entry => entry !== late);
   const knows = ({limits}: Entry): boolean => limits.rateOf('engine') === 2;
   await eventually(() => others.every(knows));
-  late!.circle.setMembers(others.map(({self}) => self));
+  late!.entryPeers.setMembers(others.map(({self}) => self));
   await eventually(() => knows(late!));
 });
 
-test('all entries know what the callers of all zones ask for', async () => {
+test('all entries know the demand of callers in all zones', async () => {
   const entries = await startSite(3);
   await untilSettled(entries);
   await eventually(() => entries.every(entry => entry.places() === 12));
--- a/test/fleet/evacuation.test.ts
+++ b/test/fleet/evacuation.test.ts
@@ -10,34 +10,36 @@
 
 const ROUNDS = 10;
 
-let quick: ShortObjectiveSite;
+let shortSite: ShortObjectiveSite;
 let north: HostEngine;
 let south: HostEngine;
 
 beforeEach(async () => {
-  quick = await startShortObjectiveSite();
-  north = await quick.startTarget('north-1');
-  south = await quick.startTarget('south-1', {Zone: 'south'});
+  shortSite = await startShortObjectiveSite();
+  north = await shortSite.startTarget('north-1');
+  south = await shortSite.startTarget('south-1', {Zone: 'south'});
 });
 
-afterEach(() => quick.close());
+afterEach(() => shortSite.close());
 
 const evacuate = (zone: string) =>
-  quick.site.store.write('op', `evacuate/${zone}`, {});
+  shortSite.site.store.write('op', `evacuate/${zone}`, {});
 
-const takeBack = (zone: string) =>
-  quick.site.store.remove('op', `evacuate/${zone}`);
+const endEvacuation = (zone: string) =>
+  shortSite.site.store.remove('op', `evacuate/${zone}`);
 
 const logged = (text: string): readonly LogLine[] =>
-  quick.site.lines.filter(({message: sentence}) => sentence.includes(text));
+  shortSite.site.lines.filter(({message}) => message.includes(text));
 
-/** Statuses of some requests, two at a time. */
-async function ask(route: string): Promise<ReadonlySet<number | undefined>> {
+/** Statuses of some requests, sent two at a time. */
+async function sendRounds(
+  route: string,
+): Promise<ReadonlySet<number | undefined>> {
   const statuses = new Set<number | undefined>();
   for (let round = 0; round < ROUNDS; round += 1) {
     const replies = await Promise.all([
-      quick.sendRequest(route),
-      quick.sendRequest(route),
+      shortSite.sendRequest(route),
+      shortSite.sendRequest(route),
     ]);
     for (const {status} of replies) statuses.add(status);
   }
@@ -46,37 +48,37 @@
 
 async function startStreams(): Promise<HostEngine> {
   const options = {events: 3, pause: 150};
-  const engine = await quick.startTarget('engine-1', AS_ENGINE, options);
-  await quick.serve();
+  const engine = await shortSite.startTarget('engine-1', AS_ENGINE, options);
+  await shortSite.serve();
   return engine;
 }
 
-test('targets of an evacuated zone get nothing, and their share again after it', async () => {
+test('targets of an evacuated zone get no requests until the evacuation ends', async () => {
   await startStreams();
   evacuate('north');
   await eventually(() => logged('zone evacuated').length > 0);
   const before = north.runs.length;
-  expect(await ask('quick')).toEqual(new Set([200]));
+  expect(await sendRounds('quick')).toEqual(new Set([200]));
   expect(north.runs.length).toBe(before);
-  takeBack('north');
+  endEvacuation('north');
   await eventually(() => logged('no longer evacuated').length > 0);
-  await ask('quick');
+  await sendRounds('quick');
   expect(north.runs.length).toBeGreaterThan(before);
 });
 
 test('an entry that starts while a zone is evacuated sends it nothing', async () => {
   evacuate('north');
-  await quick.startTarget('engine-1', {...AS_ENGINE, Zone: 'south'});
-  await quick.serve();
-  expect(await ask('quick')).toEqual(new Set([200]));
+  await shortSite.startTarget('engine-1', {...AS_ENGINE, Zone: 'south'});
+  await shortSite.serve();
+  expect(await sendRounds('quick')).toEqual(new Set([200]));
   expect(north.runs).toEqual([]);
   expect(south.runs.length).toBeGreaterThan(0);
 });
 
-test('a stream that runs in the zone goes on to its end', async () => {
+test('a stream that runs in an evacuated zone continues to its end', async () => {
   const engine = await startStreams();
   const before = engine.runs.length;
-  const stream = quick.sendRequest('going');
+  const stream = shortSite.sendRequest('going');
   await eventually(() => engine.runs.length > before);
   evacuate('north');
   await eventually(() => logged('zone evacuated').length > 0);
@@ -84,7 +86,7 @@
     status: 200,
     text: `${WHOLE_STREAM}\ndata: token 3`,
   });
-  expect((await quick.sendRequest('going')).status).toBe(503);
+  expect((await shortSite.sendRequest('going')).status).toBe(503);
 });
 
 test('requests for a service without another zone are refused with a reason', async () => {
@@ -92,33 +94,33 @@
   evacuate('north');
   evacuate('south');
   await eventually(() => logged('zone evacuated').length > 1);
-  const {status, text} = await quick.sendRequest('quick');
+  const {status, text} = await shortSite.sendRequest('quick');
   expect({status, text}).toEqual({status: 503, text: 'targetsEvacuated'});
 });
 
-test('a stream that breaks elsewhere does not go on in the zone', async () => {
+test('a broken stream is not resumed in an evacuated zone', async () => {
   const north = await startStreams();
-  const south = await quick.startTarget('engine-2', {
+  const south = await shortSite.startTarget('engine-2', {
     ...AS_ENGINE,
     Zone: 'south',
   });
   evacuate('north');
   await eventually(() => logged('zone evacuated').length > 0);
   await eventually(
-    async () => (await quick.sendRequest('going')).status === 200,
+    async () => (await shortSite.sendRequest('going')).status === 200,
   );
   const before = north.runs.length;
   south.setFault({kind: 'cutStream', after: 1});
-  expect((await quick.sendRequest('going')).text).not.toContain('token 3');
+  expect((await shortSite.sendRequest('going')).text).not.toContain('token 3');
   expect(south.runs.length).toBeGreaterThan(0);
   expect(north.runs.length).toBe(before);
 });
 
-test('an evacuation that a restore of the store takes back is over', async () => {
+test('an evacuation that a store restore removes is over', async () => {
   await startStreams();
-  const copy = quick.site.store.copy();
+  const copy = shortSite.site.store.copy();
   evacuate('north');
   await eventually(() => logged('zone evacuated').length > 0);
-  quick.site.store.restore(copy);
+  shortSite.site.store.restore(copy);
   await eventually(() => logged('no longer evacuated').length > 0);
 });
--- a/test/fleet/fleet_metrics.test.ts
+++ b/test/fleet/fleet_metrics.test.ts
@@ -1,21 +1,21 @@
 import {expect, test} from 'vitest';
 import {createFleetMetrics} from '../../packages/fleet/src/entry/fleet_metrics';
 
-test('counts sends whose connection was lost, by route', async () => {
+test('counts attempts whose connection was lost, by route', async () => {
   const metrics = createFleetMetrics();
   metrics.countLostAttempt('notes');
   const lines = (await metrics.text()).split('\n');
   expect(lines).toContain('hibiscusbeam_lost_sends_total{route="notes"} 1');
 });
 
-test('counts silences of targets that had a request, by route', async () => {
+test('counts silences of targets that run a request, by route', async () => {
   const metrics = createFleetMetrics();
   metrics.countSilence('notes');
   const lines = (await metrics.text()).split('\n');
   expect(lines).toContain('hibiscusbeam_silences_total{route="notes"} 1');
 });
 
-test('counts how late the loop ran its timers', async () => {
+test('records how late the event loop ran its timers', async () => {
   const metrics = createFleetMetrics();
   metrics.observeLoopDelay(30);
   const lines = (await metrics.text()).split('\n');
@@ -24,7 +24,7 @@
   expect(lines).toContain(`${bucket}{le="50"} 1`);
 });
 
-test('counts answers in which a target named a limit, by service', async () => {
+test('counts answers in which a target set a rate limit, by service', async () => {
   const metrics = createFleetMetrics();
   metrics.countLimitedAnswer('engines');
   const lines = (await metrics.text()).split('\n');
@@ -33,7 +33,7 @@
   );
 });
 
-test('counts answers in which a target said that it leaves, by service', async () => {
+test('counts answers in which a target reported that it is leaving, by service', async () => {
   const metrics = createFleetMetrics();
   metrics.countLeavingAnswer('engines');
   const lines = (await metrics.text()).split('\n');
@@ -42,7 +42,7 @@
   );
 });
 
-test('counts answers in which a target asked to back off, by service', async () => {
+test('counts answers in which a target requested a backoff, by service', async () => {
   const metrics = createFleetMetrics();
   metrics.countBackoffAnswer('engines');
   const lines = (await metrics.text()).split('\n');
@@ -51,7 +51,7 @@
   );
 });
 
-test('counts how old the readings were that requests were decided by', async () => {
+test('records the age of the readings that requests were decided by', async () => {
   const metrics = createFleetMetrics();
   metrics.observeReadingAge('targets', 2_700);
   metrics.observeReadingAge('configuration', 90);
--- a/test/fleet/held_configuration.test.ts
+++ b/test/fleet/held_configuration.test.ts
@@ -18,7 +18,10 @@
   };
 }
 
-/** A reading of the store at `revision`, which has the row of `written`. */
+/**
+ * A reading of the store at `revision`, whose configuration row was written at
+ * `written`.
+ */
 function readingOf(
   version: number,
   written: number,
@@ -50,14 +53,14 @@
   return {copies, held, version: () => held.table()?.version};
 }
 
-test('an older configuration of a restored store is not in force again', () => {
+test('an older configuration of a restored store is not adopted', () => {
   const {held, version} = startHolder();
   held.takeReading(readingOf(38, 60, 60));
   held.takeReading(readingOf(34, 205, 270));
   expect(version()).toBe(38);
 });
 
-test('an entry that started after a restore is given the configuration that it lost', () => {
+test('an entry that starts after a restore receives the configuration that the store lost', () => {
   const before = startHolder();
   before.held.takeReading(readingOf(38, 60, 60));
   before.held.takeReading(readingOf(34, 205, 270));
@@ -68,7 +71,7 @@
   expect(started.version()).toBe(38);
 });
 
-test('what the operator writes again counts as newer for all', () => {
+test('a configuration written after a restore counts as newer for all entries', () => {
   const before = startHolder();
   before.held.takeReading(readingOf(38, 60, 60));
   before.held.takeReading(readingOf(34, 205, 270));
--- a/test/fleet/operator_follower.test.ts
+++ b/test/fleet/operator_follower.test.ts
@@ -22,17 +22,19 @@
 } from '../../packages/fleet/src/entry/operator_follower';
 import {createConfigurationCopies} from '../../packages/fleet/src/link/configuration_copies';
 
-/** The store's clock has nothing to do with the one here. */
+/** The store's clock is unrelated to the local one. */
 const STORE_OFFSET = 777_000;
 
-/** From a configuration's writing until it must be in force. */
+/** Time from a configuration's writing until it must be in force. */
 const CONFIGURATION_BOUND = 2_000;
 
-/** Time from a version's naming after which older ones start nothing. */
+/**
+ * Time from a version's naming after which older versions start no requests.
+ */
 const VERSION_BOUND = 8_000;
 
-/** Age at which keys are not served any more. */
-const BOUND = 4_700;
+/** Age of a configuration from which its keys are no longer accepted. */
+const MAX_CONFIRMATION_AGE = 4_700;
 
 const log = {info: () => undefined, warn: () => undefined} as unknown as Log;
 
@@ -52,11 +54,11 @@
 function startFollower(source: () => TableSource) {
   const now = () => Date.now();
   let version = 1;
-  let questions = 0;
+  let queries = 0;
   let isCut = false;
   let isAway = false;
   let isUnusable = false;
-  let lateBy = 0;
+  let lag = 0;
   let named: readonly NamedVersion[] = [];
   const recorded: NamedVersion[] = [];
   const rows: EvacuationChange[] = [];
@@ -77,7 +79,7 @@
   const feed: OperatorFeed = {
     readAll: () => Promise.resolve(Ok(readingOf(true))),
     follow: async (after, wait) => {
-      questions += 1;
+      queries += 1;
       expect(Number.isInteger(wait)).toBe(true);
       if (isAway) return Err({kind: 'unavailable', detail: ''});
       const until = now() + wait;
@@ -85,7 +87,7 @@
         await new Promise(resolve => setTimeout(resolve, 10));
       }
       const reading = readingOf(version > after);
-      if (lateBy > 0) await new Promise(later => setTimeout(later, lateBy));
+      if (lag > 0) await new Promise(later => setTimeout(later, lag));
       return Ok(reading);
     },
     recordNaming: async naming => {
@@ -116,7 +118,7 @@
     feed,
     clock: now,
     confirmation,
-    storeContact: createStoreAvailability(),
+    storeAvailability: createStoreAvailability(),
     versions,
     storeClock,
     evacuations,
@@ -133,24 +135,24 @@
   follower.start(stopped.signal);
   return {
     follower,
-    questions: () => questions,
+    queries: () => queries,
     write: () => (version += 1),
     cut: () => (isCut = true),
     setAway: (next: boolean) => (isAway = next),
-    holdUpAnswers: (by: number) => (lateBy = by),
+    delayAnswers: (by: number) => (lag = by),
     recorded,
     name: (namedAt?: number) => {
       named = [{model: 'model', version: 2, namedAt}];
       version += 1;
     },
-    leastVersion: () => versions.oldestAllowed('model', now(), 0),
+    minVersion: () => versions.oldestAllowed('model', now(), 0),
     writeUnusable: () => {
       isUnusable = true;
       version += 1;
     },
-    isFresh: () => confirmation.isFresh(now(), BOUND),
-    /** What a relay tells that looked at the store `ago` milliseconds ago. */
-    hearFromRelay: (
+    isFresh: () => confirmation.isFresh(now(), MAX_CONFIRMATION_AGE),
+    /** Applies a reading that a relay made `ago` milliseconds ago. */
+    receiveReading: (
       ago: number,
       newestChange = version,
       copy?: ConfigurationCopy,
@@ -170,8 +172,10 @@
     endEvacuation: (zone: string) => writeEvacuation(zone, false),
     evacuated: () => evacuations.zones().map(({zone}) => zone),
     logged,
-    /** What a relay tells of an evacuation in the row of this revision. */
-    hearEvacuation: (zone: string, revision: number) =>
+    /**
+     * Applies a relayed reading with an evacuation in the row of this revision.
+     */
+    receiveEvacuation: (zone: string, revision: number) =>
       follower.receive({
         revision,
         newestChange: revision,
@@ -187,7 +191,7 @@
   return {revision: version, text: Buffer.from(String(version))};
 }
 
-/** A copy of the configuration of a relay that holds `versions`. */
+/** A copy of the configuration from a relay that holds `versions`. */
 function copyOf(versions: readonly number[], base: number) {
   const copies = createConfigurationCopies();
   for (const version of versions) copies.add(documentOf(version));
@@ -209,120 +213,121 @@
   };
 }
 
-test('asks the store seldom while a relay tells what it reads', async () => {
+test('queries the store rarely while a relay sends its readings', async () => {
   const site = startFollower(() => 'zoneRelay');
   await vi.advanceTimersByTimeAsync(100);
-  for (let looks = 0; looks < 120; looks += 1) {
-    site.hearFromRelay(5);
+  for (let round = 0; round < 120; round += 1) {
+    site.receiveReading(5);
     expect(site.isFresh()).toBe(true);
     await vi.advanceTimersByTimeAsync(500);
   }
-  // One in 20 s, to know what the store's clock means.
-  expect(site.questions()).toBeLessThanOrEqual(3);
+  // One every 20 s, to relate the store's clock to the local one.
+  expect(site.queries()).toBeLessThanOrEqual(3);
 });
 
-test('reads a configuration at once that the relay has heard of', async () => {
+test('reads a configuration at once that its relay announces', async () => {
   const site = startFollower(() => 'zoneRelay');
   await vi.advanceTimersByTimeAsync(100);
   site.write();
-  site.hearFromRelay(5);
+  site.receiveReading(5);
   await vi.advanceTimersByTimeAsync(50);
   expect(site.follower.table()?.version).toBe(2);
 });
 
-// A key is taken away, and this entry alone is cut off from the store. The
-// relay's word that it has just read the table must not confirm the old one.
-test('a relay confirms nothing that is older than what it has read', async () => {
+// A key is revoked, and only this entry is disconnected from the store. That
+// the relay has just read the table must not confirm the old configuration.
+test('a relay does not confirm a configuration that is older than what it has read', async () => {
   const site = startFollower(() => 'zoneRelay');
   await vi.advanceTimersByTimeAsync(100);
   site.cut();
   for (let second = 0; second < 6; second += 1) {
-    site.hearFromRelay(5, 2);
+    site.receiveReading(5, 2);
     await vi.advanceTimersByTimeAsync(1_000);
   }
   expect(site.follower.table()?.version).toBe(1);
   expect(site.isFresh()).toBe(false);
 });
 
-// A change of one route in 0.35 MB was read by each entry from the store, over
-// links between regions that carry 2 MB a second. The relay hands it on.
-test('takes a configuration of its relay and asks the store for nothing', async () => {
+// If each entry read a change of one route in 0.35 MB from the store, that
+// would load links between regions that carry 2 MB a second. So the relay sends
+// it.
+test('adopts a configuration from its relay without querying the store', async () => {
   const site = startFollower(() => 'zoneRelay');
   await vi.advanceTimersByTimeAsync(100);
   for (const version of [2, 3, 4]) {
     site.write();
     const copy = copyOf([version - 1, version], version - 1);
-    site.hearFromRelay(5, version, copy);
+    site.receiveReading(5, version, copy);
     expect(site.follower.table()?.version).toBe(version);
     expect(site.isFresh()).toBe(true);
     await vi.advanceTimersByTimeAsync(300);
   }
-  expect(site.questions()).toBe(0);
+  expect(site.queries()).toBe(0);
 });
 
-// An entry did not hear of the configuration from which the relay's differs. It
-// must not confirm what it has, and reads the table itself.
-test('reads the store if a copy differs from what it does not hold', async () => {
+// An entry missed the configuration that the relay's copy is based on. It must
+// not confirm what it holds, and reads the table itself.
+test('reads the store if a copy is based on a configuration that it does not hold', async () => {
   const site = startFollower(() => 'zoneRelay');
   await vi.advanceTimersByTimeAsync(100);
   site.write();
   site.write();
-  site.hearFromRelay(5, 3, copyOf([2, 3], 2));
+  site.receiveReading(5, 3, copyOf([2, 3], 2));
   expect(site.follower.table()?.version).toBe(1);
   await vi.advanceTimersByTimeAsync(50);
   expect(site.follower.table()?.version).toBe(3);
   expect(site.held()).toBe(3);
 });
 
-// Changes come each 60 ms. Read one by one, each costs 30 ms of a core here and
-// at every follower, and requests wait behind them.
+// Changes come every 60 ms. Read one by one, each costs 30 ms of a core here
+// and at every follower, and requests wait behind them.
 test('configurations in quick succession are read together', async () => {
   const site = startFollower(() => 'store');
   await vi.advanceTimersByTimeAsync(1_000);
-  const before = site.questions();
+  const before = site.queries();
   for (let change = 0; change < 50; change += 1) {
     site.write();
     await vi.advanceTimersByTimeAsync(60);
   }
-  expect(site.questions() - before).toBeLessThanOrEqual(30);
+  expect(site.queries() - before).toBeLessThanOrEqual(30);
   await vi.advanceTimersByTimeAsync(CONFIGURATION_BOUND / 4);
   expect(site.follower.table()?.version).toBe(51);
 });
 
-// A relay is frozen with news in hand, and passes them on four seconds later.
-test('old news of a relay do not confirm, and the store is asked', async () => {
+// A relay freezes before it sends updates, and sends them four seconds later.
+test('delayed updates of a relay confirm nothing, and the store is queried', async () => {
   const site = startFollower(() => 'zoneRelay');
   await vi.advanceTimersByTimeAsync(100);
-  const before = site.questions();
+  const before = site.queries();
   for (let second = 0; second < 10; second += 1) {
-    site.hearFromRelay(4_000);
+    site.receiveReading(4_000);
     await vi.advanceTimersByTimeAsync(1_000);
     expect(site.isFresh()).toBe(true);
   }
-  expect(site.questions()).toBeGreaterThan(before);
+  expect(site.queries()).toBeGreaterThan(before);
 });
 
-test('asks the store itself when its relay has fallen silent', async () => {
+test('queries the store itself when its relay has fallen silent', async () => {
   let source: TableSource = 'zoneRelay';
   const site = startFollower(() => source);
   await vi.advanceTimersByTimeAsync(1_000);
   source = 'store';
   await vi.advanceTimersByTimeAsync(20_000);
-  expect(site.questions()).toBeGreaterThanOrEqual(45);
-  expect(site.questions()).toBeLessThanOrEqual(55);
+  expect(site.queries()).toBeGreaterThanOrEqual(45);
+  expect(site.queries()).toBeLessThanOrEqual(55);
   expect(site.isFresh()).toBe(true);
 });
 
-// The relay's question is answered, and the answer is lost: it hears of nothing
-// until it gives the question up after 0.8 s more. Its follower went by a dropped
-// route 0.6 s after the bound of 2 s.
-test('knows a configuration within its bound though the relay hears of none', async () => {
+// The answer to the relay's query is lost, and the relay misses changes until
+// it gives the query up after 0.8 s more. A follower once used a removed route
+// 0.6 s after the bound of 2 s.
+test('reads a configuration within its bound though the relay misses it', async () => {
   for (const writtenAt of [5_000, 5_100, 5_250, 5_400]) {
     stopped.abort();
     stopped = new AbortController();
     const site = startFollower(() => 'zoneRelay');
     for (let now = 0; now < writtenAt; now += 50) {
-      if (now % 400 === 0 && now > 0) site.hearFromRelay(5);
+      if (now % 400 === 0 && now > 0) site.receiveReading(5);
       await vi.advanceTimersByTimeAsync(50);
     }
     site.write();
@@ -331,9 +336,9 @@
   }
 });
 
-// The operator's newest configuration can't be read. An entry that asks again at
-// once whatever it is told would ask a hundred times a second.
-test('asks at a steady pace while the newest configuration is unusable', async () => {
+// The operator's newest configuration is unreadable. An entry that queries
+// again at once after each answer would send a hundred queries a second.
+test('queries at a steady rate while the newest configuration is unusable', async () => {
   for (const source of ['store', 'siteReader', 'zoneRelay'] as const) {
     stopped.abort();
     stopped = new AbortController();
@@ -341,24 +346,24 @@
     await vi.advanceTimersByTimeAsync(100);
     site.writeUnusable();
     await vi.advanceTimersByTimeAsync(10_000);
-    expect(site.questions()).toBeLessThanOrEqual(30);
+    expect(site.queries()).toBeLessThanOrEqual(30);
   }
 });
 
-test('a name whose answer is late has its bound from its naming', async () => {
+test('the bound of a named version counts from its naming though the answer is late', async () => {
   const site = startFollower(() => 'store');
   await vi.advanceTimersByTimeAsync(1_000);
-  site.holdUpAnswers(1_300);
+  site.delayAnswers(1_300);
   site.name();
   await vi.advanceTimersByTimeAsync(VERSION_BOUND - 20);
-  expect(site.leastVersion()).toBeUndefined();
+  expect(site.minVersion()).toBeUndefined();
   await vi.advanceTimersByTimeAsync(40);
-  expect(site.leastVersion()).toBe(2);
+  expect(site.minVersion()).toBe(2);
 });
 
 // All processes are killed six seconds after a naming. Counted from their first
-// look, the bound would end six seconds after that of the operator.
-test('the bound of a recorded naming outlives a restart of all processes', async () => {
+// reading, the bound would end six seconds after the operator's.
+test('the bound of a recorded naming survives a restart of all processes', async () => {
   const before = startFollower(() => 'store');
   await vi.advanceTimersByTimeAsync(100);
   before.name();
@@ -368,18 +373,18 @@
   await vi.advanceTimersByTimeAsync(100);
   after.name(before.recorded[0]?.namedAt);
   await vi.advanceTimersByTimeAsync(VERSION_BOUND - 6_000 - 200);
-  expect(after.leastVersion()).toBeUndefined();
+  expect(after.minVersion()).toBeUndefined();
   await vi.advanceTimersByTimeAsync(200);
-  expect(after.leastVersion()).toBe(2);
+  expect(after.minVersion()).toBe(2);
   expect(after.recorded).toHaveLength(0);
 });
 
-// At 43 entries each naming would cost 43 calls to the store.
+// With 43 entries, each naming would cost 43 calls to the store.
 test('an entry that follows a relay records no naming', async () => {
   const site = startFollower(() => 'zoneRelay');
   await vi.advanceTimersByTimeAsync(100);
   site.name();
-  site.hearFromRelay(5);
+  site.receiveReading(5);
   await vi.advanceTimersByTimeAsync(2_000);
   expect(site.recorded).toHaveLength(0);
 });
@@ -393,7 +398,7 @@
   expect(site.evacuated()).toEqual(['south']);
 });
 
-test('evacuations overlap, end and begin again, with a line for each change', async () => {
+test('each evacuation that begins or ends is logged, also if evacuations overlap', async () => {
   const site = startFollower(() => 'store');
   await vi.advanceTimersByTimeAsync(100);
   site.evacuate('south');
@@ -410,12 +415,13 @@
   expect(lines).toHaveLength(4);
 });
 
-// The relay's moment counts as confirmed by the configuration alone, so that an
-// entry would go on sending to the zone until it asks the store itself.
-test('an evacuation comes with the moment of a relay that names it', async () => {
+// The relayed reading confirms only the configuration, so without the
+// evacuations in it an entry would keep sending to the zone until it queries
+// the store itself.
+test('an evacuation is applied from a relayed reading', async () => {
   const site = startFollower(() => 'zoneRelay');
   await vi.advanceTimersByTimeAsync(100);
-  site.hearEvacuation('south', 2);
+  site.receiveEvacuation('south', 2);
   expect(site.evacuated()).toEqual(['south']);
 });
 
@@ -436,13 +442,13 @@
 test('readings of evacuations age while the relay and the store are silent', async () => {
   const site = startFollower(() => 'zoneRelay');
   await vi.advanceTimersByTimeAsync(100);
-  site.hearFromRelay(5);
+  site.receiveReading(5);
   site.cut();
   await vi.advanceTimersByTimeAsync(6_000);
   expect(site.evacuationsAge()).toBeGreaterThanOrEqual(6_000);
 });
 
-test('a name that is no known zone gives one line', async () => {
+test('an evacuated zone that is not known is logged once', async () => {
   const site = startFollower(() => 'store');
   await vi.advanceTimersByTimeAsync(100);
   site.evacuate('nowhere');
@@ -452,28 +458,29 @@
   );
 });
 
-// The store is away for 8 s, and each of 43 entries asked it twice a second; its
-// relay asks and tells.
+// Without the longer interval, each of 43 entries queries the store twice a
+// second while it is unavailable for 8 s; the relay queries it and relays the
+// result.
 test.each([
   {source: 'zoneRelay', most: 6},
   {source: 'store', most: 20},
-] as const)('asks a store that is away seldom as $source', async asker => {
+] as const)('queries an unavailable store rarely as $source', async asker => {
   const site = startFollower(() => asker.source);
   await vi.advanceTimersByTimeAsync(100);
-  site.hearFromRelay(5);
+  site.receiveReading(5);
   site.setAway(true);
-  const before = site.questions();
+  const before = site.queries();
   await vi.advanceTimersByTimeAsync(8_000);
-  const asked = site.questions() - before;
-  expect(asked).toBeGreaterThan(asker.most / 2);
-  expect(asked).toBeLessThanOrEqual(asker.most);
+  const sent = site.queries() - before;
+  expect(sent).toBeGreaterThan(asker.most / 2);
+  expect(sent).toBeLessThanOrEqual(asker.most);
 });
 
-test('an entry whose relay tells nothing reads a configuration in time once the store is back', async () => {
+test('an entry whose relay is silent reads a configuration in time once the store is back', async () => {
   for (const backAfter of [3_000, 3_600, 4_100, 4_700]) {
     const site = startFollower(() => 'zoneRelay');
     await vi.advanceTimersByTimeAsync(100);
-    site.hearFromRelay(5);
+    site.receiveReading(5);
     site.setAway(true);
     await vi.advanceTimersByTimeAsync(backAfter);
     site.setAway(false);
--- a/test/fleet/quarantine_restore.test.ts
+++ b/test/fleet/quarantine_restore.test.ts
@@ -28,8 +28,8 @@
   await store.close();
 });
 
-/** An entry's keeping of the quarantine; `look` shows it a restore. */
-async function startKeeping() {
+/** The quarantine store of an entry; `pollStore` lets it detect a restore. */
+async function startEntry() {
   const client = createStoreClient(store.address);
   const table = createQuarantineTable(client);
   const quarantine = createQuarantine();
@@ -40,54 +40,54 @@
     clock: () => now,
     log,
   });
-  const keeping = createQuarantineStore({
+  const quarantineStore = createQuarantineStore({
     table,
     quarantine,
     onRestore: trials.reclaim,
     failurePause: createFailurePause(0),
     log,
   });
-  keeping.start(stopped.signal);
-  await eventually(keeping.isKnown);
+  quarantineStore.start(stopped.signal);
+  await eventually(quarantineStore.isKnown);
   return {
     quarantine,
     trials,
     at: (time: number) => (now = time),
-    look: () => client.rows('op', TIMEOUT),
+    pollStore: () => client.rows('op', TIMEOUT),
   };
 }
 
-test('a quarantine that a restore has lost holds, and is stored again', async () => {
-  const {quarantine, look} = await startKeeping();
+test('a quarantine that a store restore has lost stays in force and is stored again', async () => {
+  const {quarantine, pollStore} = await startEntry();
   const copy = store.copy();
   store.write(TABLE, 'request', {quarantined: true});
   await eventually(() => quarantine.isQuarantined('request'));
   store.restore(copy);
-  await look();
+  await pollStore();
   await eventually(() => store.read(TABLE, 'request') !== undefined);
   expect(quarantine.isQuarantined('request')).toBe(true);
 });
 
-test('a quarantine that was over does not come back with a restore', async () => {
+test('a quarantine that had ended does not return with a store restore', async () => {
   store.write(TABLE, 'request', {quarantined: true});
-  const {quarantine, look} = await startKeeping();
+  const {quarantine, pollStore} = await startEntry();
   await eventually(() => quarantine.isQuarantined('request'));
   const copy = store.copy();
   store.remove(TABLE, 'request');
   await eventually(() => !quarantine.isQuarantined('request'));
   store.restore(copy);
-  await look();
+  await pollStore();
   await eventually(() => store.read(TABLE, 'request') === undefined);
   expect(quarantine.isQuarantined('request')).toBe(false);
 });
 
-test('a trial whose claim a restore has lost is not given out again', async () => {
-  const {trials, at, look} = await startKeeping();
+test('a trial claim that a store restore has lost is written again', async () => {
+  const {trials, at, pollStore} = await startEntry();
   const copy = store.copy();
   await trials.claim('request');
   at(10_000);
   expect(await trials.claim('request')).toBe(true);
   store.restore(copy);
-  await look();
+  await pollStore();
   await eventually(() => store.read(TRIALS, 'request') !== undefined);
 });
--- a/test/fleet/quarantine_table.test.ts
+++ b/test/fleet/quarantine_table.test.ts
@@ -17,7 +17,7 @@
   return createQuarantineTable(createStoreClient(store.address));
 }
 
-test('one of two processes claims a trial, and the other one after it is given back', async () => {
+test('one of two processes claims a trial, and the other one once it is released', async () => {
   const [one, other] = [openTable(), openTable()];
   const claims = await Promise.all([
     one.claimTrial('request', 'one', TIMEOUT),
@@ -29,7 +29,7 @@
   expect(again.unwrap()).toBe(true);
 });
 
-test('what one process has written, another one reads, until it is removed', async () => {
+test('a row that one process writes is read by another until it is removed', async () => {
   const [one, other] = [openTable(), openTable()];
   await one.put('request', TIMEOUT);
   const written = (await other.readAll(TIMEOUT)).unwrap();
--- a/test/fleet/quarantine_trials.test.ts
+++ b/test/fleet/quarantine_trials.test.ts
@@ -45,16 +45,19 @@
   return (await Promise.all(claims)).filter(isClaimed => isClaimed).length;
 }
 
-test.each([1, 10, 390])('%i entries try a request once', async count => {
-  const site = startEntries(count);
-  expect(await claimAll(site)).toBe(0);
-  site.pass(LONG);
-  expect(await claimAll(site)).toBe(1);
-  site.pass(LONG);
-  expect(await claimAll(site)).toBe(0);
-});
+test.each([1, 10, 390])(
+  '%i entries together try a quarantined request once',
+  async count => {
+    const site = startEntries(count);
+    expect(await claimAll(site)).toBe(0);
+    site.pass(LONG);
+    expect(await claimAll(site)).toBe(1);
+    site.pass(LONG);
+    expect(await claimAll(site)).toBe(0);
+  },
+);
 
-test('a trial that was not used is tried by another entry', async () => {
+test('an unused trial can be claimed by another entry', async () => {
   const site = startEntries(2);
   await claimAll(site);
   site.pass(LONG);
@@ -73,7 +76,7 @@
   expect(await claimAll(site)).toBe(0);
 });
 
-test('a store that is away puts the trial off', async () => {
+test('an unavailable store delays the trial', async () => {
   const site = startEntries(1);
   await claimAll(site);
   site.pass(LONG);
--- a/test/fleet/rate_limit.test.ts
+++ b/test/fleet/rate_limit.test.ts
@@ -5,15 +5,18 @@
 
 const RATE = 1;
 
-/** Time in which all entries know what one of them has been told. */
-const CONTACT = 3_000;
+/** Time in which what one entry has learned reaches all entries. */
+const PROPAGATION_MS = 3_000;
 
-/** In any such time a target takes so much more than it names, and some. */
-const WINDOW = 4_000;
-const MOST_IN_WINDOW = 1.5 * RATE * (WINDOW / 1_000) + 5;
+/**
+ * Window in which requests to a target are counted: up to 1.5 times its limit,
+ * and 5 more.
+ */
+const WINDOW_MS = 4_000;
+const MAX_IN_WINDOW = 1.5 * RATE * (WINDOW_MS / 1_000) + 5;
 
-/** Requests at an entry at the same time, so that one target isn't enough. */
-const AT_ONCE = 2;
+/** Concurrent requests at an entry, so that one target isn't enough. */
+const CONCURRENT_REQUESTS = 2;
 
 let site: HostSite;
 let limited: HostEngine;
@@ -48,7 +51,7 @@
   const until = performance.now() + duration;
   while (performance.now() < until) {
     const replies = addresses.flatMap(address =>
-      Array.from({length: AT_ONCE}, () => send(address, '/safe/a')),
+      Array.from({length: CONCURRENT_REQUESTS}, () => send(address, '/safe/a')),
     );
     for (const {status} of await Promise.all(replies)) statuses.push(status);
     await new Promise(resolve => setTimeout(resolve, 25));
@@ -56,21 +59,24 @@
   return statuses;
 }
 
-/** Most requests that begin at an engine in any window after `since`. */
-function mostInWindow({runs}: HostEngine, since: number): number {
+/**
+ * Maximum number of requests that start at an engine in any window after
+ * `since`.
+ */
+function maxInWindow({runs}: HostEngine, since: number): number {
   const times = runs.map(({begunAt}) => begunAt).filter(at => at >= since);
   const counts = times.map(
-    first => times.filter(at => at >= first && at < first + WINDOW).length,
+    first => times.filter(at => at >= first && at < first + WINDOW_MS).length,
   );
   return Math.max(0, ...counts);
 }
 
-test('entries together keep to the limit that a target names', async () => {
+test('entries together keep to the rate limit that a target sets', async () => {
   const addresses = [await startServingEntry(), await startServingEntry()];
   limited.setRateLimit(RATE);
-  await sendFor(CONTACT, addresses);
+  await sendFor(PROPAGATION_MS, addresses);
   const since = performance.now();
-  const statuses = await sendFor(1.5 * WINDOW, addresses);
-  expect(mostInWindow(limited, since)).toBeLessThanOrEqual(MOST_IN_WINDOW);
+  const statuses = await sendFor(1.5 * WINDOW_MS, addresses);
+  expect(maxInWindow(limited, since)).toBeLessThanOrEqual(MAX_IN_WINDOW);
   expect(new Set(statuses)).toEqual(new Set([200]));
 });
--- a/test/fleet/request_quarantine.test.ts
+++ b/test/fleet/request_quarantine.test.ts
@@ -6,11 +6,11 @@
 const CRASHING = 'crashes its engine';
 const ENGINES = 12;
 
-/** Time in which all entries know what one of them has seen. */
-const CONTACT = 3_000;
+/** Time in which what one entry has learned reaches all entries. */
+const PROPAGATION_MS = 3_000;
 
-/** Sends that are allowed after it, whatever an entry knew. */
-const MOST_LATE_SENDS = 3;
+/** Attempts allowed after that time, whatever an entry knew. */
+const MAX_LATE_ATTEMPTS = 3;
 
 let site: HostSite;
 let engines: readonly HostEngine[];
@@ -42,7 +42,7 @@
   return {address, running};
 }
 
-function crashingSends(): number {
+function crashingAttempts(): number {
   return engines.flatMap(({runs}) => runs).filter(({body}) => body === CRASHING)
     .length;
 }
@@ -58,39 +58,39 @@
   return new Promise(resolve => setTimeout(resolve, milliseconds));
 }
 
-test('a request that has ended three targets is sent to no more, by any entry', async () => {
+test('a request that has crashed three targets is not sent again by any entry', async () => {
   const first = await startServingEntry();
   const second = await startServingEntry();
   const addresses = [first.address, second.address];
   await sendCrashing(addresses, 2);
-  await pass(CONTACT);
-  const before = crashingSends();
+  await pass(PROPAGATION_MS);
+  const before = crashingAttempts();
   await sendCrashing(addresses, 8);
   expect(before).toBeGreaterThanOrEqual(3);
-  expect(crashingSends() - before).toBeLessThanOrEqual(MOST_LATE_SENDS);
+  expect(crashingAttempts() - before).toBeLessThanOrEqual(MAX_LATE_ATTEMPTS);
 });
 
-test('entries that have all started anew still know a request that ends targets', async () => {
+test('entries that have all restarted still know a request that crashes targets', async () => {
   const first = await startServingEntry();
   await sendCrashing([first.address], 2);
-  await pass(CONTACT);
+  await pass(PROPAGATION_MS);
   await first.running.stop();
-  const before = crashingSends();
+  const before = crashingAttempts();
   const second = await startServingEntry();
   await sendCrashing([second.address], 8);
   expect(before).toBeGreaterThanOrEqual(3);
-  expect(crashingSends() - before).toBeLessThanOrEqual(MOST_LATE_SENDS);
+  expect(crashingAttempts() - before).toBeLessThanOrEqual(MAX_LATE_ATTEMPTS);
 });
 
-/** How many requests that end targets come, and the pause between them. */
-const SHARES = [
+/** Number of requests that crash targets, and the pause between them. */
+const CASES = [
   {requests: 1, pause: 0},
   {requests: 2, pause: 0},
   {requests: 3, pause: 150},
 ];
 
-test.each(SHARES)(
-  '$requests requests that end targets, $pause ms apart, leave targets for all others',
+test.each(CASES)(
+  '$requests requests that crash targets, $pause ms apart, leave targets for all others',
   async ({requests, pause}) => {
     const {address} = await startServingEntry();
     const paths = Array.from(
@@ -102,12 +102,12 @@
         void send(address, path, {}, CRASHING);
         await pass(pause);
       }
-      await pass(CONTACT / 2);
+      await pass(PROPAGATION_MS / 2);
     }
-    await pass(CONTACT / 2);
-    const before = crashingSends();
+    await pass(PROPAGATION_MS / 2);
+    const before = crashingAttempts();
     for (const path of paths) await send(address, path, {}, CRASHING);
-    expect(crashingSends() - before).toBeLessThanOrEqual(MOST_LATE_SENDS);
+    expect(crashingAttempts() - before).toBeLessThanOrEqual(MAX_LATE_ATTEMPTS);
     expect(before).toBeLessThanOrEqual(3 * requests);
     expect((await send(address, '/safe/a')).status).toBe(200);
   },
--- a/test/fleet/residency.test.ts
+++ b/test/fleet/residency.test.ts
@@ -53,7 +53,7 @@
   site.configure({Tenants}, [bound]);
 }
 
-test('requests of a route go to targets of its regions', async () => {
+test('requests of a route only go to targets in its allowed regions', async () => {
   bindTo(['inland']);
   await eventually(
     async () => (await send(address, '/bound/a')).status === 200,
@@ -65,7 +65,7 @@
   expect(north.runs.length).toBe(before);
 });
 
-test('a request without any region is refused at once, and a line warns of it', async () => {
+test('a request without any allowed region is refused at once, and a warning is logged', async () => {
   bindTo(['inland'], ['north']);
   const {text, headers} = await eventually(async () => {
     const reply = await send(address, '/bound/a');
@@ -74,22 +74,22 @@
   expect(text).toBe('noAllowedRegion\n');
   expect(Number(headers['retry-after'])).toBeGreaterThan(0);
   const refused = site.lines.filter(
-    ({message: sentence, fields}) =>
-      sentence === 'answered here' &&
+    ({message, fields}) =>
+      message === 'answered here' &&
       JSON.stringify(fields).includes('noAllowedRegion'),
   );
   expect(refused.length).toBeGreaterThan(0);
-  const warnings = site.lines.filter(({message: sentence}) =>
-    sentence.startsWith('no region is allowed'),
+  const warnings = site.lines.filter(({message}) =>
+    message.startsWith('no region is allowed'),
   );
   expect(warnings).toMatchObject([
     {fields: {conflicts: [{route: 'bound', workspace: 'shop'}]}},
   ]);
 });
 
-// The request waits for the only target of its region. Its route is bound to
-// another region meanwhile.
-test('a request that waits goes by the newest configuration', async () => {
+// A request waits for the only target of its region, while its route is bound
+// to another region.
+test('a waiting request uses the newest configuration', async () => {
   bindTo(['inland']);
   await eventually(
     async () => (await send(address, '/bound/a')).status === 200,
@@ -98,12 +98,12 @@
   const before = north.runs.length;
   site.store.remove('servers', south.instance);
   await eventually(() =>
-    site.lines.some(({message: sentence}) => sentence === 'target gone'),
+    site.lines.some(({message}) => message === 'target gone'),
   );
   const waiting = send(address, '/bound/a', {
     'x-hibiscusbeam-deadline-ms': '3000',
   });
-  // Time in which it reaches the entry; it waits there for longer.
+  // Enough time for it to reach the entry, where it waits longer.
   await new Promise(resolve => setTimeout(resolve, 100));
   bindTo(['north']);
   expect((await waiting).status).toBe(200);
--- a/test/fleet/restored_store.test.ts
+++ b/test/fleet/restored_store.test.ts
@@ -20,7 +20,7 @@
 
 const PAIRS = 15;
 
-/** Writes that the restored store has lost, or has had since. */
+/** Writes that the restored store has lost, or has received since. */
 const WRITES = 50;
 
 let site: HostSite;
@@ -45,7 +45,7 @@
   await Promise.all(engines.map(engine => engine.close()));
 });
 
-/** Writes what no process of ours reads, so that versions grow. */
+/** Writes rows that no fleet process reads, so that versions grow. */
 function writeOthers(): void {
   for (let written = 0; written < WRITES; written += 1) {
     site.store.write('others', 'row', written);
@@ -54,18 +54,18 @@
 
 /** Loses writes after the entry has seen their versions. */
 async function loseLastWrites(): Promise<void> {
-  const copy = await copyAndWrite();
+  const copy = await snapshotAndWrite();
   site.store.restore(copy);
 }
 
-async function copyAndWrite(): Promise<StoreSnapshot> {
+async function snapshotAndWrite(): Promise<StoreSnapshot> {
   const copy = site.store.copy();
   writeOthers();
   await pass(DRAINING);
   return copy;
 }
 
-/** The statuses of requests of which one target isn't enough. */
+/** Statuses of request pairs, for which one target isn't enough. */
 async function sendPairs(): Promise<ReadonlySet<number>> {
   const statuses = new Set<number>();
   for (let sent = 0; sent < PAIRS; sent += 1) {
@@ -91,7 +91,7 @@
 
 test('a target that left does not come back once a restored store has caught up', async () => {
   const [left] = engines;
-  const copy = await copyAndWrite();
+  const copy = await snapshotAndWrite();
   site.store.setFault('busy');
   await pass(AWAY);
   site.store.restore(copy);
@@ -107,7 +107,7 @@
   expect(left!.arrivals.length).toBe(before);
 });
 
-test('a target that the restored store has lost is sent requests meanwhile', async () => {
+test('a target that a restored store has lost keeps getting requests', async () => {
   const [lost] = engines;
   site.store.remove('servers', lost!.instance);
   await pass(DRAINING);
--- a/test/fleet/slot_queue.test.ts
+++ b/test/fleet/slot_queue.test.ts
@@ -12,7 +12,10 @@
 
 const TARGET = plainTarget('target', {born: 100, slots: 1});
 
-/** A queue on a clock that only `at` moves, so that no wait runs out by itself. */
+/**
+ * A queue with a fake clock that is set by `at`, so that no wait expires by
+ * itself.
+ */
 function createQueue(order?: WaitingOrder<SlotRequest>) {
   let now = 0;
   const book = createTargetRegistry({instance: 'entry', zone: 'north'});
@@ -21,11 +24,11 @@
     book,
     queue: createSlotQueue(book, () => now, undefined, order),
     at: (time: number) => (now = time),
-    placeRequest: () => placeRequest(() => now),
+    slotRequest: () => slotRequest(() => now),
   };
 }
 
-function placeRequest(clock: () => number): SlotRequest {
+function slotRequest(clock: () => number): SlotRequest {
   return {
     need: () => plainNeed({now: clock()}),
     promptTime: 0,
@@ -40,16 +43,16 @@
   };
 }
 
-test('a request for a service whose targets all leave is refused at once', async () => {
-  const {book, queue, placeRequest} = createQueue();
+test('a request for a service whose targets are all leaving is refused at once', async () => {
+  const {book, queue, slotRequest} = createQueue();
   book.recordLeaving(TARGET);
-  expect(await queue.take(placeRequest())).toEqual({kind: 'leaving'});
+  expect(await queue.take(slotRequest())).toEqual({kind: 'leaving'});
 });
 
 test('a request that waits is refused once its last target leaves', async () => {
-  const {book, queue, placeRequest} = createQueue();
-  expect(await queue.take(placeRequest())).toMatchObject({kind: 'place'});
-  const waiting = queue.take(placeRequest());
+  const {book, queue, slotRequest} = createQueue();
+  expect(await queue.take(slotRequest())).toMatchObject({kind: 'place'});
+  const waiting = queue.take(slotRequest());
   expect(queue.waiting()).toBe(1);
   book.recordLeaving(TARGET);
   queue.pump();
@@ -57,38 +60,38 @@
 });
 
 test('a request whose targets all back off for longer than it may wait is refused at once', async () => {
-  const {book, queue, placeRequest} = createQueue();
+  const {book, queue, slotRequest} = createQueue();
   book.recordBackoff(TARGET, 3_000);
   const refused = {kind: 'backingOff', until: 3_000};
-  expect(await queue.take(placeRequest())).toEqual(refused);
+  expect(await queue.take(slotRequest())).toEqual(refused);
 });
 
 test('a request waits for a target that takes requests again soon', async () => {
-  const {book, queue, at, placeRequest} = createQueue();
+  const {book, queue, at, slotRequest} = createQueue();
   book.recordBackoff(TARGET, 500);
-  const waiting = queue.take(placeRequest());
+  const waiting = queue.take(slotRequest());
   expect(queue.waiting()).toBe(1);
   at(500);
   queue.pump();
   expect(await waiting).toMatchObject({kind: 'place'});
 });
 
-/** Names of requests in the order in which they get the one place. */
+/** Names of requests in the order in which they get the only slot. */
 async function servedInOrder(
   changes: Readonly<Record<string, Partial<SlotRequest>>>,
-  looksAt = 0,
+  checkAt = 0,
 ): Promise<readonly string[]> {
-  const {queue, at, placeRequest} = createQueue(createFairOrder());
-  const first = await queue.take({...placeRequest(), workspace: 'busy'});
+  const {queue, at, slotRequest} = createQueue(createFairOrder());
+  const first = await queue.take({...slotRequest(), workspace: 'busy'});
   const served: string[] = [];
   let release = first.kind === 'place' ? first.inFlight.end : () => undefined;
   for (const [name, change] of Object.entries(changes)) {
-    void queue.take({...placeRequest(), ...change}).then(outcome => {
+    void queue.take({...slotRequest(), ...change}).then(outcome => {
       served.push(name);
       if (outcome.kind === 'place') release = outcome.inFlight.end;
     });
   }
-  at(looksAt);
+  at(checkAt);
   for (const _ of Object.keys(changes)) {
     release();
     queue.pump();
@@ -111,7 +114,7 @@
   ]);
 });
 
-test('a long objective yields to a more urgent request until its own is at risk', async () => {
+test('a request with a long objective yields to a more urgent one until its own objective is at risk', async () => {
   const requests = {
     long: {priority: 2, onTimeUntil: 700},
     urgent: {priority: 0, onTimeUntil: 900},
--- a/test/fleet/stale_readings.test.ts
+++ b/test/fleet/stale_readings.test.ts
@@ -9,10 +9,10 @@
 } from './fixtures/host_site';
 import type {StoreFault} from './fixtures/host_store';
 
-const CONFIGURATION_BOUND = 900;
-const DRAINING_BOUND = 1_000;
-const EVACUATION_BOUND = 1_000;
-const NO_BOUND = 60_000;
+const CONFIGURATION_BOUND_MS = 900;
+const DRAINING_BOUND_MS = 1_000;
+const EVACUATION_BOUND_MS = 1_000;
+const NO_BOUND_MS = 60_000;
 
 let site: HostSite;
 let engine: HostEngine;
@@ -29,7 +29,9 @@
   await engine.close();
 });
 
-/** An entry that serves; returns the address for its callers. */
+/**
+ * Starts an entry and returns its address for callers once it serves requests.
+ */
 async function startServingEntry(bounds: {
   readonly configuration: number;
   readonly draining: number;
@@ -42,7 +44,7 @@
   return address;
 }
 
-/** A busy machine may put an answer off; a wrong one comes each time. */
+/** A loaded machine may delay an answer; a wrong one would come each time. */
 async function eventuallyAnswers(
   status: number,
   address: string,
@@ -57,54 +59,54 @@
 
 test('a route that may have been added meanwhile gets no final 404', async () => {
   const address = await startServingEntry({
-    configuration: CONFIGURATION_BOUND,
-    draining: NO_BOUND,
+    configuration: CONFIGURATION_BOUND_MS,
+    draining: NO_BOUND_MS,
   });
   await eventuallyAnswers(404, address, '/new/a');
   site.store.setFault('answersLate');
   site.configure({Routes: [newRoute()]});
-  await pass(CONFIGURATION_BOUND);
+  await pass(CONFIGURATION_BOUND_MS);
   expect((await send(address, '/new/a')).status).toBe(503);
   site.store.setFault('none');
   await eventuallyAnswers(200, address, '/new/a');
 });
 
-test('nothing is sent by a configuration that may have been replaced', async () => {
+test('no request is sent based on a configuration that may have been replaced', async () => {
   const address = await startServingEntry({
-    configuration: CONFIGURATION_BOUND,
-    draining: NO_BOUND,
+    configuration: CONFIGURATION_BOUND_MS,
+    draining: NO_BOUND_MS,
   });
   const before = engine.runs.length;
   site.store.setFault('answersLate');
   site.configure({Routes: [newRoute()]});
-  await pass(CONFIGURATION_BOUND);
+  await pass(CONFIGURATION_BOUND_MS);
   expect((await send(address, '/safe/a')).status).toBe(503);
   expect(engine.runs.length).toBe(before);
 });
 
 test('nothing is sent to a zone that may have been evacuated', async () => {
   const address = await startServingEntry({
-    configuration: NO_BOUND,
-    draining: NO_BOUND,
-    evacuation: EVACUATION_BOUND,
+    configuration: NO_BOUND_MS,
+    draining: NO_BOUND_MS,
+    evacuation: EVACUATION_BOUND_MS,
   });
   const before = engine.runs.length;
   site.store.setFault('answersLate');
   site.store.write('op', 'evacuate/north', {});
-  await pass(EVACUATION_BOUND);
+  await pass(EVACUATION_BOUND_MS);
   expect((await send(address, '/safe/a')).status).toBe(503);
   expect(engine.runs.length).toBe(before);
 });
 
 test('nothing is sent to a target that may have left', async () => {
   const address = await startServingEntry({
-    configuration: NO_BOUND,
-    draining: DRAINING_BOUND,
+    configuration: NO_BOUND_MS,
+    draining: DRAINING_BOUND_MS,
   });
   const before = engine.runs.length;
   site.store.setFault('answersLate');
   site.register(engine, {State: 'draining'});
-  await pass(DRAINING_BOUND);
+  await pass(DRAINING_BOUND_MS);
   expect((await send(address, '/safe/a')).status).toBe(503);
   expect(engine.runs.length).toBe(before);
   site.register(engine);
@@ -113,25 +115,25 @@
 });
 
 test.each<StoreFault>(['silent', 'busy', 'answerLost'])(
-  'serves by what it has read while the store is away: %s',
+  'keeps serving with the last readings while the store is unavailable: %s',
   async fault => {
     const address = await startServingEntry({
-      configuration: CONFIGURATION_BOUND,
-      draining: DRAINING_BOUND,
+      configuration: CONFIGURATION_BOUND_MS,
+      draining: DRAINING_BOUND_MS,
     });
     site.store.setFault(fault);
-    await pass(2 * DRAINING_BOUND);
+    await pass(2 * DRAINING_BOUND_MS);
     await eventuallyAnswers(200, address, '/safe/a');
   },
 );
 
-test('nobody is denied for good while the store is silent', async () => {
+test('no caller gets a final denial while the store is silent', async () => {
   const address = await startServingEntry({
-    configuration: CONFIGURATION_BOUND,
-    draining: NO_BOUND,
+    configuration: CONFIGURATION_BOUND_MS,
+    draining: NO_BOUND_MS,
   });
   site.store.setFault('silent');
-  await pass(2 * CONFIGURATION_BOUND);
+  await pass(2 * CONFIGURATION_BOUND_MS);
   expect((await send(address, '/new/a')).status).toBe(503);
   const unknownKey = {authorization: 'Token unknown'};
   expect((await send(address, '/safe/a', unknownKey)).status).toBe(503);
--- a/test/fleet/target_follower.test.ts
+++ b/test/fleet/target_follower.test.ts
@@ -15,10 +15,10 @@
 
 const DRAINING = 3_000;
 
-/** The store's clock has nothing to do with the one here. */
+/** The store's clock is unrelated to the local one. */
 const STORE_OFFSET = 777_000;
 
-/** Period in which a relay reads the list. */
+/** Interval at which a relay reads the list. */
 const RELAY_PERIOD = 900;
 
 const log = {info: () => undefined, warn: () => undefined} as unknown as Log;
@@ -37,7 +37,7 @@
 
 const targetAt = (leaving: boolean) => plainTarget('one', {leaving});
 
-/** Whether the entry reads the store, and whether it is away. */
+/** Whether the entry reads the store, and whether the store is unavailable. */
 interface StoreAccess {
   readonly readsStore?: () => boolean;
   readonly isAway?: () => boolean;
@@ -46,7 +46,7 @@
 
 /**
  * A store whose answers take `delay`, with a target that leaves at `leavesAt`;
- * `losesNext` says whether the next answer after that is lost.
+ * with `losesNext`, the next answer after that is lost.
  */
 function startFollower(
   delay: number,
@@ -94,7 +94,7 @@
       machineClock: now,
       storeClock,
       storeDistance: createStoreDistance(),
-      storeContact: createStoreAvailability(),
+      storeAvailability: createStoreAvailability(),
       readsStore,
       onListing: () => undefined,
       spread: 0,
@@ -109,8 +109,8 @@
   );
   const isChosen = () =>
     registry.choose(plainNeed({expectedRun: 0, now: now()})).kind === 'chosen';
-  /** What a relay tells that has read the list at `readAt`. */
-  const hearFromRelay = (readAt: number): void => {
+  /** Applies the listing of a relay that has read the list at `readAt`. */
+  const receiveReading = (readAt: number): void => {
     const leaving = readAt - startedAt >= leavesAt;
     follower.receive({
       revision: leaving ? 2 : 1,
@@ -119,8 +119,11 @@
       targets: [targetAt(leaving)],
     });
   };
-  /** What a relay tells that has read `targets` just now. */
-  const hear = (revision: number, targets: readonly ListedTarget[]): void =>
+  /** Applies the listing of a relay that has just read `targets`. */
+  const receiveTargets = (
+    revision: number,
+    targets: readonly ListedTarget[],
+  ): void =>
     follower.receive({
       revision,
       era: 0,
@@ -129,16 +132,17 @@
     });
   return {
     isChosen,
-    hearFromRelay,
-    hear,
+    receiveReading,
+    receiveTargets,
     reads: () => reads,
     listedAt: follower.listedAt,
   };
 }
 
-// The links to the store are choked, and its answers come more than a second
-// late. A target leaves; requests must not reach it after the draining bound.
-test('knows of a leaving target in time though answers are late', async () => {
+// The links to the store are saturated, and its answers arrive more than a
+// second late. Requests must not reach a leaving target after the draining
+// bound.
+test('learns in time that a target is leaving though answers are late', async () => {
   for (const leavesAt of [5_100, 5_700, 6_400, 7_100]) {
     const {isChosen} = startFollower(1_400, leavesAt);
     await vi.advanceTimersByTimeAsync(leavesAt);
@@ -149,8 +153,9 @@
 });
 
 // A target leaves, the first answer of the store after that is lost, and the
-// next one takes a second. A request reached the target 0.1 s after its bound.
-test('knows of a leaving target in time though an answer is lost', async () => {
+// next one takes a second. A request once reached the target 0.1 s after its
+// bound.
+test('learns in time that a target is leaving though an answer is lost', async () => {
   for (const leavesAt of [5_100, 5_500, 6_000, 6_300]) {
     const {isChosen} = startFollower(1_000, leavesAt, true);
     await vi.advanceTimersByTimeAsync(leavesAt + DRAINING);
@@ -158,31 +163,32 @@
   }
 });
 
-test('sends to a target that stays', async () => {
+test('keeps sending to a target that stays', async () => {
   const {isChosen} = startFollower(5, Infinity);
   await vi.advanceTimersByTimeAsync(10 * DRAINING);
   expect(isChosen()).toBe(true);
 });
 
-test('reads nothing while a relay tells what it reads', async () => {
+test('does not read the list while a relay sends its readings', async () => {
   const follower = startFollower(5, 20_100, false, {
     readsStore: () => false,
   });
   await vi.advanceTimersByTimeAsync(100);
-  for (let heard = 0; heard < 25; heard += 1) {
-    follower.hearFromRelay(Date.now() - 10);
+  for (let round = 0; round < 25; round += 1) {
+    follower.receiveReading(Date.now() - 10);
     await vi.advanceTimersByTimeAsync(RELAY_PERIOD);
   }
   expect(follower.reads()).toBe(1);
   expect(follower.isChosen()).toBe(false);
 });
 
-// The relay is cut off from the store, frozen, or its words are held up for
-// seconds, and a target leaves. Taken by the time of their arrival, they would
-// make an old list a new one, and requests would reach the target after its bound.
-test('knows of a leaving target in time whatever the relay does', async () => {
+// The relay is disconnected from the store, frozen, or its updates are delayed
+// for seconds, and a target leaves. Dated by their arrival, the updates would
+// make an old list look new, and requests would reach the target after its
+// bound.
+test('learns in time that a target is leaving whatever the relay does', async () => {
   for (const delay of [400, 1_400]) {
-    for (const heldUp of [0, 500, 1_500, 4_000]) {
+    for (const updateDelay of [0, 500, 1_500, 4_000]) {
       for (const leavesAt of [5_100, 5_500, 6_000, 6_300, 7_100]) {
         for (const silentFrom of [0, 4_900, 5_300, Infinity]) {
           stopped.abort();
@@ -192,14 +198,14 @@
             readsStore: () => false,
           });
           for (let now = 0; now < leavesAt + DRAINING; now += RELAY_PERIOD) {
-            const readAt = startedAt + now - heldUp;
-            if (now > 0 && now < silentFrom) follower.hearFromRelay(readAt);
+            const readAt = startedAt + now - updateDelay;
+            if (now > 0 && now < silentFrom) follower.receiveReading(readAt);
             const left = leavesAt + DRAINING - now;
             await vi.advanceTimersByTimeAsync(Math.min(RELAY_PERIOD, left));
           }
           expect(
             follower.isChosen(),
-            `${delay} ${heldUp} ${leavesAt} ${silentFrom}`,
+            `${delay} ${updateDelay} ${leavesAt} ${silentFrom}`,
           ).toBe(false);
         }
       }
@@ -207,44 +213,45 @@
   }
 });
 
-// The store is away for some four seconds and targets can't renew their lines. The
-// relay's first listing afterwards names none of them, though all live.
-test('keeps lapsed targets that a relay does not list after an absence', async () => {
+// The store is unavailable for some four seconds and targets can't renew their
+// rows. The relay's first listing afterwards contains none of them, though all
+// still run.
+test('keeps lapsed targets that a relay does not list after the store was unavailable', async () => {
   let away = false;
-  const {isChosen, hear} = startFollower(5, Infinity, false, {
+  const {isChosen, receiveTargets} = startFollower(5, Infinity, false, {
     readsStore: () => false,
     isAway: () => away,
   });
   await vi.advanceTimersByTimeAsync(500);
-  hear(2, [targetAt(false)]);
+  receiveTargets(2, [targetAt(false)]);
   away = true;
   await vi.advanceTimersByTimeAsync(3_900);
-  hear(3, []);
+  receiveTargets(3, []);
   expect(isChosen()).toBe(true);
   await vi.advanceTimersByTimeAsync(1_900);
-  hear(4, []);
+  receiveTargets(4, []);
   expect(isChosen()).toBe(true);
   await vi.advanceTimersByTimeAsync(200);
-  hear(5, []);
+  receiveTargets(5, []);
   expect(isChosen()).toBe(false);
 });
 
-// The relay alone is cut off from the store, and a target leaves for good. The
-// relay keeps its lapsed line for a while; this entry knows better.
-test('a target that was seen to go does not come back by a relay', async () => {
-  const {isChosen, hear} = startFollower(5, Infinity, false, {
+// Only the relay is disconnected from the store, and a target leaves for good.
+// The relay keeps its lapsed row for a while; this entry has newer information.
+test('a target that was seen to leave does not return through a relay', async () => {
+  const {isChosen, receiveTargets} = startFollower(5, Infinity, false, {
     readsStore: () => false,
   });
   await vi.advanceTimersByTimeAsync(500);
-  hear(2, [targetAt(false)]);
+  receiveTargets(2, [targetAt(false)]);
   await vi.advanceTimersByTimeAsync(500);
-  hear(3, []);
+  receiveTargets(3, []);
   expect(isChosen()).toBe(false);
-  hear(2, [targetAt(false)]);
+  receiveTargets(2, [targetAt(false)]);
   expect(isChosen()).toBe(false);
 });
 
-test('a first list that a relay tells late is as old as its reading', async () => {
+test('a first list that a relay sends late is as old as its reading', async () => {
   const startedAt = Date.now();
   const storeClock = createStoreClock();
   storeClock.record({
@@ -252,16 +259,17 @@
     answeredAt: startedAt,
     storeTime: startedAt + STORE_OFFSET,
   });
-  const {hearFromRelay, listedAt} = startFollower(5_000, Infinity, false, {
+  const {receiveReading, listedAt} = startFollower(5_000, Infinity, false, {
     storeClock,
   });
   expect(listedAt()).toBeUndefined();
-  hearFromRelay(startedAt - 2_000);
+  receiveReading(startedAt - 2_000);
   expect(listedAt()).toBe(startedAt - 2_000);
 });
 
-// The store is away for 8 s, and each of 43 entries read the list each 0.6 s.
-test('reads a list that the store refuses seldom, and in time once it is back', async () => {
+// Without the longer interval, each of 43 entries reads the list every 0.6 s
+// while the store is unavailable for 8 s.
+test('reads the list rarely while the store is unavailable, and in time once it is back', async () => {
   for (const leavesAt of [8_000, 8_500, 9_000, 9_500, 10_000]) {
     let isAway = false;
     const follower = startFollower(5, leavesAt, false, {
@@ -269,7 +277,7 @@
       isAway: () => isAway,
     });
     await vi.advanceTimersByTimeAsync(100);
-    follower.hearFromRelay(Date.now() - 10);
+    follower.receiveReading(Date.now() - 10);
     isAway = true;
     await vi.advanceTimersByTimeAsync(leavesAt - 100);
     isAway = false;
--- a/test/fleet/timeliness.test.ts
+++ b/test/fleet/timeliness.test.ts
@@ -37,7 +37,7 @@
   expect(first.onTimeUntil - second.onTimeUntil).toBe(1_000);
 });
 
-test('waits no longer than an answer would be on time', () => {
+test('a request waits no longer than an answer would still be on time', () => {
   const answerTimes = createFirstEventTimes();
   const timeliness = createTimeliness(answerTimes);
   const idle = timeliness.limits(accepted(20_000, 6_000)).waitUntil;
@@ -49,9 +49,9 @@
   expect(busy).toBeLessThanOrEqual(OBJECTIVE - 300 + 1e-6);
 });
 
-// Callers of one route differ in patience. Taken for later attempts, first ones
-// look late on arrival and are refused while places are free.
-test('first attempts of less patient callers are not taken for later ones', () => {
+// Callers of one route have different timeouts. Taken for later attempts, first
+// attempts would look late on arrival and be refused while slots are free.
+test('first attempts with shorter timeouts are not taken for later attempts', () => {
   const timeliness = createTimeliness(createFirstEventTimes());
   const longest = timeliness.limits(accepted(20_000, 6_000));
   for (const patience of [5_900, 5_500, 5_100]) {
@@ -60,16 +60,17 @@
   }
 });
 
-// An operator shortens a route's timeout below the patience of its callers. All
-// of them look late, and once engines are full they are refused before others.
-test('a shorter timeout makes no first attempt look late', () => {
+// An operator shortens a route's timeout below the timeouts of its callers. If
+// all of them looked late, they would be refused before others once engines are
+// full.
+test('a shortened route timeout does not make first attempts look late', () => {
   const timeliness = createTimeliness(createFirstEventTimes());
   const before = timeliness.limits(accepted(20_000, 6_000));
   const after = timeliness.limits(accepted(3_000, 6_000));
   expect(after.onTimeUntil).toBe(before.onTimeUntil);
 });
 
-test('who is told to come back after a pause comes after it, not all at once', () => {
+test('refused callers return after the requested pause, spread over time', () => {
   const route = {objective: OBJECTIVE} as Route;
   const returns = Array.from({length: 50}, (_, index) =>
     spreadRetryAfter(`request-${index}`, route, 3_000),
