--- a/packages/core/src/forecast/first_event.ts
+++ b/packages/core/src/forecast/first_event.ts
@@ -3,17 +3,17 @@
 
 const THOUSAND = 1_000;
 
-/** What an engine has to do now, as far as is known. */
+/** An engine's current work, as far as it is known. */
 export interface EngineWork {
-  /** Requests that have a place there. */
+  /** Requests that have a slot there. */
   readonly running: number;
-  /** Requests that wait there for a place. */
+  /** Requests that wait there for a slot. */
   readonly waiting: number;
-  /** Time in which it reads the prompts that it has not read yet. */
+  /** Time in which it reads the prompts that are still unread. */
   readonly unreadPrompts: Milliseconds;
-  /** Time until it is to load a version; undefined if it is not. */
+  /** Time until it is to load a version; undefined if it isn't. */
   readonly loadsIn: Milliseconds | undefined;
-  /** Times that its passes take longer than its profile says. */
+  /** Factor by which its passes take longer than in its profile. */
   readonly pace: number;
 }
 
@@ -21,13 +21,13 @@
 export interface ForecastRequest {
   /** Time in which an idle engine reads its prompt. */
   readonly promptTime: Milliseconds;
-  /** How long it will probably run, once begun. */
+  /** Expected run time, once begun. */
   readonly expectedRun: Milliseconds;
-  /** Tokens that it will probably hold at its end. */
+  /** Expected number of tokens at its end. */
   readonly expectedTokens: number;
 }
 
-/** Time of one token step for `writers` requests that hold `tokens` each. */
+/** Time of one token step for `writers` requests with `tokens` each. */
 export function stepTimeOf(
   profile: EngineProfile,
   writers: number,
@@ -37,7 +37,7 @@
   return profile.stepTime + writers * (profile.stepTimePerRequest + context);
 }
 
-/** Time of a pass: the steps between two looks at waiting work. */
+/** Time of a pass: the steps between two checks for waiting work. */
 export function passTimeOf(
   profile: EngineProfile,
   writers: number,
@@ -48,9 +48,10 @@
 }
 
 /**
- * Time until the first event of a request that is sent to an engine now: half a
- * pass until the engine looks at waiting work, its turn at a place, a step for
- * each chunk of the unread prompts and its own, and one pass of writing.
+ * Returns the time until the first event of a request that is sent to an engine
+ * now: half a pass until the engine checks for waiting work, the wait for a
+ * slot, a step for each chunk of the unread prompts and its own, and one pass
+ * of generation.
  */
 export function forecastFirstEvent(
   profile: EngineProfile,
@@ -61,38 +62,41 @@
   const {promptTime, expectedTokens} = request;
   const step = stepTimeOf(profile, writers, expectedTokens);
   const pass = passTimeOf(profile, writers, expectedTokens);
-  const look = writers > 0 ? pass / 2 : 0;
-  const reading = work.unreadPrompts + promptTime;
-  const stepsBetween = writers > 0 ? chunksOf(profile, reading) * step : 0;
-  const writing = passTimeOf(profile, writers + 1, expectedTokens);
-  const wait = waitForPlace(profile, work, request);
-  const busy = (wait + look + reading + stepsBetween + writing) * work.pace;
+  const untilCheck = writers > 0 ? pass / 2 : 0;
+  const readTime = work.unreadPrompts + promptTime;
+  const stepsBetween = writers > 0 ? chunksOf(profile, readTime) * step : 0;
+  const generation = passTimeOf(profile, writers + 1, expectedTokens);
+  const wait = waitForSlot(profile, work, request);
+  const busy =
+    (wait + untilCheck + readTime + stepsBetween + generation) * work.pace;
   return busy + waitForLoad(profile, work, wait * work.pace);
 }
 
-/** Token steps in which prompts are read that take so long. */
-function chunksOf(profile: EngineProfile, reading: Milliseconds): number {
+/** Returns the token steps in which prompts with this read time are read. */
+function chunksOf(profile: EngineProfile, readTime: Milliseconds): number {
   if (profile.prefillRate <= 0 || profile.prefillChunk <= 0) return 0;
   const chunk = (profile.prefillChunk * THOUSAND) / profile.prefillRate;
-  return Math.ceil(reading / chunk);
+  return Math.ceil(readTime / chunk);
 }
 
-/** Each of the places becomes free once in the time of a run. */
-function waitForPlace(
+/** Each slot becomes free once per run time. */
+function waitForSlot(
   {slots}: EngineProfile,
   {running, waiting}: EngineWork,
   {expectedRun}: ForecastRequest,
 ): Milliseconds {
-  const before = Math.max(0, running + waiting + 1 - slots);
-  return (before * expectedRun) / Math.max(1, slots);
+  const ahead = Math.max(0, running + waiting + 1 - slots);
+  return (ahead * expectedRun) / Math.max(1, slots);
 }
 
-/** An engine that is to load begins nothing new from then on until it has. */
+/**
+ * An engine that is to load weights starts nothing from then until it is done.
+ */
 function waitForLoad(
   profile: EngineProfile,
   {loadsIn}: EngineWork,
-  begunIn: Milliseconds,
+  startsIn: Milliseconds,
 ): Milliseconds {
-  if (loadsIn === undefined || begunIn < loadsIn) return 0;
+  if (loadsIn === undefined || startsIn < loadsIn) return 0;
   return profile.loadTime;
 }
--- a/packages/core/src/forecast/stream_end.ts
+++ b/packages/core/src/forecast/stream_end.ts
@@ -1,34 +1,34 @@
 import type {Milliseconds, MonotonicInstant} from '../types';
 
 /**
- * Pauses of which the median counts: a pause of a second, after its engine was
- * frozen, says nothing of the pauses that follow.
+ * Number of pauses for the median. A pause of a second after its engine was
+ * frozen must not affect it.
  */
-const PAUSES = 5;
+const WINDOW = 5;
 
-/** Pauses seen before a stream's end is judged. */
+/** Pauses required before a stream's end is estimated. */
 const MIN_PAUSES = 3;
 
 /**
- * Times that the rest of a stream must exceed what is left to its deadline, and
- * that the rest elsewhere must stay below it.
+ * Factor by which the rest of a stream must exceed the time to its deadline to
+ * be moved, and by which it must be shorter elsewhere.
  */
 const MARGIN = 1.15;
 
-/** The pauses between the events of a stream at one engine. */
+/** Pauses between the events of a stream at one engine. */
 export interface EventPauses {
   readonly record: (now: MonotonicInstant) => void;
-  /** Undefined until enough were seen. */
+  /** Undefined until there are enough pauses. */
   readonly median: () => Milliseconds | undefined;
 }
 
-/** Creates the pauses of a stream that begins. */
+/** Creates an empty tracker for a new stream. */
 export function createEventPauses(): EventPauses {
   let last: MonotonicInstant | undefined;
   let pauses: readonly Milliseconds[] = [];
   return {
     record: now => {
-      if (last !== undefined) pauses = [...pauses, now - last].slice(-PAUSES);
+      if (last !== undefined) pauses = [...pauses, now - last].slice(-WINDOW);
       last = now;
     },
     median: () => {
@@ -39,22 +39,22 @@
   };
 }
 
-/** What is left of a stream. */
+/** The rest of a stream. */
 export interface RemainingStream {
   readonly events: number;
-  /** Pause between two events where it runs. */
+  /** Pause between two events at its current engine. */
   readonly pause: Milliseconds;
-  /** Pause between two events at an engine of the usual pace. */
+  /** Pause between two events at an engine of typical pace. */
   readonly typicalPause: Milliseconds;
   /** Time until its caller's deadline. */
   readonly timeLeft: Milliseconds;
 }
 
 /**
- * Time that a move saves; undefined if the stream ends in time where it is.
- *
- * Failure: a stream begins in time at an engine that is five times slower, and
- * is cut at its caller's deadline with half of its events.
+ * Returns the time that a move saves; undefined if the stream ends in time
+ * where it is. Without moves, a stream that begins in time at an engine that is
+ * five times slower is cut off at its caller's deadline with half of its
+ * events.
  */
 export function timeSavedByMove(
   rest: RemainingStream,
@@ -64,7 +64,10 @@
   return here - rest.events * rest.typicalPause;
 }
 
-/** Whether a stream that begins again elsewhere after `first` ends in time. */
+/**
+ * Whether a stream that restarts elsewhere, with its first event after `first`,
+ * ends in time.
+ */
 export function endsInTime(
   rest: RemainingStream,
   first: Milliseconds,
--- a/packages/core/src/forecast/stream_lengths.ts
+++ b/packages/core/src/forecast/stream_lengths.ts
@@ -1,23 +1,28 @@
 /** Weight of one stream in the means. */
 const WEIGHT = 0.1;
 
-/** Whole streams of a route that are seen before any length is expected. */
+/** Complete streams of a route required before a length is expected. */
 const MIN_STREAMS = 5;
 
-interface Seen {
+interface RouteLengths {
   readonly count: number;
   /** Events of a stream without a hint, and their mean deviation. */
   readonly mean: number;
   readonly deviation: number;
-  /** Events for each token of a caller's hint; undefined before one was seen. */
+  /**
+   * Events for each token of a caller's hint; undefined before the first hint.
+   */
   readonly eventsPerToken: number | undefined;
 }
 
-/** How long the streams of each route are, in events. */
+/** Lengths of the streams of each route, in events. */
 export interface StreamLengths {
-  /** Notes a whole stream; `tokens` is its caller's hint, 0 for none. */
+  /** Records a complete stream; `tokens` is its caller's hint, 0 for none. */
   readonly record: (route: string, events: number, tokens: number) => void;
-  /** Events still expected after so many; undefined until enough were seen. */
+  /**
+   * Events still expected after `passed` ones; undefined until there are enough
+   * streams.
+   */
   readonly remaining: (
     route: string,
     passed: number,
@@ -26,41 +31,51 @@
 }
 
 /**
- * Learns lengths from whole streams.
+ * Learns lengths from complete streams.
  *
- * Failure: a hint counts tokens, and how many of them make an event is known to
- * the engines alone. Taken for events, or wrong, it makes each stream look late.
+ * A hint counts tokens, and only the engine knows how many of them make an
+ * event. Used as a number of events, or if it is wrong, it makes every stream
+ * look late.
  */
 export function createStreamLengths(): StreamLengths {
-  const routes = new Map<string, Seen>();
+  const routes = new Map<string, RouteLengths>();
   return {
     record: (route, events, tokens) => {
-      const seen = routes.get(route);
+      const lengths = routes.get(route);
       const ratio = tokens > 0 ? events / tokens : undefined;
       routes.set(
         route,
-        seen ? move(seen, events, ratio) : first(events, ratio),
+        lengths
+          ? updateLengths(lengths, events, ratio)
+          : createLengths(events, ratio),
       );
     },
     remaining: (route, passed, tokens) => {
-      const seen = routes.get(route);
-      if (seen === undefined || seen.count < MIN_STREAMS) return undefined;
-      const {mean, deviation, eventsPerToken} = seen;
+      const known = routes.get(route);
+      if (known === undefined || known.count < MIN_STREAMS) return undefined;
+      const {mean, deviation, eventsPerToken} = known;
       if (tokens > 0 && eventsPerToken !== undefined) {
         return Math.max(0, tokens * eventsPerToken - passed);
       }
-      // Who is past the mean belongs to the long ones.
+      // A stream past the mean is one of the long ones.
       return Math.max(mean - passed, deviation);
     },
   };
 }
 
-function first(events: number, eventsPerToken: number | undefined): Seen {
+function createLengths(
+  events: number,
+  eventsPerToken: number | undefined,
+): RouteLengths {
   return {count: 1, mean: events, deviation: events / 2, eventsPerToken};
 }
 
-function move(seen: Seen, events: number, ratio: number | undefined): Seen {
-  const {count, mean, deviation, eventsPerToken} = seen;
+function updateLengths(
+  lengths: RouteLengths,
+  events: number,
+  ratio: number | undefined,
+): RouteLengths {
+  const {count, mean, deviation, eventsPerToken} = lengths;
   const before = eventsPerToken ?? ratio;
   return {
     count: count + 1,
--- a/packages/core/src/placement/target_choice.ts
+++ b/packages/core/src/placement/target_choice.ts
@@ -127,7 +127,7 @@
     entries.map(entry => ({
       zone: entry.target.zone,
       reported: reportedPace(entry, now),
-      logSeen: entry.observedPace.logPace(now),
+      logObserved: entry.observedPace.logPace(now),
     })),
   );
 }
--- a/test/forecast/uneven_site.ts
+++ b/test/forecast/uneven_site.ts
@@ -18,9 +18,12 @@
 
 /** How engines differ. */
 export type Engines = 'even' | 'slowPeriods' | 'sixthSlower' | 'halfZone';
-/** What chooses; `complete` knows each engine as it is. */
+/**
+ * How targets are chosen; `byLoad` by load alone, `complete` with complete
+ * knowledge of each engine.
+ */
 export type Chooser =
-  'standing' | 'forecast' | 'twoChoices' | 'late' | 'complete';
+  'byLoad' | 'forecast' | 'twoChoices' | 'late' | 'complete';
 
 export interface SiteOptions {
   readonly engines: Engines;
@@ -30,7 +33,7 @@
   readonly chooser: Chooser;
   readonly seed: number;
   /** Whether reports name the engines' true pace. */
-  readonly tellsPace?: boolean;
+  readonly reportsPace?: boolean;
 }
 
 const ZONES = ['north', 'south', 'west'];
@@ -75,10 +78,10 @@
   sequence: number;
 }
 
-/** Plays a site; returns the share of late first events. */
-export function simulateSite(plan: SiteOptions): number {
+/** Simulates a site; returns the share of late first events. */
+export function simulateSite(options: SiteOptions): number {
   let count = 0;
-  const next = () => hash32(`${plan.seed}/${(count += 1)}`) / 2 ** 32;
+  const next = () => hash32(`${options.seed}/${(count += 1)}`) / 2 ** 32;
   const exponential = () => -Math.log(1 - next());
   const buckets: (() => void)[][] = [];
   let now = 0;
@@ -86,24 +89,25 @@
     void (buckets[Math.ceil(time)] ??= []).push(run);
   const engines = ZONES.flatMap((zone, z) =>
     Array.from(
-      {length: plan.engines === 'halfZone' && z === 2 ? 3 : 6},
+      {length: options.engines === 'halfZone' && z === 2 ? 3 : 6},
       (_, i) => createEngine(`${zone}-${i}`, zone, z * 6 + i),
     ),
   );
   const entries: SendingEntry[] = Array.from(
-    {length: plan.entries},
+    {length: options.entries},
     (_, i) => ({
       instance: `entry-${i}`,
       zone: ZONES[i % 3]!,
     }),
   );
-  const books = plan.chooser === 'complete' ? [] : entries.map(createBook);
+  const registries =
+    options.chooser === 'complete' ? [] : entries.map(createRegistry);
   let sent = 0;
   let late = 0;
 
   function createEngine(name: string, zone: string, index: number): Engine {
     const pace = (time: number): number => {
-      switch (plan.engines) {
+      switch (options.engines) {
         case 'slowPeriods': {
           const period = Math.floor((time + index * 97) / 600);
           return hash32(`${name}/${period}`) / 2 ** 32 < 0.15 ? 2.5 : 1;
@@ -126,19 +130,21 @@
     };
   }
 
-  function createBook(entry: SendingEntry): TargetRegistry {
-    const book = createTargetRegistry(entry, undefined, undefined, {
+  function createRegistry(entry: SendingEntry): TargetRegistry {
+    const registry = createTargetRegistry(entry, undefined, undefined, {
       placement: 'forecast',
     });
-    book.list(
+    registry.list(
       engines.map(({target}) => target),
       0,
     );
-    book.setEntries(entries);
-    return book;
+    registry.setEntries(entries);
+    return registry;
   }
 
-  /** One token step: what is due is read, then each writer writes a token. */
+  /**
+   * One token step: due prompts are read, then each writer generates a token.
+   */
   function step(engine: Engine): void {
     if (engine.step % PROFILE.stride === 0) {
       engine.runs.push(...engine.queue.splice(0, SLOTS - engine.runs.length));
@@ -180,14 +186,14 @@
       running: engine.runs.length,
       waiting: engine.queue.length,
       sequence: engine.sequence,
-      pace: plan.tellsPace === false ? 1 : engine.pace(now),
+      pace: options.reportsPace === false ? 1 : engine.pace(now),
     });
-    at(now + plan.reportAge, () =>
-      books.forEach(book => book.report(load, now)),
+    at(now + options.reportAge, () =>
+      registries.forEach(registry => registry.report(load, now)),
     );
   }
 
-  function give(engine: Engine, run: Run): void {
+  function enqueue(engine: Engine, run: Run): void {
     engine.queue.push(run);
     if (engine.isBusy) return;
     engine.isBusy = true;
@@ -199,8 +205,8 @@
     const entry = Math.floor(next() * entries.length);
     const prompt = exponential() * PROMPT;
     const tokens = Math.ceil(TOKENS * Math.min(2.5, 0.3 + 0.7 * exponential()));
-    const look = (): void => {
-      const need = engineNeed({
+    const place = (): void => {
+      const placement = engineNeed({
         promptTime: prompt,
         expectedRun: tokens * STEP,
         expectedTokens: tokens,
@@ -208,11 +214,11 @@
         profile: PROFILE,
         now,
       });
-      const chosen = choose(need, books[entry], arrivedAt);
-      if (chosen === undefined) return at(now + 5, look);
+      const chosen = choose(placement, registries[entry], arrivedAt);
+      if (chosen === undefined) return at(now + 5, place);
       const {engine, request, forecast} = chosen;
       const sentAt = now;
-      give(engine, {
+      enqueue(engine, {
         prompt,
         unread: prompt,
         written: 0,
@@ -221,9 +227,9 @@
           sent += 1;
           if (now - arrivedAt > OBJECTIVE) late += 1;
           request?.begun();
-          if (plan.chooser === 'standing') return;
+          if (options.chooser === 'byLoad') return;
           if (forecast === undefined) return;
-          books[entry]?.recordFirstEvent(
+          registries[entry]?.recordFirstEvent(
             engine.target,
             (now - sentAt) / forecast,
             now,
@@ -232,30 +238,32 @@
         onEnd: () => request?.end(),
       });
     };
-    look();
+    place();
   }
 
   function choose(
-    need: PlacementRequest,
-    book: TargetRegistry | undefined,
+    placement: PlacementRequest,
+    registry: TargetRegistry | undefined,
     arrivedAt: number,
   ) {
-    if (book === undefined) return chooseComplete(need);
-    const tried = plan.chooser === 'twoChoices' ? allButTwo() : need.tried;
-    const profile = plan.chooser === 'standing' ? undefined : need.profile;
-    const choice = book.choose({...need, profile, tried});
+    if (registry === undefined) return chooseComplete(placement);
+    const tried =
+      options.chooser === 'twoChoices' ? allButTwo() : placement.tried;
+    const profile =
+      options.chooser === 'byLoad' ? undefined : placement.profile;
+    const choice = registry.choose({...placement, profile, tried});
     if (choice.kind !== 'chosen') return undefined;
     const {target} = choice;
-    const forecast = book.forecast(target, need);
+    const forecast = registry.forecast(target, placement);
     if (
-      plan.chooser === 'late' &&
+      options.chooser === 'late' &&
       now - arrivedAt < 60 &&
       now + (forecast ?? 0) > arrivedAt + OBJECTIVE
     ) {
       return undefined;
     }
-    const request: InFlightRequest = book.begin(target, {
-      promptTime: need.promptTime,
+    const request: InFlightRequest = registry.begin(target, {
+      promptTime: placement.promptTime,
       onIncarnationEnded: () => undefined,
     });
     const engine = engines.find(
@@ -272,9 +280,9 @@
     return all;
   }
 
-  function chooseComplete(need: PlacementRequest) {
+  function chooseComplete(placement: PlacementRequest) {
     let best: Engine | undefined;
-    let least = Infinity;
+    let minCost = Infinity;
     for (const engine of engines) {
       const {runs, queue} = engine;
       if (runs.length + queue.length >= SLOTS) continue;
@@ -291,11 +299,11 @@
       const cost = forecastFirstEvent(
         PROFILE,
         {...work, pace: engine.pace(now)},
-        need,
+        placement,
       );
-      if (cost >= least) continue;
+      if (cost >= minCost) continue;
       best = engine;
-      least = cost;
+      minCost = cost;
     }
     return best && {engine: best, request: undefined, forecast: undefined};
   }
@@ -316,20 +324,20 @@
   for (
     let time = 400;
     time < DURATION;
-    time += exponential() / (rate * plan.load)
+    time += exponential() / (rate * options.load)
   ) {
     at(time, arrive);
   }
   for (; now < DURATION; now += 1) {
     const due = buckets[now] ?? [];
-    // What is due adds what is due in the same millisecond.
+    // A due event may add others for the same millisecond.
     for (let index = 0; index < due.length; index += 1) due[index]!();
     delete buckets[now];
   }
   return late / Math.max(1, sent);
 }
 
-/** The pace that an engine keeps up: the mean of its speeds, inverted. */
+/** The effective pace of an engine: the inverse of its mean speed. */
 function meanPace(pace: (now: number) => number): number {
   let speed = 0;
   for (let now = 0; now < DURATION; now += 100) speed += 1 / pace(now);
