--- a/packages/core/src/memory/expected_output.ts
+++ b/packages/core/src/memory/expected_output.ts
@@ -1,25 +1,30 @@
 import type {SizeStatistics} from './request_sizes';
 
-/** What is said of a request's output, and what was seen of its route. */
+/** What is known about the output length of a request. */
 export interface OutputEstimates {
   /** The caller's hint; undefined if there is none. */
   readonly hint: number | undefined;
-  /** Most tokens that the engine writes; undefined if the request names none. */
+  /**
+   * Maximum number of tokens that the engine generates; undefined if the
+   * request sets none.
+   */
   readonly most: number | undefined;
+  /** Observed outputs of the request's route. */
   readonly seen: SizeStatistics | undefined;
 }
 
-/** Deviations above the route's mean up to which a hint is believed. */
-const BELIEVED_DEVIATIONS = 4;
+/** Deviations above the route's mean up to which a hint is used. */
+const MAX_HINT_DEVIATIONS = 4;
 
 /**
- * Tokens that a request will write at most, as far as an engine's memory goes.
+ * Returns the maximum number of tokens that a request will generate, for an
+ * engine's memory.
  *
- * Failure: callers hint at 0 tokens and get 2,000 each, and the engine ends for
- * want of memory; or they hint at 10^9, and nothing has room for them. Guard: a
- * hint counts between the route's mean and four deviations above it, and never
- * above the maximum that the engine keeps to. On a route of which nothing was
- * seen yet, the maximum counts, up to `mostUnseen`.
+ * A hint counts between the route's mean and four deviations above it, and
+ * never above the maximum that the engine enforces. Used as they are, hints of
+ * 0 tokens for responses of 2,000 tokens let the engine run out of memory, and
+ * with hints of 10^9 no engine has room. On a route without observations, the
+ * maximum counts, up to `maxUnseen`.
  */
 export function outputToReserve(
   {hint, most, seen}: OutputEstimates,
@@ -27,12 +32,12 @@
 ): number {
   if (seen === undefined) return Math.min(most ?? hint ?? 0, maxUnseen);
   const {mean, deviation} = seen;
-  const longest = mean + BELIEVED_DEVIATIONS * deviation;
-  const believed = Math.max(mean, Math.min(hint ?? mean, longest));
-  return Math.min(believed, most ?? Infinity);
+  const maxHint = mean + MAX_HINT_DEVIATIONS * deviation;
+  const bounded = Math.max(mean, Math.min(hint ?? mean, maxHint));
+  return Math.min(bounded, most ?? Infinity);
 }
 
-/** Tokens that a request will probably write. */
+/** Returns the expected number of tokens that a request generates. */
 export function outputToExpect({hint, most, seen}: OutputEstimates): number {
   const expected = hint ?? seen?.mean ?? most ?? 0;
   return Math.min(expected, most ?? Infinity);
--- a/packages/core/src/memory/request_sizes.ts
+++ b/packages/core/src/memory/request_sizes.ts
@@ -1,23 +1,23 @@
-/** Mean and standard deviation of what was seen. */
+/** Mean and standard deviation of the observed sizes. */
 export interface SizeStatistics {
   readonly mean: number;
   readonly deviation: number;
 }
 
-/** Sizes that were seen, by name. */
+/** Observed sizes by name. */
 export interface RequestSizes {
   readonly record: (name: string, size: number) => void;
-  /** Undefined before anything was seen. */
+  /** Undefined before the first size. */
   readonly seen: (name: string) => SizeStatistics | undefined;
 }
 
 /**
- * Weight of one size. An entry sees some ten requests of a service each second,
+ * Weight of one size. An entry sees some ten requests of a service per second,
  * and one in twenty is large: with a weight of 0.1 these would be forgotten.
  */
 const WEIGHT = 0.03;
 
-/** Deviation that the first size counts with, as a share of it. */
+/** Deviation assumed for the first size, as a share of it. */
 const FIRST_DEVIATION = 0.5;
 
 interface Moments {
@@ -25,14 +25,17 @@
   readonly variance: number;
 }
 
-/** Creates a memory of the sizes of requests. */
+/** Creates empty statistics of request sizes. */
 export function createRequestSizes(): RequestSizes {
   const names = new Map<string, Moments>();
 
   return {
     record: (name, size) => {
       const known = names.get(name);
-      names.set(name, known === undefined ? first(size) : move(known, size));
+      names.set(
+        name,
+        known === undefined ? createMoments(size) : updateMoments(known, size),
+      );
     },
     seen: name => {
       const known = names.get(name);
@@ -42,11 +45,11 @@
   };
 }
 
-function first(size: number): Moments {
+function createMoments(size: number): Moments {
   return {mean: size, variance: (size * FIRST_DEVIATION) ** 2};
 }
 
-function move({mean, variance}: Moments, size: number): Moments {
+function updateMoments({mean, variance}: Moments, size: number): Moments {
   const difference = size - mean;
   return {
     mean: mean + WEIGHT * difference,
--- a/packages/core/src/memory/slow_readers.ts
+++ b/packages/core/src/memory/slow_readers.ts
@@ -1,23 +1,23 @@
 import type {Bytes, Milliseconds} from '../types';
 
-/** A peer for which bytes are buffered. */
+/** A peer for which data is buffered. */
 export interface BufferedReader {
   /** Bytes that wait for it. */
   readonly held: Bytes;
-  /** How long it has taken none of them. */
+  /** How long it has read none of them. */
   readonly stalledFor: Milliseconds;
 }
 
-/** Part of the mean of what readers hold from which one is worth its loss. */
+/** Minimum share of the mean buffer size for a reader to be dropped. */
 const MIN_DROP_SHARE = 0.5;
 
 /**
- * The readers to drop so that the others hold `bound` bytes at most, in order:
- * the one that has taken nothing for longest goes first.
+ * Returns the readers to drop so that the others hold at most `bound` bytes:
+ * the one that has stalled for longest goes first.
  *
- * Failure: one reader that holds megabytes brings an entry beyond its bound, and
- * many that hold a few hundred bytes, and have waited a little longer, are dropped
- * for it. Guard: only readers that hold half of the mean at least are dropped.
+ * Only readers that hold at least half of the mean are dropped. Otherwise, if
+ * one reader with megabytes exceeds the bound, many that hold a few hundred
+ * bytes and have waited a little longer are dropped for it.
  */
 export function selectReadersToDrop<Reader extends BufferedReader>(
   readers: readonly Reader[],
@@ -27,9 +27,9 @@
   let total = holding.reduce((sum, {held}) => sum + held, 0);
   const dropped: Reader[] = [];
   while (total > bound) {
-    const least = (total / holding.length) * MIN_DROP_SHARE;
+    const minHeld = (total / holding.length) * MIN_DROP_SHARE;
     const slowest = holding
-      .filter(({held}) => held >= least)
+      .filter(({held}) => held >= minHeld)
       .reduce((one, other) => (isSlower(other, one) ? other : one));
     dropped.push(slowest);
     holding = holding.filter(reader => reader !== slowest);
--- a/test/memory/engine_memory.test.ts
+++ b/test/memory/engine_memory.test.ts
@@ -9,15 +9,18 @@
 import {expect, test} from 'vitest';
 import {engineLoad, engineNeed, engineTarget} from '../fixtures/placement';
 
-/** Twelve requests of the mean size fill an engine's memory; one in twenty is large. */
+/**
+ * Twelve requests of the mean size fill an engine's memory; one in twenty is
+ * large.
+ */
 const MEMORY = 20_000;
 const SLOTS = 12;
 const ENGINES = 3;
 const MEAN_PROMPT = 1_500;
 const MEAN_OUTPUT = 200;
-const MOST_OUTPUT = 500;
+const MAX_OUTPUT = 500;
 const STEP = 10;
-const LOOK = 20;
+const CHECK_PERIOD = 20;
 const REPORT_PERIOD = 100;
 const DURATION = 12_000;
 const SILENT_FROM = 4_000;
@@ -25,9 +28,9 @@
 
 type Hint = 'right' | 'none' | 'zero' | 'huge';
 
-interface World {
+interface Simulation {
   readonly entries: number;
-  /** Age of reports where they are used. */
+  /** Age of reports when they are used. */
   readonly delay: number;
   readonly lostShare: number;
   readonly hint: Hint;
@@ -36,7 +39,7 @@
 interface Run {
   readonly prompt: number;
   readonly output: number;
-  readonly inHand: InFlightRequest;
+  readonly inFlight: InFlightRequest;
   startedAt: number;
 }
 
@@ -53,11 +56,14 @@
   }
 }
 
-/** Plays more load than memory; tells the fullest engine and what was served. */
-function play({entries, delay, lostShare, hint}: World) {
+/**
+ * Simulates more load than memory; returns the maximum memory use and the
+ * number of served requests.
+ */
+function simulate({entries, delay, lostShare, hint}: Simulation) {
   let drawn = 0;
   const draw = () => hash32(`${entries} ${delay} ${(drawn += 1)}`) / 2 ** 32;
-  const seen = createRequestSizes();
+  const outputs = createRequestSizes();
   const senders = Array.from({length: entries}, (_, index) => ({
     instance: `entry-${index}`,
     zone: 'north',
@@ -65,11 +71,11 @@
   const targets = Array.from({length: ENGINES}, (_, index) =>
     engineTarget(`engine-${index}`, {slots: SLOTS}),
   );
-  const books = senders.map(sender => {
-    const book = createTargetRegistry(sender);
-    book.list(targets, 0);
-    book.setEntries(senders);
-    return book;
+  const registries = senders.map(sender => {
+    const registry = createTargetRegistry(sender);
+    registry.list(targets, 0);
+    registry.setEntries(senders);
+    return registry;
   });
   const engines = targets.map(target => ({
     target,
@@ -77,44 +83,44 @@
     waiting: [] as Run[],
     sequence: 0,
   }));
-  const news: {at: number; tell: () => void}[] = [];
-  let fullest = 0;
+  const pendingReports: {at: number; tell: () => void}[] = [];
+  let maxUse = 0;
   let served = 0;
 
-  function needAt(now: number): {
-    need: PlacementRequest;
+  function createRequest(now: number): {
+    request: PlacementRequest;
     prompt: number;
     output: number;
   } {
     const isLarge = draw() < 0.05;
     const prompt = MEAN_PROMPT * (isLarge ? 3 : 0.4 + draw());
-    const output = Math.min(MOST_OUTPUT, MEAN_OUTPUT * (0.3 + 1.4 * draw()));
-    const claims = {
+    const output = Math.min(MAX_OUTPUT, MEAN_OUTPUT * (0.3 + 1.4 * draw()));
+    const estimates = {
       hint: hintFor(hint, output),
-      most: MOST_OUTPUT,
-      seen: seen.seen('route'),
+      most: MAX_OUTPUT,
+      seen: outputs.seen('route'),
     };
-    const reserved = outputToReserve(claims, MEMORY / 4);
+    const reserved = outputToReserve(estimates, MEMORY / 4);
     const tokens = prompt + reserved;
     const memory = {engineTokens: MEMORY, tokens, output: reserved};
-    return {need: engineNeed({now, memory}), prompt, output};
+    return {request: engineNeed({now, memory}), prompt, output};
   }
 
   function heldBy({prompt, output, startedAt}: Run, now: number): number {
     return prompt + Math.min(output, (now - startedAt) / STEP);
   }
 
-  for (let now = 0; now < DURATION; now += LOOK) {
-    for (const {at, tell} of news.splice(0)) {
+  for (let now = 0; now < DURATION; now += CHECK_PERIOD) {
+    for (const {at, tell} of pendingReports.splice(0)) {
       if (at <= now) tell();
-      else news.push({at, tell});
+      else pendingReports.push({at, tell});
     }
     for (const engine of engines) {
       for (const run of [...engine.running]) {
         if (now - run.startedAt < run.output * STEP) continue;
         engine.running.splice(engine.running.indexOf(run), 1);
-        run.inHand.end();
-        seen.record('route', run.output);
+        run.inFlight.end();
+        outputs.record('route', run.output);
         served += 1;
       }
       while (engine.running.length < SLOTS) {
@@ -126,7 +132,7 @@
         (sum, run) => sum + heldBy(run, now),
         0,
       );
-      fullest = Math.max(fullest, held / MEMORY);
+      maxUse = Math.max(maxUse, held / MEMORY);
       const isSilent = now >= SILENT_FROM && now < SILENT_UNTIL;
       if (now % REPORT_PERIOD !== 0 || isSilent) continue;
       engine.sequence += 1;
@@ -137,51 +143,52 @@
         memoryShare: held / MEMORY,
       });
       if (draw() < lostShare) continue;
-      for (const book of books) {
-        news.push({
+      for (const registry of registries) {
+        pendingReports.push({
           at: now + delay,
-          tell: () => book.report(load, now + delay),
+          tell: () => registry.report(load, now + delay),
         });
       }
     }
-    for (const book of books) {
-      const {need, prompt, output} = needAt(now);
-      const choice = book.choose(need);
+    for (const registry of registries) {
+      const {request, prompt, output} = createRequest(now);
+      const choice = registry.choose(request);
       if (choice.kind !== 'chosen') continue;
-      const inHand = book.begin(choice.target, {
+      const inFlight = registry.begin(choice.target, {
         promptTime: 0,
-        memory: need.memory,
+        memory: request.memory,
         at: now,
         onIncarnationEnded: () => undefined,
       });
-      const run = {prompt, output, inHand, startedAt: now};
+      const run = {prompt, output, inFlight, startedAt: now};
       const engine = engines.find(({target}) => target === choice.target);
       engine?.waiting.push(run);
     }
   }
-  return {fullest, served};
+  return {maxUse, served};
 }
 
-const worlds: readonly World[] = [1, 3, 43].flatMap(entries =>
+const simulations: readonly Simulation[] = [1, 3, 43].flatMap(entries =>
   (['right', 'none', 'zero', 'huge'] as const).flatMap(hint => [
     {entries, hint, delay: 0, lostShare: 0},
     {entries, hint, delay: 300, lostShare: 0.3},
   ]),
 );
 
-const largest: World = {
+const largest: Simulation = {
   entries: 390,
   hint: 'zero',
   delay: 300,
   lostShare: 0.3,
 };
 
-// More requests than its memory holds end an engine, and all of them with it.
-test.each([...worlds, largest])(
-  'no engine is given more than its memory holds: %o',
-  world => {
-    const {fullest, served} = play(world);
-    expect(fullest).toBeLessThanOrEqual(1);
+// An engine whose requests exceed its memory terminates, and all of its
+// requests with it.
+test.each([...simulations, largest])(
+  'no engine gets more than its memory holds: %o',
+  simulation => {
+    const {maxUse, served} = simulate(simulation);
+    expect(maxUse).toBeLessThanOrEqual(1);
     expect(served).toBeGreaterThan(50);
   },
 );
--- a/test/memory/slow_readers.test.ts
+++ b/test/memory/slow_readers.test.ts
@@ -8,8 +8,8 @@
   {maxLength: 50},
 );
 
-// An entry that goes on to buffer beyond its bound ends for want of memory.
-test('what is left holds no more than the bound, and nobody goes in vain', () => {
+// An entry that buffers beyond its bound runs out of memory.
+test('the remaining readers hold at most the bound, and none is dropped needlessly', () => {
   fc.assert(
     fc.property(readers, fc.nat(100_000), (held, bound) => {
       const sumOf = (some: typeof held) =>
@@ -26,7 +26,7 @@
   );
 });
 
-test('the slowest goes first, and none that holds next to nothing', () => {
+test('the slowest reader is dropped first, but none with a tiny buffer', () => {
   const large = {held: 5_000, stalledFor: 900};
   const slowest = {held: 4_000, stalledFor: 1_000};
   const small = {held: 10, stalledFor: 3_000};
