--- a/packages/core/src/quarantine/quarantine.ts
+++ b/packages/core/src/quarantine/quarantine.ts
@@ -6,13 +6,16 @@
 import {createRevisionedRows, type ChangedRows} from '../utils/revisioned_rows';
 import type {CrashRecord, EndedLife, Quarantine} from './types';
 
-/** Targets that end under a request before it is sent to no other one. */
+/**
+ * Number of targets that may end while running a request before it is
+ * quarantined.
+ */
 export const ENDINGS_TO_QUARANTINE = 3;
 
-/** Endings that are kept of one request. */
+/** Maximum number of endings kept per request. */
 const MAX_ENDINGS = 16;
 
-/** Requests that are remembered. */
+/** Maximum number of requests that are remembered. */
 const MAX_RECORDS = 2_000;
 
 interface HeldRecord {
@@ -22,8 +25,8 @@
 }
 
 /**
- * Creates the memory of one entry. Records only grow until a whole answer resets
- * them, so entries may pass them on in any order and more than once.
+ * Creates the quarantine of one entry. Records only grow until a complete
+ * response resets them, so entries may relay them in any order and repeatedly.
  */
 export function createQuarantine(maxRecords = MAX_RECORDS): Quarantine {
   const records = createRevisionedRows(maxRecords, leastSignificant);
@@ -77,7 +80,7 @@
     return isNew;
   }
 
-  /** Whether a whole answer would change anything. */
+  /** Whether a complete response would change anything. */
   function isSuspected(fingerprint: RequestFingerprint): boolean {
     const record = records.get(fingerprint);
     return stored.has(fingerprint) || (record?.endings.size ?? 0) > 0;
@@ -100,15 +103,15 @@
   }
 
   /**
-   * Whether another request was at each of the targets that ended, and at more:
-   * then this one only shared them with it.
+   * Whether another request was at each of the targets that ended, and at more;
+   * then this request only shared them.
    */
   function isExplained({endings}: HeldRecord): boolean {
-    const lives = [...endings.keys()];
+    const incarnations = [...endings.keys()];
     return [...records.values()].some(
       other =>
-        other.endings.size > lives.length &&
-        lives.every(life => other.endings.has(life)),
+        other.endings.size > incarnations.length &&
+        incarnations.every(life => other.endings.has(life)),
     );
   }
 
@@ -120,7 +123,7 @@
       stored.add(fingerprint);
       return;
     }
-    // Whoever took the row out has seen the request answered whole.
+    // Whoever removed the row has seen a complete response to the request.
     if (stored.delete(fingerprint)) records.get(fingerprint)?.endings.clear();
   }
 
@@ -139,18 +142,18 @@
   return {fingerprint, endings: new Map(), completedAt: undefined};
 }
 
-/** The oldest record with the fewest endings. */
+/** Returns the oldest record with the fewest endings. */
 function leastSignificant(
   records: ReadonlyMap<RequestFingerprint, HeldRecord>,
 ): RequestFingerprint {
-  let least = '';
-  let fewest = Infinity;
+  let leastKey = '';
+  let minEndings = Infinity;
   for (const [fingerprint, {endings}] of records) {
-    if (endings.size >= fewest) continue;
-    least = fingerprint;
-    fewest = endings.size;
+    if (endings.size >= minEndings) continue;
+    leastKey = fingerprint;
+    minEndings = endings.size;
   }
-  return least;
+  return leastKey;
 }
 
 function toRecord({
--- a/test/quarantine/quarantine.test.ts
+++ b/test/quarantine/quarantine.test.ts
@@ -2,19 +2,19 @@
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
 
-const EVERYTHING = 1_000;
+const MAX_ROWS = 1_000;
 
 function endAll(
   quarantine: Quarantine,
   fingerprint: string,
-  lives: readonly string[],
+  incarnations: readonly string[],
 ): void {
-  for (const life of lives) {
+  for (const life of incarnations) {
     quarantine.recordEnding(fingerprint, {life, endedAt: 1});
   }
 }
 
-test('a request is sent on until three targets have ended under it', () => {
+test('a request is quarantined after three targets have ended while running it', () => {
   const quarantine = createQuarantine();
   endAll(quarantine, 'request', ['one', 'two']);
   expect(quarantine.isQuarantined('request')).toBe(false);
@@ -22,13 +22,13 @@
   expect(quarantine.isQuarantined('request')).toBe(true);
 });
 
-test('a target that ended once counts once, whoever saw it', () => {
+test('an ended target counts once, however often it is recorded', () => {
   const quarantine = createQuarantine();
   endAll(quarantine, 'request', ['one', 'one', 'two', 'one']);
   expect(quarantine.isQuarantined('request')).toBe(false);
 });
 
-test('a whole answer resets the endings before it', () => {
+test('a complete response resets earlier endings', () => {
   const quarantine = createQuarantine();
   endAll(quarantine, 'request', ['one', 'two', 'three']);
   expect(quarantine.recordCompletion('request', 2)).toBe(true);
@@ -39,7 +39,7 @@
   expect(quarantine.isQuarantined('request')).toBe(false);
 });
 
-test('a request that only shared its targets with a worse one goes on', () => {
+test('a request that only shared its targets with a worse one is not quarantined', () => {
   const quarantine = createQuarantine();
   endAll(quarantine, 'crashing', ['one', 'two', 'three', 'four']);
   endAll(quarantine, 'beside it', ['one', 'three', 'four']);
@@ -47,24 +47,24 @@
   expect(quarantine.isQuarantined('beside it')).toBe(false);
 });
 
-test('the share of a worse request does not excuse targets of its own', () => {
+test('a worse request does not excuse endings of other targets', () => {
   const quarantine = createQuarantine();
   endAll(quarantine, 'one', ['one', 'two', 'three', 'four']);
   endAll(quarantine, 'other', ['one', 'two', 'five']);
   expect(quarantine.isQuarantined('other')).toBe(true);
 });
 
-test('many requests that lost a target push out none that is quarantined', () => {
+test('many requests with one ending do not evict a quarantined one', () => {
   const quarantine = createQuarantine(10);
   endAll(quarantine, 'crashing', ['one', 'two', 'three']);
   for (let index = 0; index < 100; index += 1) {
     endAll(quarantine, `request-${index}`, ['four']);
   }
   expect(quarantine.isQuarantined('crashing')).toBe(true);
-  expect(quarantine.changedSince(0, EVERYTHING).rows).toHaveLength(10);
+  expect(quarantine.changedSince(0, MAX_ROWS).rows).toHaveLength(10);
 });
 
-test('what the site has stored counts without endings seen here', () => {
+test('a stored quarantine counts without local endings', () => {
   const quarantine = createQuarantine();
   quarantine.recordStored('request', true);
   expect(quarantine.isQuarantined('request')).toBe(true);
@@ -72,7 +72,7 @@
   expect(quarantine.isQuarantined('request')).toBe(false);
 });
 
-test('records of any entries, in any order and repeated, come to the same', () => {
+test('records of any entries converge in any order and when repeated', () => {
   const ending = fc.record({
     entry: fc.nat({max: 3}),
     fingerprint: fc.constantFrom('a', 'b'),
@@ -100,10 +100,10 @@
 });
 
 function recordsOf(entries: readonly Quarantine[]) {
-  return entries.flatMap(entry => entry.changedSince(0, EVERYTHING).rows);
+  return entries.flatMap(entry => entry.changedSince(0, MAX_ROWS).rows);
 }
 
-test('changes are passed on in parts, each of them once', () => {
+test('changes are returned in parts, each of them once', () => {
   const quarantine = createQuarantine();
   for (let index = 0; index < 7; index += 1) {
     endAll(quarantine, `request-${index}`, ['one']);
