--- a/packages/core/src/admission/demand_meter.ts
+++ b/packages/core/src/admission/demand_meter.ts
@@ -1,45 +1,47 @@
 import type {Milliseconds, MonotonicInstant, ServiceName} from '../types';
 import type {ArrivingRequest, ServiceDemand} from './types';
 
-/** Time over which demand is measured. */
+/** Window over which demand is measured. */
 const WINDOW: Milliseconds = 1_000;
 
-/** Length of the periods that the window is counted in. */
+/** Length of the periods that the window is divided into. */
 const PERIOD: Milliseconds = 100;
 
 const PERIODS = WINDOW / PERIOD;
 
-/** Measures what the callers of one entry ask for. */
+/** Measures the demand of one entry's callers. */
 export interface DemandMeter {
   readonly record: (
     request: Pick<ArrivingRequest, 'service' | 'priority' | 'slotTime'>,
     now: MonotonicInstant,
   ) => void;
-  /** Demand of the last second; what nobody asks for is left out. */
+  /**
+   * Demand of the last second; services and priorities without any are omitted.
+   */
   readonly demands: (
     now: MonotonicInstant,
     waiting: (service: ServiceName, priority: number) => number,
   ) => readonly ServiceDemand[];
 }
 
-interface Counted {
+interface PriorityCount {
   readonly service: ServiceName;
   readonly priority: number;
-  /** Place time asked for, by period. */
+  /** Requested slot time by period. */
   readonly periods: Map<number, Milliseconds>;
 }
 
 /**
- * A priority as it is exchanged. Configurations may hold negative ones and
- * fractions, which messages can't carry.
+ * Returns a priority as it is sent. Configurations may contain negative or
+ * fractional ones, which messages can't carry.
  */
 export function wirePriority(priority: number): number {
   return Number.isFinite(priority) ? Math.max(0, Math.trunc(priority)) : 0;
 }
 
-/** Creates a meter that has seen no request. */
+/** Creates a meter without requests. */
 export function createDemandMeter(): DemandMeter {
-  const counts = new Map<string, Counted>();
+  const counts = new Map<string, PriorityCount>();
 
   function record(
     request: Pick<ArrivingRequest, 'service' | 'priority' | 'slotTime'>,
@@ -48,11 +50,11 @@
     const {service, slotTime} = request;
     const priority = wirePriority(request.priority);
     const key = `${priority} ${service}`;
-    const counted = counts.get(key) ?? {service, priority, periods: new Map()};
-    counts.set(key, counted);
+    const count = counts.get(key) ?? {service, priority, periods: new Map()};
+    counts.set(key, count);
     const period = Math.floor(now / PERIOD);
-    const before = counted.periods.get(period) ?? 0;
-    counted.periods.set(period, before + slotTime);
+    const before = count.periods.get(period) ?? 0;
+    count.periods.set(period, before + slotTime);
   }
 
   function demands(
@@ -64,9 +66,9 @@
     const measured: ServiceDemand[] = [];
     for (const [key, {service, priority, periods}] of counts) {
       let slotTime = 0;
-      for (const [period, asked] of periods) {
+      for (const [period, requested] of periods) {
         if (period < first) periods.delete(period);
-        else slotTime += asked;
+        else slotTime += requested;
       }
       if (periods.size === 0) counts.delete(key);
       const places = slotTime / span;
--- a/packages/core/src/admission/level.ts
+++ b/packages/core/src/admission/level.ts
@@ -1,52 +1,53 @@
 import type {PriorityDemand} from './site_demand';
 
-/** What is admitted of each priority in any case, as a share. */
+/** Share of each priority that is admitted in any case. */
 const FLOOR = 0.25;
 
 /**
- * What the floor is a share of: each priority's demand, or the part of the whole
- * demand that the capacity can serve. The second still serves no priority less
- * than a quarter as often as all, and leaves more to urgent ones from twice the
- * capacity on.
+ * What the floor is a share of: each priority's demand, or the part of the
+ * whole demand that the capacity can serve. The second one still serves each
+ * priority at least a quarter as often as the average, and leaves more to
+ * urgent ones from twice the capacity on.
  */
 export type FloorBase = 'demand' | 'served';
 
-/** Part of a priority's demand that is admitted. */
+/** Share of a priority's demand that is admitted. */
 export interface PriorityShare {
   readonly priority: number;
   /** 0 to 1. */
   readonly share: number;
 }
 
-/** Who is admitted to a service. */
+/** Shares of a service's demand that are admitted. */
 export interface AdmissionLevel {
   /** Most urgent first. */
   readonly shares: readonly PriorityShare[];
-  /** Places that are asked for. */
+  /** Slots that are requested. */
   readonly demand: number;
-  /** Places that are to be filled. */
+  /** Slots that are to be filled. */
   readonly capacity: number;
 }
 
 /**
- * The level at which demand fills `capacity`: priorities in full from the most
- * urgent on, the first that does not fit by a share, those below by the floor.
+ * Returns the level at which demand fills `capacity`: priorities are admitted
+ * completely from the most urgent one on, the first that doesn't fit by a
+ * share, and those below it by the floor.
  */
 export function admissionLevel(
   demandByPriority: PriorityDemand,
   capacity: number,
   floorBase: FloorBase = 'demand',
 ): AdmissionLevel {
-  const asked = [...demandByPriority]
+  const requested = [...demandByPriority]
     .filter(([, places]) => places > 0)
     .sort(([one], [other]) => one - other);
-  const demand = asked.reduce((sum, [, places]) => sum + places, 0);
+  const demand = requested.reduce((sum, [, places]) => sum + places, 0);
   const served = demand > 0 ? Math.min(1, capacity / demand) : 1;
   const floor = floorOf(floorBase, served);
-  let left = capacity - floor * demand;
-  const shares = asked.map(([priority, places]) => {
-    const beyondFloor = Math.min(places * (1 - floor), left);
-    left -= beyondFloor;
+  let remaining = capacity - floor * demand;
+  const shares = requested.map(([priority, places]) => {
+    const beyondFloor = Math.min(places * (1 - floor), remaining);
+    remaining -= beyondFloor;
     return {priority, share: Math.min(1, floor + beyondFloor / places)};
   });
   return {shares, demand, capacity};
@@ -61,8 +62,8 @@
   }
 }
 
-/** The share of a priority, also of one that nobody has asked for lately. */
+/** Returns the share of a priority, also of one without recent demand. */
 export function shareAt({shares}: AdmissionLevel, priority: number): number {
-  const reached = shares.filter(known => known.priority <= priority);
-  return reached.at(-1)?.share ?? 1;
+  const atLeastAsUrgent = shares.filter(known => known.priority <= priority);
+  return atLeastAsUrgent.at(-1)?.share ?? 1;
 }
--- a/packages/core/src/admission/level_admission.ts
+++ b/packages/core/src/admission/level_admission.ts
@@ -15,31 +15,31 @@
   type WorkspaceAdmission,
 } from './workspace_admission';
 
-/** Time for which a level is kept before it is worked out anew. */
+/** Time for which a level is used before it is computed again. */
 const MAX_LEVEL_AGE: Milliseconds = 100;
 
 /**
- * Share of the places that admitted requests are to fill. In the model of
- * test/admission the value grows by 0.02 for each twentieth up to 1; above 1,
+ * Share of the slots that admitted requests are to fill. In the model of
+ * test/admission the value grows by 0.02 for each twentieth up to 1. Above 1,
  * the floor is admitted but no longer served, since it waits behind all others.
  */
 const TARGET_UTILIZATION = 1;
 
-/** Share of all places that stays free of requests below the level. */
+/** Share of all slots that is kept free of requests below the level. */
 const RESERVED_SHARE = 0.05;
 
 /**
- * Time in which all entries together fill the places found free: longer than
- * reports take to show them in use.
+ * Time in which all entries together fill the free slots; longer than reports
+ * take to show them in use.
  */
 const FILL_TIME: Milliseconds = 300;
 
 /** Time in which an engine loads a version and serves again. */
 const LOAD_TIME: Milliseconds = 2_200;
 
-/** What admission by level goes by. */
+/** Options of admission by level. */
 export interface LevelAdmissionOptions {
-  /** Name of the entry; spreads which requests of a share are admitted. */
+  /** Name of the entry; varies which requests of a share are admitted. */
   readonly instance: string;
   readonly demand: (
     service: ServiceName,
@@ -49,7 +49,7 @@
     service: ServiceName,
     now: MonotonicInstant,
   ) => ServiceCapacity;
-  /** Entries that are known of, this one included. */
+  /** Number of known entries, including this one. */
   readonly entries: () => number;
   readonly utilization?: number;
   readonly floorBase?: FloorBase;
@@ -60,19 +60,22 @@
   /** No engine of the service is known, so there is no level. */
   | {readonly kind: 'noLevel'}
   | {readonly kind: 'admitted'; readonly level: AdmissionLevel}
-  /** Below the level, but places stand free that nobody else wants. */
+  /** Below the level, but there are free slots that nobody else needs. */
   | {readonly kind: 'spare'; readonly level: AdmissionLevel}
   | {readonly kind: 'belowLevel'; readonly level: AdmissionLevel};
 
-/** Decides on arrival who is admitted when capacity is short. */
+/** Decides on arrival which requests are admitted when capacity is short. */
 export interface LevelAdmission {
-  /** `waiting`: requests for the service that wait here for a place. */
+  /** `waiting`: requests for the service that wait here for a slot. */
   readonly decide: (
     request: ArrivingRequest,
     waiting: number,
     now: MonotonicInstant,
   ) => LevelDecision;
-  /** How short a service is; undefined if none of its engines is known. */
+  /**
+   * How short a service is of capacity; undefined if none of its engines is
+   * known.
+   */
   readonly pressure: (
     service: ServiceName,
     now: MonotonicInstant,
@@ -80,13 +83,13 @@
 }
 
 interface ServiceState {
-  readonly parts: Map<number, WorkspaceAdmission>;
+  readonly admissions: Map<number, WorkspaceAdmission>;
   level: AdmissionLevel | undefined;
   capacity: ServiceCapacity | undefined;
   decidedAt: MonotonicInstant;
   /** When demand began to exceed the capacity; undefined if it doesn't. */
   overloadedSince: MonotonicInstant | undefined;
-  /** Requests below the level that may be admitted to free places. */
+  /** Requests below the level that may be admitted to free slots. */
   spare: number;
 }
 
@@ -100,7 +103,7 @@
   function stateOf(service: ServiceName, now: MonotonicInstant): ServiceState {
     const known = services.get(service);
     const state = known ?? {
-      parts: new Map<number, WorkspaceAdmission>(),
+      admissions: new Map<number, WorkspaceAdmission>(),
       level: undefined,
       capacity: undefined,
       decidedAt: -Infinity,
@@ -137,22 +140,22 @@
     if (capacity === undefined) return 0;
     const free = capacity.free - capacity.places * RESERVED_SHARE;
     if (free <= 0) return 0;
-    const part = free / Math.max(1, options.entries());
-    return Math.min(Math.max(1, part), spare + (part * passed) / FILL_TIME);
+    const share = free / Math.max(1, options.entries());
+    return Math.min(Math.max(1, share), spare + (share * passed) / FILL_TIME);
   }
 
-  function partsOf(
-    {parts}: ServiceState,
+  function admissionFor(
+    {admissions}: ServiceState,
     service: ServiceName,
     priority: number,
   ): WorkspaceAdmission {
-    const known = parts.get(priority);
+    const known = admissions.get(priority);
     if (known !== undefined) return known;
     const created = createWorkspaceAdmission(
       workspace =>
         hash32(`${instance} ${service} ${priority} ${workspace}`) / 2 ** 32,
     );
-    parts.set(priority, created);
+    admissions.set(priority, created);
     return created;
   }
 
@@ -163,10 +166,10 @@
   ): LevelDecision {
     const state = stateOf(service, now);
     const priority = wirePriority(request.priority);
-    const parts = partsOf(state, service, priority);
+    const admission = admissionFor(state, service, priority);
     const {level} = state;
     const share = level === undefined ? 1 : shareAt(level, priority);
-    const isAdmitted = parts.admits({workspace, slotTime}, share, now);
+    const isAdmitted = admission.admits({workspace, slotTime}, share, now);
     if (level === undefined) return {kind: 'noLevel'};
     if (isAdmitted) {
       return {kind: 'admitted', level};
--- a/packages/core/src/admission/site_demand.ts
+++ b/packages/core/src/admission/site_demand.ts
@@ -7,37 +7,37 @@
 } from '../types';
 import type {ServiceDemand, ZoneDemand} from './types';
 
-/** Age after which demand that was heard of counts no more. */
+/** Age after which received demand no longer counts. */
 export const MAX_DEMAND_AGE: Milliseconds = 3_000;
 
 /** Demand by priority. */
 export type PriorityDemand = ReadonlyMap<number, number>;
 
-/** What is known of the demand of all entries. */
+/** The demand of all entries, as far as it is known. */
 export interface SiteDemand {
-  /** Takes the demand of an entry that follows this one. */
+  /** Records the demand of an entry that follows this one. */
   readonly recordFollower: (
     instance: InstanceName,
     demands: readonly ServiceDemand[],
     now: MonotonicInstant,
   ) => void;
-  /** Takes sums that a relay has told; older ones than known are dropped. */
+  /** Records sums from a relay; those older than the known ones are dropped. */
   readonly recordZones: (zones: readonly ZoneDemand[]) => void;
-  /** Sums by zone, the own one first, to be passed on. */
+  /** Sums by zone, this entry's zone first, to be relayed. */
   readonly zones: (now: MonotonicInstant) => readonly ZoneDemand[];
-  /** Demand for a service, of all entries as far as is known. */
+  /** Demand for a service from all entries, as far as it is known. */
   readonly demandFor: (
     service: ServiceName,
     now: MonotonicInstant,
   ) => PriorityDemand;
 }
 
-/** What the site's demand is worked out from. */
+/** Options of a site's demand. */
 export interface SiteDemandOptions {
   readonly zone: ZoneName;
-  /** What the callers of this entry ask for. */
+  /** Demand of this entry's callers. */
   readonly own: (now: MonotonicInstant) => readonly ServiceDemand[];
-  /** Entries that are known of, this one included. */
+  /** Number of known entries, including this one. */
   readonly entries: () => number;
   /** Whether this entry follows the relay of its zone. */
   readonly followsRelay: () => boolean;
@@ -48,7 +48,7 @@
   readonly receivedAt: MonotonicInstant;
 }
 
-/** Creates the site's demand; nothing has been heard yet. */
+/** Creates the site's demand; nothing has been received yet. */
 export function createSiteDemand(options: SiteDemandOptions): SiteDemand {
   const followers = new Map<InstanceName, FollowerDemand>();
   const zoneDemands = new Map<ZoneName, ZoneDemand>();
@@ -60,8 +60,8 @@
     return now - receivedAt < MAX_DEMAND_AGE;
   }
 
-  /** The sum of this entry and of those that follow it. */
-  function followed(now: MonotonicInstant): readonly ServiceDemand[] {
+  /** The sum of this entry and its followers. */
+  function followedDemand(now: MonotonicInstant): readonly ServiceDemand[] {
     const all = [...options.own(now)];
     for (const [instance, {demands, receivedAt}] of followers) {
       if (isFresh(receivedAt, now)) all.push(...demands);
@@ -71,15 +71,16 @@
   }
 
   /**
-   * The own zone's sum. A relay that has just taken over knows few followers
-   * yet: the sum of the former one counts until it lapses, if it is larger.
+   * The sum of the own zone. A relay that has just taken over knows few
+   * followers: the previous relay's sum counts until it expires, if it is
+   * larger.
    */
   function ownZone(now: MonotonicInstant): ZoneDemand {
     const {zone} = options;
     const relayed = zoneDemands.get(zone);
     const isKnown = relayed !== undefined && isFresh(relayed.receivedAt, now);
     if (isKnown && options.followsRelay()) return relayed;
-    const sum = {zone, demands: followed(now), receivedAt: now};
+    const sum = {zone, demands: followedDemand(now), receivedAt: now};
     return isKnown && placesOf(relayed) > placesOf(sum) ? relayed : sum;
   }
 
@@ -105,8 +106,8 @@
       void followers.set(instance, {demands, receivedAt: now}),
     recordZones: demands => {
       for (const zone of demands) {
-        const before = zoneDemands.get(zone.zone);
-        if (before !== undefined && before.receivedAt >= zone.receivedAt) {
+        const last = zoneDemands.get(zone.zone);
+        if (last !== undefined && last.receivedAt >= zone.receivedAt) {
           continue;
         }
         zoneDemands.set(zone.zone, zone);
@@ -114,14 +115,15 @@
     },
     zones,
     demandFor: (service, now) => {
-      // An entry that hears of no other takes itself for one of many alike.
+      // An entry without data from others assumes that all entries have its
+      // demand.
       const isAlone = isCutOff(now);
       const scale = isAlone ? Math.max(1, options.entries()) : 1;
       const known = isAlone ? [{demands: options.own(now)}] : zones(now);
       const demand = new Map<number, number>();
       for (const {demands} of known) {
-        for (const {service: asked, priority, places} of demands) {
-          if (asked !== service) continue;
+        for (const {service: requested, priority, places} of demands) {
+          if (requested !== service) continue;
           const before = demand.get(priority) ?? 0;
           demand.set(priority, before + places * scale);
         }
--- a/packages/core/src/admission/slot_times.ts
+++ b/packages/core/src/admission/slot_times.ts
@@ -1,18 +1,18 @@
 import type {Milliseconds, MonotonicInstant, ServiceName} from '../types';
 
-/** Memory of how long places were held; decays with this constant. */
+/** Decay time of the recorded times. */
 const DECAY_TIME: Milliseconds = 5_000;
 
-/** Expected time that the profile's word counts for beside what was seen. */
+/** Expected time for which the profile counts alongside the recorded times. */
 const PROFILE_WEIGHT: Milliseconds = 5_000;
 
-/** Bounds of what is learned, against hints that are far off. */
+/** Bounds of the learned factor, against hints that are far off. */
 const MIN_FACTOR = 0.2;
 const MAX_FACTOR = 5;
 
-/** Learns how long requests hold places, against what was expected. */
+/** Learns how long requests hold slots compared with their expected times. */
 export interface SlotTimes {
-  /** `expected`: undefined if the request says nothing of its answer's length. */
+  /** `expected`: undefined if the request doesn't state its response length. */
   readonly record: (
     service: ServiceName,
     times: {
@@ -21,15 +21,15 @@
     },
     now: MonotonicInstant,
   ) => void;
-  /** How long a request will hold its place; 0 if nothing is known. */
+  /** How long a request will hold its slot; 0 if nothing is known. */
   readonly slotTime: (
     service: ServiceName,
     expected: Milliseconds | undefined,
   ) => Milliseconds;
 }
 
-interface Seen {
-  /** Of the requests whose length was known. */
+interface RecordedTimes {
+  /** Of the requests with a known length. */
   readonly expected: Milliseconds;
   readonly heldAsExpected: Milliseconds;
   /** Of all requests. */
@@ -40,31 +40,31 @@
 
 /** Creates the times; the profile is trusted until requests have ended. */
 export function createSlotTimes(): SlotTimes {
-  const services = new Map<ServiceName, Seen>();
+  const services = new Map<ServiceName, RecordedTimes>();
 
   return {
     record: (service, {expected, held}, now) => {
       const before = services.get(service);
-      const kept = before ? Math.exp((before.at - now) / DECAY_TIME) : 0;
+      const decay = before ? Math.exp((before.at - now) / DECAY_TIME) : 0;
       const isKnown = expected !== undefined;
       services.set(service, {
-        expected: (before?.expected ?? 0) * kept + (expected ?? 0),
+        expected: (before?.expected ?? 0) * decay + (expected ?? 0),
         heldAsExpected:
-          (before?.heldAsExpected ?? 0) * kept + (isKnown ? held : 0),
-        held: (before?.held ?? 0) * kept + held,
-        count: (before?.count ?? 0) * kept + 1,
+          (before?.heldAsExpected ?? 0) * decay + (isKnown ? held : 0),
+        held: (before?.held ?? 0) * decay + held,
+        count: (before?.count ?? 0) * decay + 1,
         at: now,
       });
     },
     slotTime: (service, expected) => {
-      const seen = services.get(service);
+      const recorded = services.get(service);
       if (expected === undefined) {
-        return seen === undefined ? 0 : seen.held / seen.count;
+        return recorded === undefined ? 0 : recorded.held / recorded.count;
       }
-      if (seen === undefined) return expected;
+      if (recorded === undefined) return expected;
       const factor =
-        (seen.heldAsExpected + PROFILE_WEIGHT) /
-        (seen.expected + PROFILE_WEIGHT);
+        (recorded.heldAsExpected + PROFILE_WEIGHT) /
+        (recorded.expected + PROFILE_WEIGHT);
       return expected * Math.min(MAX_FACTOR, Math.max(MIN_FACTOR, factor));
     },
   };
--- a/packages/core/src/admission/waiting_order.ts
+++ b/packages/core/src/admission/waiting_order.ts
@@ -1,64 +1,65 @@
 import type {Milliseconds, MonotonicInstant, WorkspaceName} from '../types';
 
-/** Memory of the place time that workspaces have used; decays with this constant. */
+/** Decay time of the slot time that workspaces have used. */
 const DECAY_TIME: Milliseconds = 2_000;
 
-/** Usage, in milliseconds of place time, below which a workspace is forgotten. */
+/** Use, in milliseconds of slot time, below which a workspace is forgotten. */
 const MIN_REMEMBERED_USE = 1;
 
 /**
  * Time before the end of its objective from which a request goes before more
- * urgent ones that have more time left: one look of the queue and its delay. More
- * would take places from the most urgent kind.
+ * urgent ones with more time left: one check of the queue and its delay. A
+ * longer time would take slots from the most urgent priority.
  */
 const URGENT_TIME: Milliseconds = 25;
 
-/** What the order of waiting requests goes by. */
+/** Properties by which waiting requests are ordered. */
 export interface WaitingRequest {
   /** Whether its caller already waits for the next event of a stream. */
   readonly isResumed: boolean;
   /** 0 goes first. */
   readonly priority: number;
-  /** Until when a place still makes for an answer on time. */
+  /** Until when a slot still allows a response in time. */
   readonly onTimeUntil: MonotonicInstant;
-  /** Whether its caller has asked before. */
+  /** Whether its caller retries. */
   readonly isLaterAttempt: boolean;
   readonly workspace: WorkspaceName | undefined;
-  /** How long it will hold its place. */
+  /** How long it will hold its slot. */
   readonly slotTime: Milliseconds;
 }
 
-/** Who of those that wait for a place gets the next one. */
+/** Order in which waiting requests get slots. */
 export interface WaitingOrder<Request> {
-  /** Below 0 if `one` goes first. */
+  /** Negative if `one` goes first. */
   readonly compare: (
     one: Request,
     other: Request,
     now: MonotonicInstant,
   ) => number;
-  /** Notes that a request has got a place. */
+  /** Records that a request got a slot. */
   readonly recordStart: (request: Request, now: MonotonicInstant) => void;
 }
 
 /**
- * Streams that go on come first, since their callers count each pause; then
- * requests that can still be answered on time, by priority.
+ * Orders waiting requests.
  *
- * Failure: with admission by level, requests of the floor that were admitted
- * wait behind all urgent ones until they are refused. Guard: one whose time runs
- * out goes before more urgent ones that have time.
+ * Resumed streams come first, since their callers notice each pause; then
+ * requests that can still be answered in time, by priority. A request whose
+ * time runs out goes before more urgent ones that have time. Without this, with
+ * admission by level, admitted requests of the floor wait behind all urgent
+ * ones until they are refused.
  *
- * First attempts go before later ones; workspaces take turns by the place time
- * that they have used lately; then the one with the least time left goes first.
+ * First attempts go before retries; workspaces take turns by their recently
+ * used slot time; then the request with the least time left goes first.
  */
 export function createFairOrder(): WaitingOrder<WaitingRequest> {
-  const used = new Map<string, {time: Milliseconds; at: MonotonicInstant}>();
+  const usage = new Map<string, {time: Milliseconds; at: MonotonicInstant}>();
 
   function usedBy(
     workspace: WorkspaceName | undefined,
     now: MonotonicInstant,
   ): Milliseconds {
-    const known = used.get(workspace ?? '');
+    const known = usage.get(workspace ?? '');
     if (known === undefined) return 0;
     return known.time * Math.exp((known.at - now) / DECAY_TIME);
   }
@@ -80,13 +81,13 @@
       usedBy(one.workspace, now) - usedBy(other.workspace, now) ||
       one.onTimeUntil - other.onTimeUntil,
     recordStart: ({workspace, slotTime}, now) => {
-      for (const [name, {time, at}] of used) {
+      for (const [name, {time, at}] of usage) {
         if (time * Math.exp((at - now) / DECAY_TIME) < MIN_REMEMBERED_USE) {
-          used.delete(name);
+          usage.delete(name);
         }
       }
       const time = usedBy(workspace, now) + slotTime;
-      used.set(workspace ?? '', {time, at: now});
+      usage.set(workspace ?? '', {time, at: now});
     },
   };
 }
--- a/test/admission/entry_admission.test.ts
+++ b/test/admission/entry_admission.test.ts
@@ -36,14 +36,16 @@
   };
 }
 
-/** An entry with one engine of 16 places, on a clock that only `at` moves. */
+/**
+ * An entry with one engine of 16 slots, with a clock that only `load` advances.
+ */
 function createSite(options: {readonly isReported?: boolean} = {}) {
   let now = 0;
-  const book = createTargetRegistry({instance: 'entry', zone: 'north'});
-  book.list([engineTarget('engine')], 0);
+  const registry = createTargetRegistry({instance: 'entry', zone: 'north'});
+  registry.list([engineTarget('engine')], 0);
   const report = (running: number): void => {
     if (options.isReported === false) return;
-    book.report(engineLoad('engine', {running}), now);
+    registry.report(engineLoad('engine', {running}), now);
   };
   const metrics = createFleetMetrics();
   const lines: unknown[] = [];
@@ -53,13 +55,16 @@
     log: log as unknown as Log,
     instance: 'entry',
     zone: 'north',
-    registry: book,
+    registry,
     clock: () => now,
     entries: () => 1,
     followsRelay: () => false,
     waitingFor: () => 0,
   });
-  /** Requests a second for `length` milliseconds; counts those refused. */
+  /**
+   * Sends `rate` requests per second for `length` ms; returns the refused
+   * share.
+   */
   const load = (
     rate: number,
     length: number,
@@ -76,7 +81,7 @@
   return {admission, load, metrics, lines};
 }
 
-test('what the engines cannot take is refused on arrival', () => {
+test('requests beyond the capacity of the engines are refused on arrival', () => {
   const {load} = createSite();
   load(32, 2_000);
   expect(load(32, 4_000)).toBeGreaterThan(0.42);
@@ -98,7 +103,7 @@
   expect(load(64, 4_000)).toBe(0);
 });
 
-test('requests that hold their places longer than hinted are refused more', () => {
+test('requests that hold their slots longer than hinted are refused more often', () => {
   const {admission, load} = createSite();
   load(14, 2_000);
   expect(load(14, 2_000)).toBe(0);
@@ -109,7 +114,7 @@
   expect(load(14, 2_000)).toBeGreaterThan(0.2);
 });
 
-test('demands that no entry can have measured are left out', () => {
+test('demands that no entry can have measured are ignored', () => {
   const row = {service: 'engines', priority: 1, waiting: 0};
   const rows = [NaN, -1, Infinity, 3].map(places => ({...row, places}));
   expect(readDemands(rows)).toEqual([{...row, places: 3}]);
@@ -142,10 +147,10 @@
   ]);
 });
 
-test('the story of a refused request names the level', () => {
+test('the trace of a refused request shows the level', () => {
   const shares = [{priority: 1, share: 0.5}];
-  const story = describeRefusal({shares, demand: 32, capacity: 16}, 1);
-  expect(story).toBe(
+  const trace = describeRefusal({shares, demand: 32, capacity: 16}, 1);
+  expect(trace).toBe(
     'belowLevel, priority 1, shares 1: 0.50, demand 32 of 16 places',
   );
 });
--- a/test/admission/level.test.ts
+++ b/test/admission/level.test.ts
@@ -18,7 +18,7 @@
   )
   .map(entries => new Map(entries.filter(([, places]) => places > 0)));
 
-test('what is admitted fills the capacity and never more', () => {
+test('admitted requests fill the capacity but never exceed it', () => {
   const capacity = fc.double({min: 0, max: 1_000, noNaN: true});
   fc.assert(
     fc.property(demandArbitrary, capacity, (demand, places) => {
@@ -49,13 +49,13 @@
   expect(shares.map(({share}) => share)).toEqual([1, 0.75, 0.25]);
 });
 
-test('a priority that nobody has asked for gets what the next more urgent one gets', () => {
+test('a priority without demand gets the share of the next more urgent one', () => {
   const level = admissionLevel(new Map([[3, 100]]), 50);
   expect(shareAt(level, 1)).toBe(1);
   expect(shareAt(level, 5)).toBe(0.5);
 });
 
-test('priorities that messages cannot carry are counted as the nearest that they can', () => {
+test('priorities that messages cannot carry count as the nearest valid one', () => {
   const meter = createDemandMeter();
   for (const priority of [-3, NaN, 0.5]) {
     meter.record({service: 'engines', priority, slotTime: 100}, 1_000);
@@ -64,7 +64,7 @@
   expect(demands).toMatchObject([{priority: 0, places: 0.3}]);
 });
 
-test('demand of more than a second ago counts no more', () => {
+test('demand from more than a second ago no longer counts', () => {
   const meter = createDemandMeter();
   meter.record({service: 'engines', priority: 0, slotTime: 500}, 0);
   expect(meter.demands(1_000, () => 0)).toHaveLength(1);
@@ -97,7 +97,7 @@
   expect(placesOf(site, 4_000)).toBe(400);
 });
 
-test('an entry that resumes after a freeze drops what it heard before', () => {
+test('an entry that resumes after a freeze drops older demand', () => {
   const site = createSite();
   site.recordFollower('other', [ONE], 0);
   site.recordZones([{zone: 'south', demands: [ONE], receivedAt: 0}]);
@@ -106,7 +106,7 @@
   expect(placesOf(site, 9_000)).toBe(20);
 });
 
-test('a relay that takes over keeps the former sum until its followers greet', () => {
+test('a relay that takes over keeps the previous sum until its followers report', () => {
   const site = createSite();
   const former = {
     zone: 'north',
@@ -119,7 +119,7 @@
   expect(placesOf(site, 3_000)).toBe(20);
 });
 
-test('a sum that was overtaken by a newer one is dropped', () => {
+test('a sum that is older than the known one is dropped', () => {
   const site = createSite({follows: true});
   const newer = {zone: 'north', demands: [ONE], receivedAt: 500};
   site.recordZones([newer, {zone: 'north', demands: [], receivedAt: 400}]);
@@ -127,26 +127,26 @@
 });
 
 test('a workspace with a burst gets only what the others leave', () => {
-  const parts = createWorkspaceAdmission(() => 0.5);
+  const workspaces = createWorkspaceAdmission(() => 0.5);
   const admitted = {burst: 0, calm: 0};
   for (let now = 0; now < 20_000; now += 10) {
     const workspace = now % 70 === 0 ? 'calm' : 'burst';
-    if (parts.admits({workspace, slotTime: 100}, 0.5, now)) {
+    if (workspaces.admits({workspace, slotTime: 100}, 0.5, now)) {
       admitted[workspace] += 1;
     }
   }
-  // 286 were asked for.
+  // 286 were requested.
   expect(admitted.calm).toBeGreaterThan(270);
   expect(admitted.burst + admitted.calm).toBeGreaterThan(990);
   expect(admitted.burst + admitted.calm).toBeLessThan(1_010);
 });
 
-test('few requests at each entry are admitted by their share in the mean', () => {
+test('few requests per entry are admitted by their share on average', () => {
   let admitted = 0;
   for (let entry = 0; entry < 1_000; entry += 1) {
-    const parts = createWorkspaceAdmission(() => entry / 1_000);
+    const workspaces = createWorkspaceAdmission(() => entry / 1_000);
     const request = {workspace: 'one', slotTime: 100};
-    if (parts.admits(request, 0.4, 0)) admitted += 1;
+    if (workspaces.admits(request, 0.4, 0)) admitted += 1;
   }
   expect(admitted).toBeGreaterThan(350);
   expect(admitted).toBeLessThan(450);
@@ -179,21 +179,21 @@
   }
 });
 
-test('a place that nobody wants is given to a request below the level', () => {
+test('a slot that nobody else needs is given to a request below the level', () => {
   const admission = createAdmission({places: 100, free: 20});
   const kinds = Array.from(
     {length: 100},
     (_, index) => admission.decide(REQUEST, 0, index * 10).kind,
   );
   const spare = kinds.filter(kind => kind === 'spare').length;
-  // 15 places beyond a twentieth, filled at the start and once in 300 ms.
+  // 15 slots beyond a twentieth, filled at the start and once in 300 ms.
   expect(spare).toBeGreaterThan(45);
   expect(spare).toBeLessThan(65);
   const busy = createAdmission({places: 100, free: 20});
   expect(busy.decide(REQUEST, 3, 0).kind).not.toBe('spare');
 });
 
-test('hints that are far off change the learned place time within bounds', () => {
+test('hints that are far off change the learned slot time within bounds', () => {
   const times = createSlotTimes();
   expect(times.slotTime('engines', 100)).toBe(100);
   times.record('engines', {expected: 0, held: 1e9}, 0);
@@ -202,7 +202,7 @@
   expect(times.slotTime('other', 100)).toBe(20);
 });
 
-test('a request without a hint counts as long as those before it', () => {
+test('a request without a hint gets the mean time of previous ones', () => {
   const times = createSlotTimes();
   times.record('engines', {expected: undefined, held: 800}, 0);
   times.record('engines', {expected: 100, held: 1_200}, 0);
--- a/test/admission/model_calls.ts
+++ b/test/admission/model_calls.ts
@@ -1,23 +1,25 @@
 import type {FloorBase} from '@hibiscusbeam/core';
 
-/** How the entries of a generated site decide who is admitted. */
+/** How the entries of a simulated site admit requests. */
 export type Policy = 'none' | 'delayThreshold' | 'level' | 'singleQueue';
 
-/** A generated site under a load. */
+/** A simulated site under a load. */
 export interface ModelOptions {
   readonly policy: Policy;
   readonly entries: number;
   readonly engines: number;
-  /** Demand over capacity. */
+  /** Demand divided by capacity. */
   readonly load: number;
   readonly seed: number;
   readonly utilization?: number;
   readonly floorBase?: FloorBase;
-  /** Milliseconds that are counted, after the warm-up. */
+  /** Measured time after the warm-up, in milliseconds. */
   readonly length?: number;
-  /** Share of the demand that one workspace asks for; the rest share evenly. */
+  /**
+   * Share of the demand from one workspace; the others share the rest evenly.
+   */
   readonly hotWorkspace?: number;
-  /** Load before the counted time; the same load if undefined. */
+  /** Load before the measured time; the same load if undefined. */
   readonly loadBefore?: number;
 }
 
@@ -48,11 +50,11 @@
 
 export const PLACES = 12;
 export const PROMPT_TOKENS_PER_MILLISECOND = 20.7;
-/** Time before what callers get is counted. */
+/** Time before results are counted. */
 export const WARM_UP = 3_000;
 const WORKSPACES = 24;
 
-/** Time of a token step beside `running` requests and their prompts. */
+/** Time of a token step with `running` requests and their prompts. */
 export function stepTime(running: number): number {
   return (9.27 + 0.15 * running) * (1 + 0.1 * (running / PLACES));
 }
--- a/test/admission/model_decisions.ts
+++ b/test/admission/model_decisions.ts
@@ -25,7 +25,7 @@
 
 export interface Decisions {
   readonly admits: (call: Call, entry: number) => boolean;
-  readonly noteWait: (entry: number, waited: number) => void;
+  readonly recordWait: (entry: number, waited: number) => void;
 }
 
 export function createDecisions(
@@ -34,7 +34,7 @@
 ): Decisions {
   switch (options.policy) {
     case 'none':
-      return {admits: () => true, noteWait: () => undefined};
+      return {admits: () => true, recordWait: () => undefined};
     case 'delayThreshold':
       return createDelayThresholds(options, site);
     case 'level':
@@ -107,12 +107,15 @@
   });
   if (!isComplete) exchangeLists();
 
-  /** Each entry greets its relay each second; relays tell on each second. */
+  /**
+   * Each entry reports to its relay every second; relays exchange their sums
+   * every second.
+   */
   function exchangeLists(): void {
     for (const [index, entry] of entries.entries()) {
-      const greet = (): void => {
+      const reportToRelay = (): void => {
         const now = site.now();
-        site.after(LIST_PERIOD, greet);
+        site.after(LIST_PERIOD, reportToRelay);
         if (index >= zoneCount) {
           const relay = entries[index % zoneCount]!;
           relay.demand.recordFollower(`entry-${index}`, entry.own(now), now);
@@ -124,7 +127,7 @@
           if (other !== entry) other.demand.recordZones([ownZone!]);
         }
       };
-      site.after((LIST_PERIOD * ((index * 7) % count)) / count, greet);
+      site.after((LIST_PERIOD * ((index * 7) % count)) / count, reportToRelay);
     }
   }
 
@@ -136,19 +139,20 @@
       const {kind} = admission.decide(request, site.waiting(entry), call.at);
       return kind !== 'belowLevel';
     },
-    noteWait: () => undefined,
+    recordWait: () => undefined,
   };
 }
 
 /**
- * Each entry learns a threshold from the waits at itself: down by a twentieth of
- * the priorities when the mean of 250 ms is above 20 ms, up by a hundredth.
+ * Each entry learns a threshold from its own waits: if the mean over 250 ms
+ * exceeds 20 ms, it is lowered by a twentieth of the priorities, otherwise
+ * raised by a hundredth.
  */
 function createDelayThresholds(
   {entries}: ModelOptions,
   {now}: DecisionSite,
 ): Decisions {
-  const LIMIT = 20;
+  const MAX_MEAN_WAIT = 20;
   const states = Array.from({length: entries}, () => ({
     threshold: KINDS.length,
     waits: 0,
@@ -166,12 +170,12 @@
       state.credits[priority]! -= 1;
       return true;
     },
-    noteWait: (entry, waited) => {
+    recordWait: (entry, waited) => {
       const state = states[entry]!;
       state.waits += waited;
       state.count += 1;
       if (now() - state.since < 250) return;
-      const isLong = state.waits / state.count > LIMIT;
+      const isLong = state.waits / state.count > MAX_MEAN_WAIT;
       const next = state.threshold + (isLong ? -0.15 : 0.03);
       state.threshold = Math.min(KINDS.length, Math.max(0, next));
       state.waits = 0;
--- a/test/admission/model_events.ts
+++ b/test/admission/model_events.ts
@@ -1,4 +1,4 @@
-/** Events in the order of their times: a binary heap. */
+/** Event queue in order of time, as a binary heap. */
 export function createEvents() {
   const heap: {readonly at: number; readonly run: () => void}[] = [];
 
--- a/test/admission/model_results.ts
+++ b/test/admission/model_results.ts
@@ -1,16 +1,16 @@
 import {WARM_UP, type Call} from './model_calls';
 
-/** What callers got of one priority or workspace. */
+/** Results of the callers of one priority or workspace. */
 export interface CallerResults {
   requests: number;
   served: number;
   refused: number;
   late: number;
-  /** Value earned over the value of all requests. */
+  /** Earned value divided by the value of all requests. */
   value: number;
 }
 
-/** What callers got. */
+/** Results of all callers. */
 export interface ModelResult {
   readonly value: number;
   readonly byPriority: ReadonlyMap<number, CallerResults>;
@@ -37,7 +37,7 @@
   }
 
   return {
-    note: (call: Call, end: CallEnd): void => {
+    record: (call: Call, end: CallEnd): void => {
       if (call.at < WARM_UP) return;
       const {kind, workspace} = call;
       const value =
--- a/test/admission/site_load.test.ts
+++ b/test/admission/site_load.test.ts
@@ -11,7 +11,7 @@
 const LOADS = [0.7, 0.95, 1.2, 2, 3];
 const CASES = SITES.flatMap(site => LOADS.map(load => ({...site, load})));
 
-/** With `TABLE=1`, the table of design note 0014 is printed. */
+/** `TABLE=1` prints the results as a table. */
 const isTablePrinted = process.env.TABLE !== undefined;
 const rows: string[] = [];
 
@@ -57,7 +57,7 @@
 }
 
 test.each(CASES)(
-  'at $load times the capacity, $entries entries with lists 1 s old earn what one queue does',
+  'at $load times the capacity, $entries entries with lists 1 s old earn as much as a single queue',
   site => {
     const byLevel = run(site, 'level');
     const bySingleQueue = run(site, 'singleQueue');
@@ -71,7 +71,7 @@
       addRow(site, 'level, floor of served', run(site, 'level', 'served'));
     }
     expect(value).toBeGreaterThan(best * 0.95);
-    // A kind or a workspace that pays for all others would not show in the sum.
+    // The sum would not show a priority that pays for all others.
     for (const priority of [0, 1, 2]) {
       const least = servedOf(bySingleQueue, priority) * 0.9;
       expect(servedOf(byLevel, priority)).toBeGreaterThan(least);
@@ -79,7 +79,7 @@
   },
 );
 
-test('the least urgent kind is not starved at three times the capacity', () => {
+test('the least urgent priority is not starved at three times the capacity', () => {
   const site = {...SITES[2]!, load: 3};
   expect(servedOf(run(site, 'level'), 2)).toBeGreaterThan(0.23);
   expect(servedOf(run(site, 'none'), 2)).toBeLessThan(0.15);
@@ -93,7 +93,7 @@
   expect(servedShare(result!.byWorkspace.get('hot')!)).toBeLessThan(least);
 });
 
-test('long answers are not refused more than one and a half times as often', () => {
+test('long responses are refused at most one and a half times as often', () => {
   const [result] = run({...SITES[2]!, load: 2}, 'level');
   const all = [...result!.byPriority.values()];
   const refused = all.reduce((sum, earned) => sum + earned.refused, 0);
--- a/test/admission/site_model.ts
+++ b/test/admission/site_model.ts
@@ -14,14 +14,14 @@
 import {createResults, type ModelResult} from './model_results';
 
 const DEADLINE = 6_000;
-/** Time until an entry sees a place that another one has given back. */
+/** Time until an entry sees a slot that another one has released. */
 const REPORT_AGE = 100;
 interface Engine {
   running: number;
   readUntil: number;
 }
 
-/** Runs a generated load through a site; the same seed gives the same calls. */
+/** Simulates a generated load on a site; the same seed gives the same calls. */
 export function runModel(options: ModelOptions): ModelResult {
   const {policy, engines: engineCount} = options;
   const isSingle = policy === 'singleQueue';
@@ -46,8 +46,8 @@
   }
 
   /**
-   * With complete knowledge the best engine; else the emptiest of four, as
-   * entries don't see the prompts that others have just sent.
+   * With complete knowledge, the best engine; otherwise the one with the lowest
+   * load of four, as entries don't see the prompts that others have just sent.
    */
   function chooseEngine(): Engine {
     let best: Engine | undefined;
@@ -79,7 +79,7 @@
     const end = engine.readUntil + call.tokens * step;
     const isServed = end - call.at < DEADLINE;
     const isLate = firstEvent - call.at > call.kind.objective;
-    results.note(call, isServed ? (isLate ? 'late' : 'onTime') : 'cut');
+    results.record(call, isServed ? (isLate ? 'late' : 'onTime') : 'cut');
     events.add(end, () => {
       engine.running -= 1;
       free += 1;
@@ -97,7 +97,7 @@
         refuse(call, now - call.at);
         continue;
       }
-      decisions.noteWait(entry, now - call.at);
+      decisions.recordWait(entry, now - call.at);
       orders[entry]!.recordStart(toWaiting(call), now);
       start(call);
       return true;
@@ -105,7 +105,7 @@
     return false;
   }
 
-  /** Without the level as before it: by priority, then by the time left. */
+  /** Without the level: by priority, then by the time left. */
   function sortQueue(queue: Call[], entry: number): void {
     const order = orders[entry]!;
     queue.sort((one, other) =>
@@ -135,8 +135,8 @@
   }
 
   function refuse(call: Call, waited: number): void {
-    decisions.noteWait(entryOf(call), waited);
-    results.note(call, 'refused');
+    decisions.recordWait(entryOf(call), waited);
+    results.record(call, 'refused');
   }
 
   const decisions = createDecisions(options, {
@@ -151,7 +151,7 @@
     now = call.at;
     const entry = entryOf(call);
     if (!decisions.admits(call, entry)) {
-      results.note(call, 'refused');
+      results.record(call, 'refused');
       continue;
     }
     waiting[entry]!.push(call);
