--- a/packages/core/src/routing/admission.ts
+++ b/packages/core/src/routing/admission.ts
@@ -11,23 +11,23 @@
 } from './constants';
 import type {TargetChoice} from './types';
 
-/** What admission weighs for one request. */
+/** Inputs of an admission decision for one request. */
 export interface AdmissionRequest {
   readonly now: MonotonicInstant;
-  /** When the first token must be there; absent for a plain service. */
+  /** Deadline of the first token; undefined for a plain service. */
   readonly firstTokenBy: MonotonicInstant | undefined;
   readonly deadline: MonotonicInstant;
-  /** Tokens that the answer probably has; 0 for a plain service. */
+  /** Expected number of tokens in the response; 0 for a plain service. */
   readonly expectedTokens: number;
-  /** Best target as things stand. */
+  /** The best target currently available. */
   readonly choice: TargetChoice;
-  /** Requests of the entry's queue that have their turn before this one. */
+  /** Queued requests of this entry whose turn comes before this one's. */
   readonly turnsAhead: number;
-  /** Whether the workspace already holds more than its share. */
+  /** Whether the workspace already uses more than its share. */
   readonly overShare: boolean;
 }
 
-/** What to do with a request, at once and finally. */
+/** What to do with a request; decided at once and final. */
 export type AdmissionDecision =
   | {readonly kind: 'dispatch'}
   /** Queue it; its turn should come after `expectedWait`. */
@@ -41,34 +41,37 @@
 /** Decides which requests can be answered in time. */
 export interface Admission {
   readonly decide: (request: AdmissionRequest) => AdmissionDecision;
-  /** Whether the head of the queue, there for `waited`, goes to `choice` now. */
+  /**
+   * Whether the head of the queue, which has waited for `waited`, may be sent
+   * to `choice` now.
+   */
   readonly mayLeaveQueue: (
     choice: TargetChoice,
     waited: Milliseconds,
   ) => boolean;
-  /** Learns how far the expectation was off. */
+  /** Adjusts the margin to how far the expectation was off. */
   readonly recordFirstToken: (
     expected: Milliseconds,
     actual: Milliseconds,
   ) => void;
-  /** Time kept free because first tokens come later than expected. */
+  /** Safety margin for first tokens that come later than expected. */
   readonly margin: () => Milliseconds;
 }
 
-/** Settings of an admission. */
+/** Options of an admission. */
 export interface AdmissionOptions {
   /** Time within which a first token is due; bounds the margin. */
   readonly firstTokenGoal: Milliseconds;
 }
 
-/** Creates an admission without experience. */
+/** Creates an admission with a margin of 0. */
 export function createAdmission(options: AdmissionOptions): Admission {
   const maxMargin = MAX_MARGIN_SHARE * options.firstTokenGoal;
   let margin = 0;
 
   const decide = (request: AdmissionRequest): AdmissionDecision => {
-    const queued = request.turnsAhead * request.choice.turnTime;
-    const late = lateness(request, queued, margin);
+    const queueWait = request.turnsAhead * request.choice.turnTime;
+    const late = lateness(request, queueWait, margin);
     if (late > 0) {
       return {
         kind: 'refuse',
@@ -77,10 +80,11 @@
       };
     }
     const {choice, overShare} = request;
-    const alone = request.turnsAhead === 0;
-    if (alone && mayDispatch(choice, overShare)) return {kind: 'dispatch'};
-    // Guard against a flood whose queued requests are overtaken until it is too
-    // late for them: their callers would be refused only after a long wait.
+    const isNext = request.turnsAhead === 0;
+    if (isNext && mayDispatch(choice, overShare)) return {kind: 'dispatch'};
+    // A flood would fill the queue with requests that are overtaken until it is
+    // too late for them, and their callers would be refused only after a long
+    // wait.
     if (overShare) {
       return {
         kind: 'refuse',
@@ -88,7 +92,7 @@
         retryAfter: boundRetryAfter(choice.turnTime),
       };
     }
-    return {kind: 'queue', expectedWait: queued};
+    return {kind: 'queue', expectedWait: queueWait};
   };
 
   const mayDispatch = (choice: TargetChoice, overShare: boolean): boolean =>
@@ -96,8 +100,8 @@
       ? choice.expectedLoad <= 1 - RESERVED_SLOT_SHARE
       : choice.expectedWait <= MAX_TARGET_WAIT;
 
-  // Guard against a late refusal: a request that was let into the queue has
-  // been promised an answer, so it goes out even if the wait proves longer.
+  // A request in the queue was promised a response, so it is sent even if the
+  // wait is longer than expected.
   const mayLeaveQueue = (choice: TargetChoice, waited: Milliseconds): boolean =>
     mayDispatch(choice, false) || waited >= MAX_ENTRY_WAIT;
 
@@ -119,21 +123,24 @@
   };
 }
 
-/** By how much a request would miss its time; 0 or less if it makes it. */
+/**
+ * Returns by how much a request misses its time; 0 or less if it is in time.
+ */
 function lateness(
   request: AdmissionRequest,
-  queued: Milliseconds,
+  queueWait: Milliseconds,
   margin: Milliseconds,
 ): Milliseconds {
   const {choice} = request;
-  const firstToken = request.now + queued + choice.expectedFirstToken + margin;
+  const firstToken =
+    request.now + queueWait + choice.expectedFirstToken + margin;
   const end = firstToken + request.expectedTokens * choice.expectedTokenTime;
   const endLate = end - request.deadline;
   if (request.firstTokenBy === undefined) return endLate;
   return Math.max(firstToken - request.firstTokenBy, endLate);
 }
 
-/** A finite time to come back, whatever the estimate. */
+/** Returns a finite retry delay, whatever the estimate. */
 export function boundRetryAfter(time: Milliseconds): Milliseconds {
   if (!Number.isFinite(time)) return MAX_RETRY_AFTER;
   const bounded = Math.max(MIN_RETRY_AFTER, time);
--- a/packages/core/src/routing/commands/evaluate_targets.ts
+++ b/packages/core/src/routing/commands/evaluate_targets.ts
@@ -16,7 +16,9 @@
 import type {RouterState, TargetState} from '../state';
 import type {EjectionCause} from '../types';
 
-/** Ejects outliers and lets ejected targets be probed. Call every 100 ms. */
+/**
+ * Ejects outliers and allows ejected targets to be probed. Call every 100 ms.
+ */
 export function evaluateTargets(
   state: RouterState,
   now: MonotonicInstant,
@@ -78,8 +80,8 @@
 }
 
 /**
- * Guard against a frozen target: its connections stay open and it reports
- * nothing wrong, but no stream moves. Any progress clears the suspicion.
+ * Whether a target is frozen: its connections stay open and its reports look
+ * healthy, but no stream makes progress. Any progress resets the check.
  */
 function isStalled(
   state: RouterState,
@@ -87,24 +89,24 @@
   now: MonotonicInstant,
 ): boolean {
   if (target.ownInFlight === 0) return false;
-  const silent = now - target.lastProgressAt;
+  const silence = now - target.lastProgressAt;
   if (state.tokensSeen && target.streaming.size > 0) {
-    const patience = STALL_TOKEN_TIMES * state.medians.tokenTime;
-    return silent > Math.max(STALL_TIME, patience);
+    const timeout = STALL_TOKEN_TIMES * state.medians.tokenTime;
+    return silence > Math.max(STALL_TIME, timeout);
   }
-  return silent > firstTokenTimeout(state);
+  return silence > firstTokenTimeout(state);
 }
 
-/** How long a first token may take before its target is suspected. */
+/** How long a first token may take before its target counts as stalled. */
 function firstTokenTimeout(state: RouterState): Milliseconds {
   const relative = FIRST_TOKEN_STALL_FACTOR * state.medians.firstTokenTime;
   return Math.max(FIRST_TOKEN_STALL_TIME, relative);
 }
 
 /**
- * Guard against a slow target: slow relative to peers, not to a fixed time. A
- * difference that nobody can perceive does not count: equal targets would be
- * ejected in turn, which shows as answers that are broken off and begun anew.
+ * Whether a target is slow compared with its peers rather than with a fixed
+ * time. Imperceptible differences don't count: equal targets would be ejected
+ * in turn, and callers would see responses that are cut off and restarted.
  */
 function isSlow(state: RouterState, target: TargetState): boolean {
   const {medians} = state;
@@ -115,7 +117,10 @@
   return target.tokenTime.value() > allowed;
 }
 
-/** Guard against ejecting the site: a fault of all is not an outlier. */
+/**
+ * Whether one more target may be ejected. A fault of all targets is not an
+ * outlier, and must not eject the whole site.
+ */
 function mayEject(state: RouterState): boolean {
   let ejected = 1;
   for (const target of state.targets.values()) {
--- a/packages/core/src/routing/commands/record_event.ts
+++ b/packages/core/src/routing/commands/record_event.ts
@@ -56,8 +56,8 @@
     firstTokenAt: undefined,
     lastProgressAt: now,
   };
-  // A target without requests is silent for a good reason, so its silence is
-  // counted from the first request on.
+  // A target without requests is silent anyway, so silence counts from the
+  // first request on.
   if (target.ownInFlight === 0) target.lastProgressAt = now;
   state.attempts.set(attempt, dispatched);
   target.waiting.set(attempt, dispatched);
@@ -107,8 +107,8 @@
 }
 
 /**
- * A first token tells how long the queue was at dispatch, later than any
- * report can: with reports 5 s late it is the best news there is.
+ * Derives the target's load from a first token, which shows the queue at
+ * dispatch more recently than any report: reports may be 5 s late.
  */
 function learnLoad(
   state: RouterState,
@@ -119,21 +119,21 @@
   if (dispatchedAt <= target.measuredAt) return;
   const waited = now - dispatchedAt - attempt.expectedPrefill;
   const queued = waited > MIN_OBSERVED_WAIT;
-  const thoughtFull = loadBefore >= target.slots;
-  if (queued === thoughtFull && !queued) return;
+  const assumedFull = loadBefore >= target.slots;
+  if (queued === assumedFull && !queued) return;
   const behind = (waited * target.slots) / state.serviceTime.value();
   const load = queued ? target.slots + behind : target.slots - 1;
   setLoad(state, target, load, dispatchedAt);
 }
 
-/** Takes `load` at `instant` as the target's, own requests included. */
+/** Sets the target's load at `instant`, including this entry's requests. */
 function setLoad(
   state: RouterState,
   target: TargetState,
   load: number,
   instant: MonotonicInstant,
 ): void {
-  // Guard against an older report that comes after newer news.
+  // An older report may arrive after more recent data.
   if (instant < target.measuredAt) return;
   const own = target.ownHistory.countAt(instant);
   target.measuredAt = instant;
--- a/packages/core/src/routing/fair_queue.ts
+++ b/packages/core/src/routing/fair_queue.ts
@@ -1,7 +1,7 @@
 import type {WorkspaceName} from '../types';
 import {DISPATCHES_PER_ANY_PRIORITY, MAX_QUEUED_REQUESTS} from './constants';
 
-/** Where a request belongs in the queue. */
+/** Workspace, priority and weight by which a request is queued. */
 export interface QueueClass {
   readonly workspace: WorkspaceName;
   /** Lower numbers go first. */
@@ -10,32 +10,35 @@
   readonly weight: number;
 }
 
-/** What became of a request that was put into the queue. */
+/** Result of adding a request to the queue. */
 export type EnqueueResult<Item> =
   | {readonly kind: 'queued'}
-  /** No room; the request itself is refused. */
+  /** No room; the request itself must be refused. */
   | {readonly kind: 'full'}
-  /** Queued in place of `item`, the last of the longest backlog: refuse it. */
+  /**
+   * Queued in place of `item`, the last one of the longest backlog, which must
+   * be refused.
+   */
   | {readonly kind: 'displaced'; readonly item: Item};
 
 /** A bounded queue that shares turns among workspaces by weight. */
 export interface FairQueue<Item> {
-  readonly enqueue: (item: Item, place: QueueClass) => EnqueueResult<Item>;
-  /** The item whose turn it is; it stays in the queue. */
+  readonly enqueue: (item: Item, queueClass: QueueClass) => EnqueueResult<Item>;
+  /** Returns the next item without removing it. */
   readonly peek: () => Item | undefined;
   readonly dequeue: () => Item | undefined;
-  /** Removes items that `isDropped` names and returns them. */
+  /** Removes and returns the items that match `isDropped`. */
   readonly drop: (isDropped: (item: Item) => boolean) => readonly Item[];
   readonly size: () => number;
   /**
-   * Turns until a new item of `place` would have its own, while all others
-   * that wait now keep waiting: its backlog over its share.
+   * Returns the number of turns before a new item of `queueClass` has its own,
+   * if all waiting items keep waiting: its backlog divided by its share.
    */
-  readonly turnsAhead: (place: QueueClass) => number;
+  readonly turnsAhead: (queueClass: QueueClass) => number;
   readonly backlogs: () => ReadonlyMap<WorkspaceName, number>;
 }
 
-/** Bounds of a queue. */
+/** Options of a queue. */
 export interface FairQueueOptions {
   readonly capacity?: number;
 }
@@ -49,7 +52,7 @@
   finishTag: number;
 }
 
-/** Creates an empty queue: weighted fair queueing within each priority. */
+/** Creates an empty queue with weighted fair queueing within each priority. */
 export function createFairQueue<Item>(
   options: FairQueueOptions = {},
 ): FairQueue<Item> {
@@ -60,35 +63,36 @@
   let virtualTime = 0;
   let dispatches = 0;
 
-  const enqueue = (item: Item, place: QueueClass): EnqueueResult<Item> => {
-    const displaced = size < capacity ? undefined : displaceFor(place);
+  const enqueue = (item: Item, queueClass: QueueClass): EnqueueResult<Item> => {
+    const displaced = size < capacity ? undefined : displaceFor(queueClass);
     if (size >= capacity) return {kind: 'full'};
-    append(item, place);
+    append(item, queueClass);
     return displaced === undefined
       ? {kind: 'queued'}
       : {kind: 'displaced', item: displaced.item};
   };
 
-  const append = (item: Item, place: QueueClass): void => {
-    const backlog = backlogs.get(place.workspace) ?? addBacklog(place);
-    backlog.priority = place.priority;
-    backlog.weight = place.weight;
+  const append = (item: Item, queueClass: QueueClass): void => {
+    const backlog =
+      backlogs.get(queueClass.workspace) ?? addBacklog(queueClass);
+    backlog.priority = queueClass.priority;
+    backlog.weight = queueClass.weight;
     backlog.items.push(item);
     size += 1;
   };
 
-  const addBacklog = (place: QueueClass): Backlog<Item> => {
-    const lastTag = lastFinishTags.get(place.workspace) ?? 0;
-    const finishTag = Math.max(virtualTime, lastTag) + 1 / place.weight;
-    const backlog: Backlog<Item> = {...place, items: [], finishTag};
-    backlogs.set(place.workspace, backlog);
+  const addBacklog = (queueClass: QueueClass): Backlog<Item> => {
+    const lastTag = lastFinishTags.get(queueClass.workspace) ?? 0;
+    const finishTag = Math.max(virtualTime, lastTag) + 1 / queueClass.weight;
+    const backlog: Backlog<Item> = {...queueClass, items: [], finishTag};
+    backlogs.set(queueClass.workspace, backlog);
     return backlog;
   };
 
   /**
-   * Guard against a workspace that empties its backlog before each turn and
-   * joins again as if new: it would get every turn. Its last tag is kept until
-   * the virtual time has passed it.
+   * Removes an empty backlog but keeps its last tag until the virtual time has
+   * passed it. Otherwise a workspace that empties its backlog before each turn
+   * and rejoins as new would get every turn.
    */
   const removeEmpty = (backlog: Backlog<Item>): void => {
     if (backlog.items.length > 0) return;
@@ -103,20 +107,20 @@
   };
 
   /**
-   * Guard against a flooding workspace that fills the queue: a workspace with
-   * less than its share takes the place of the newest item of the one that is
-   * furthest over its share.
+   * Makes room in a full queue for a workspace below its share by removing the
+   * newest item of the workspace that exceeds its share the most. Without this,
+   * a flooding workspace would fill the queue.
    */
-  const displaceFor = (place: QueueClass): {item: Item} | undefined => {
+  const displaceFor = (queueClass: QueueClass): {item: Item} | undefined => {
     let longest: Backlog<Item> | undefined;
     for (const backlog of backlogs.values()) {
       if (longest === undefined || excess(backlog) > excess(longest)) {
         longest = backlog;
       }
     }
-    const own = backlogs.get(place.workspace)?.items.length ?? 0;
+    const own = backlogs.get(queueClass.workspace)?.items.length ?? 0;
     if (longest === undefined) return undefined;
-    if ((own + 1) / place.weight >= excess(longest)) return undefined;
+    if ((own + 1) / queueClass.weight >= excess(longest)) return undefined;
     const item = longest.items.pop();
     if (item === undefined) return undefined;
     size -= 1;
@@ -124,16 +128,19 @@
     return {item};
   };
 
-  /** The backlog whose turn it is. */
+  /** Returns the backlog whose turn it is. */
   const next = (): Backlog<Item> | undefined => {
-    // Guard against starvation: strict priority alone would never serve a low
-    // priority while a higher one is backlogged.
-    const anyPriority =
+    // Strict priority alone would never serve a low priority while a higher one
+    // is backlogged.
+    const ignoresPriority =
       dispatches % DISPATCHES_PER_ANY_PRIORITY ===
       DISPATCHES_PER_ANY_PRIORITY - 1;
     let chosen: Backlog<Item> | undefined;
     for (const backlog of backlogs.values()) {
-      if (chosen === undefined || goesBefore(backlog, chosen, anyPriority)) {
+      if (
+        chosen === undefined ||
+        goesBefore(backlog, chosen, ignoresPriority)
+      ) {
         chosen = backlog;
       }
     }
@@ -155,28 +162,28 @@
   const drop = (isDropped: (item: Item) => boolean): readonly Item[] => {
     const dropped: Item[] = [];
     for (const backlog of backlogs.values()) {
-      const gone = backlog.items.filter(isDropped);
-      if (gone.length === 0) continue;
-      const kept = backlog.items.filter(item => !gone.includes(item));
+      const matching = backlog.items.filter(isDropped);
+      if (matching.length === 0) continue;
+      const kept = backlog.items.filter(item => !matching.includes(item));
       backlog.items.splice(0, backlog.items.length, ...kept);
-      size -= gone.length;
-      dropped.push(...gone);
+      size -= matching.length;
+      dropped.push(...matching);
       removeEmpty(backlog);
     }
     return dropped;
   };
 
-  const turnsAhead = (place: QueueClass): number => {
-    const own = backlogs.get(place.workspace)?.items.length ?? 0;
+  const turnsAhead = (queueClass: QueueClass): number => {
+    const own = backlogs.get(queueClass.workspace)?.items.length ?? 0;
     let turns = own;
     for (const other of backlogs.values()) {
-      if (other.workspace === place.workspace) continue;
-      if (other.priority > place.priority) continue;
-      if (other.priority < place.priority) {
+      if (other.workspace === queueClass.workspace) continue;
+      if (other.priority > queueClass.priority) continue;
+      if (other.priority < queueClass.priority) {
         turns += other.items.length;
         continue;
       }
-      const share = ((own + 1) * other.weight) / place.weight;
+      const share = ((own + 1) * other.weight) / queueClass.weight;
       turns += Math.min(other.items.length, share);
     }
     return turns;
@@ -203,9 +210,9 @@
 function goesBefore<Item>(
   backlog: Backlog<Item>,
   chosen: Backlog<Item>,
-  anyPriority: boolean,
+  ignoresPriority: boolean,
 ): boolean {
-  if (!anyPriority && backlog.priority !== chosen.priority) {
+  if (!ignoresPriority && backlog.priority !== chosen.priority) {
     return backlog.priority < chosen.priority;
   }
   return backlog.finishTag < chosen.finishTag;
--- a/packages/core/src/routing/in_flight_history.ts
+++ b/packages/core/src/routing/in_flight_history.ts
@@ -2,18 +2,20 @@
 
 const STEP_MILLISECONDS = 100;
 
-/** Reaches back 12.8 s, beyond the 5 s and more that a report may be late. */
+/** Covers 12.8 s, more than the 5 s and more by which a report may be late. */
 const STEP_COUNT = 128;
 
 /** Counts of requests in flight over the recent past. */
 export interface InFlightHistory {
-  /** Notes that `count` requests are in flight from `now` on. */
+  /** Records that `count` requests are in flight from `now` on. */
   readonly record: (count: number, now: MonotonicInstant) => void;
-  /** The count at `instant`, to 100 ms; the oldest known if before that. */
+  /**
+   * Returns the count at `instant`, to 100 ms; the oldest known if before that.
+   */
   readonly countAt: (instant: MonotonicInstant) => number;
 }
 
-/** Creates a history without requests. Memory is fixed. */
+/** Creates an empty history of fixed size. */
 export function createInFlightHistory(): InFlightHistory {
   const counts = new Int32Array(STEP_COUNT);
   let lastStep = -1;
--- a/packages/core/src/routing/moving_average.ts
+++ b/packages/core/src/routing/moving_average.ts
@@ -3,13 +3,13 @@
 /** Exponentially weighted mean of samples. */
 export interface MovingAverage {
   readonly add: (sample: number) => void;
-  /** The mean, or the initial value before any sample. */
+  /** Returns the mean, or the initial value before any sample. */
   readonly value: () => number;
   readonly samples: () => number;
   readonly reset: () => void;
 }
 
-/** Creates an average that answers `initial` until the first sample. */
+/** Creates an average that returns `initial` until the first sample. */
 export function createMovingAverage(initial: number): MovingAverage {
   let mean = initial;
   let count = 0;
--- a/packages/core/src/routing/prefix.ts
+++ b/packages/core/src/routing/prefix.ts
@@ -1,7 +1,7 @@
 import {hash32} from '../utils/hash';
 import {PREFIX_CHARACTERS} from './constants';
 
-/** Hash of the start of a prompt, which requests with a shared cache share. */
+/** Hash of the start of a prompt; equal for requests that can share a cache. */
 export function promptPrefix(prompt: string): number {
   return hash32(prompt.slice(0, PREFIX_CHARACTERS));
 }
--- a/packages/core/src/routing/queries/choose_target.ts
+++ b/packages/core/src/routing/queries/choose_target.ts
@@ -35,8 +35,9 @@
 }
 
 /**
- * Chooses by rendezvous with bounded loads on the prompt prefix: of the two
- * targets that score highest under the load bound, the one with less cost.
+ * Chooses by rendezvous hashing of the prompt prefix with bounded loads: of the
+ * two targets with the highest scores below the load bound, the one with the
+ * lower cost.
  */
 export function chooseTarget(
   state: RouterState,
@@ -68,14 +69,13 @@
     if (takesRequests(target)) healthy.push(candidate);
     else ejected.push(candidate);
   }
-  // With every target ejected, a slow answer is better than none: without
+  // If every target is ejected, a slow response is better than none: without
   // this, a shared fault such as a bad version would refuse all callers.
   return healthy.length > 0 ? healthy : ejected;
 }
 
 function mayServe(target: TargetState, request: TargetRequest): boolean {
-  // Guard against new work on a leaving target, which would be cut when its
-  // instance stops; the mark holds from the report on that carries it.
+  // New work on a leaving target would be cut off when its instance stops.
   if (target.leaving) return false;
   if (request.exclude.includes(target.target)) return false;
   return serves(target, request.work);
@@ -102,7 +102,7 @@
   return target.health.kind === 'healthy' || wantsProbe(target);
 }
 
-/** One request at a time tries whether the target has recovered. */
+/** Whether a target needs a probe; one request at a time tests its recovery. */
 function wantsProbe(target: TargetState): boolean {
   return target.health.kind === 'probing' && target.waiting.size === 0;
 }
@@ -131,15 +131,15 @@
 }
 
 /**
- * Bound on a target's load per slot. Guard against a wait at a target while
- * others have free slots: near saturation the bound is tighter.
+ * Maximum load of a target per slot. Near saturation the bound is tighter, as
+ * requests would otherwise wait at one target while others have free slots.
  */
 function loadBound(mean: number): number {
   const free = Math.min(LOAD_BOUND_FACTOR * mean, FREE_LOAD);
   return Math.max(SATURATED_BOUND_FACTOR * mean, free, LOAD_BOUND_FLOOR);
 }
 
-/** Mean load per slot with the new request counted in. */
+/** Mean load per slot including the new request. */
 function meanLoadPerSlot(eligible: readonly Candidate[]): number {
   let load = 1;
   let slots = 0;
@@ -151,8 +151,9 @@
 }
 
 /**
- * Guard against a popular prefix that would pile up on its first choice: its
- * callers would wait while other targets idle.
+ * Whether a target is over the load bound. Without it, a popular prefix would
+ * overload its first choice: its callers would wait while other targets are
+ * idle.
  */
 function isOverBound(candidate: Candidate, bound: number): boolean {
   const slots = candidate.target.slots;
--- a/packages/core/src/routing/queries/describe_router.ts
+++ b/packages/core/src/routing/queries/describe_router.ts
@@ -10,7 +10,10 @@
 } from '../types';
 import {estimateLoad, meanOthersPerSlot} from './estimate_load';
 
-/** The router's state for people; bounded by `DUMPED_TARGETS`. */
+/**
+ * Returns the router's state for people, with at most `MAX_DUMPED_TARGETS`
+ * targets.
+ */
 export function describeRouter(
   state: RouterState,
   now: MonotonicInstant,
@@ -44,7 +47,7 @@
   };
 }
 
-/** Attempts at ejected targets, which would do better elsewhere. */
+/** Returns attempts at ejected targets, which would do better elsewhere. */
 export function findStalledAttempts(
   state: RouterState,
 ): readonly StalledAttempt[] {
@@ -60,7 +63,7 @@
   return stalled;
 }
 
-/** Attempts without a first token after `MOVE_PATIENCE`. */
+/** Returns attempts without a first token after `MOVE_TIMEOUT`. */
 export function findOverdueAttempts(
   state: RouterState,
   now: MonotonicInstant,
@@ -81,13 +84,13 @@
   cause: EjectionCause,
 ): readonly AttemptId[] {
   const waiting = [...target.waiting.values()];
-  // Failures of other attempts say nothing about a stream that moves; broken
-  // off, it shows as an answer that stops in its middle.
+  // Failures of other attempts don't affect a stream that makes progress;
+  // canceling it would cut off a response in the middle.
   const streaming = cause === 'failures' ? [] : target.streaming.values();
   return (
     [...waiting, ...streaming]
-      // Nothing better could take it when it was sent here: moved on, it would
-      // have nowhere to go and end without an answer.
+      // No better target was available when it was sent here, so it could not
+      // be moved and would end without a response.
       .filter(attempt => !attempt.lastResort)
       .map(({attempt}) => attempt)
   );
--- a/packages/core/src/routing/queries/estimate_load.ts
+++ b/packages/core/src/routing/queries/estimate_load.ts
@@ -2,7 +2,9 @@
 import {GROWTH_PRIOR, MAX_GROWTH, HALF_TRUST_REPORT_AGE} from '../constants';
 import type {RouterState, TargetState} from '../state';
 
-/** Load of the other entries on `target`, from its last report, aged. */
+/**
+ * Load of the other entries on `target`, from its last report, weighted by age.
+ */
 function estimateOthers(
   state: RouterState,
   target: TargetState,
@@ -17,8 +19,9 @@
 }
 
 /**
- * Callers spread over the entries, so what this entry sees of a burst, the
- * others see too, long before a report can tell.
+ * Growth of the load since the last report. Callers are spread over the
+ * entries, so a burst at this entry reaches the others too, long before a
+ * report shows it.
  */
 function growthSince(state: RouterState, target: TargetState): number {
   const then = target.allOwnAtReport + GROWTH_PRIOR;
@@ -37,7 +40,10 @@
   return slots === 0 ? 0 : others / slots;
 }
 
-/** Requests running and waiting at `target`: own ones now, others' as aged. */
+/**
+ * Requests running and waiting at `target`: this entry's current ones plus the
+ * estimate for the others.
+ */
 export function estimateLoad(
   state: RouterState,
   target: TargetState,
@@ -59,8 +65,8 @@
 }
 
 /**
- * Expected time to the first token once a slot is free: a prompt's own prefill
- * and those of the own requests that wait for theirs.
+ * Expected time to the first token once a slot is free: the prompt's own
+ * prefill and that of this entry's requests that wait for theirs.
  */
 export function estimateFirstToken(
   state: RouterState,
--- a/packages/core/src/routing/retry_budget.ts
+++ b/packages/core/src/routing/retry_budget.ts
@@ -1,30 +1,32 @@
 import {MOVE_RESERVE, RETRY_RESERVE, RETRY_SHARE} from './constants';
 
-/** Bounds retries to a share of first tries. */
+/** Limits retries to a share of first attempts. */
 export interface RetryBudget {
   readonly recordFirstTry: () => void;
   /** Takes one retry if the budget allows it. */
   readonly takeRetry: () => boolean;
-  /** Takes one for a request that is moved, if enough is left for failures. */
+  /**
+   * Takes one retry for a request that is moved, if enough remain for failures.
+   */
   readonly takeMove: () => boolean;
-  /** Retries that may be taken now. */
+  /** Retries that are available now. */
   readonly available: () => number;
-  /** Changes the reserve; what is left beyond a smaller one lapses. */
+  /** Changes the reserve; retries beyond a smaller one are dropped. */
   readonly setReserve: (reserve: number) => void;
 }
 
-/** Bounds of a budget; the defaults are those of the design note. */
+/** Options of a budget. */
 export interface RetryBudgetOptions {
-  /** Retries earned by each first try. */
+  /** Retries earned by each first attempt. */
   readonly share?: number;
-  /** Most retries kept for later, and the number at the start. */
+  /** Maximum number of saved retries, and the number at the start. */
   readonly reserve?: number;
 }
 
 /**
- * Creates a budget: after `n` first tries, at most `reserve + share * n`
- * retries have been taken. Guard against retries that keep an overloaded site
- * overloaded: each failure would add load that causes the next one.
+ * Creates a budget: after `n` first attempts, at most `reserve + share * n`
+ * retries have been taken. Without it, an overloaded site stays overloaded, as
+ * each failure adds load that causes the next one.
  */
 export function createRetryBudget(
   options: RetryBudgetOptions = {},
@@ -33,8 +35,8 @@
   let reserve = options.reserve ?? RETRY_RESERVE;
   let available = reserve;
 
-  const takeIfLeft = (left: number): boolean => {
-    if (available < left) return false;
+  const takeIfAvailable = (minAvailable: number): boolean => {
+    if (available < minAvailable) return false;
     available -= 1;
     return true;
   };
@@ -43,8 +45,8 @@
     recordFirstTry: () => {
       available = Math.min(reserve, available + share);
     },
-    takeRetry: () => takeIfLeft(1),
-    takeMove: () => takeIfLeft(MOVE_RESERVE),
+    takeRetry: () => takeIfAvailable(1),
+    takeMove: () => takeIfAvailable(MOVE_RESERVE),
     available: () => Math.floor(available),
     setReserve: next => {
       reserve = next;
--- a/packages/core/src/routing/router.ts
+++ b/packages/core/src/routing/router.ts
@@ -21,15 +21,18 @@
 
 /** Chooses targets for the requests of one entry. */
 export interface Router {
-  /** Learns from one event of the entry. */
+  /** Updates the state with one event of the entry. */
   readonly record: (event: RoutingEvent) => void;
-  /** Ejects outliers and lets them be probed; call about every 100 ms. */
+  /** Ejects outliers and allows them to be probed; call about every 100 ms. */
   readonly evaluate: (now: MonotonicInstant) => void;
-  /** Changes nothing; say `dispatched` once the request is on its way. */
+  /**
+   * Chooses a target without changing the state; record `dispatched` once the
+   * request is sent.
+   */
   readonly chooseTarget: (
     request: TargetRequest,
   ) => Result<TargetChoice, NoTargetError>;
-  /** Attempts to give up and, if repeatable, to send elsewhere. */
+  /** Attempts to cancel and, if repeatable, to send elsewhere. */
   readonly stalledAttempts: () => readonly StalledAttempt[];
   /** Attempts to move if `chooseTarget`, with theirs excluded, is `idle`. */
   readonly overdueAttempts: (
--- a/packages/core/src/routing/state.ts
+++ b/packages/core/src/routing/state.ts
@@ -18,7 +18,7 @@
 import {createMovingAverage} from './moving_average';
 import type {EjectionCause, ServedVersion} from './types';
 
-/** Whether a target gets requests. */
+/** Health of a target; decides whether it gets requests. */
 export type TargetHealth =
   | {readonly kind: 'healthy'}
   | {
@@ -40,15 +40,15 @@
   readonly probe: boolean;
   /** Load of the target before this attempt, as estimated at dispatch. */
   readonly loadBefore: number;
-  /** Expected time from a slot to the first token, at dispatch. */
+  /** Expected time from getting a slot to the first token, at dispatch. */
   readonly expectedPrefill: Milliseconds;
-  /** True if the target was ejected, and no better one could take it. */
+  /** True if the target was ejected and no better one was available. */
   readonly lastResort: boolean;
   firstTokenAt: MonotonicInstant | undefined;
   lastProgressAt: MonotonicInstant;
 }
 
-/** What one entry knows of one target. */
+/** What one entry knows about one target. */
 export interface TargetState {
   readonly target: TargetName;
   readonly targetHash: number;
@@ -79,25 +79,25 @@
   health: TargetHealth;
 }
 
-/** Medians over the healthy targets; what "slow" is relative to. */
+/** Medians over the healthy targets, which a slow target is compared with. */
 export interface PeerMedians {
   firstTokenTime: Milliseconds;
   tokenTime: Milliseconds;
-  /** Targets with enough samples behind the medians. */
+  /** Number of targets with enough samples for the medians. */
   compared: number;
 }
 
-/** All of a router's state. */
+/** State of a router. */
 export interface RouterState {
   readonly targets: Map<TargetName, TargetState>;
   readonly attempts: Map<AttemptId, AttemptState>;
   readonly history: InFlightHistory;
   readonly medians: PeerMedians;
-  /** Time in a slot over all targets; each target alone sees too few. */
+  /** Time in a slot over all targets; a single target has too few samples. */
   readonly serviceTime: MovingAverage;
-  /** Time between first tokens of a target that has several to prefill. */
+  /** Time between first tokens of a target that has several prompts to read. */
   readonly firstTokenGap: MovingAverage;
-  /** True once `token` events come, without which silence says nothing. */
+  /** True once `token` events arrive; before that, silence means nothing. */
   tokensSeen: boolean;
 }
 
--- a/packages/core/src/routing/subset.ts
+++ b/packages/core/src/routing/subset.ts
@@ -22,12 +22,12 @@
   readonly serves: readonly ServiceName[];
 }
 
-/** All live entries and targets as the asking entry knows them. */
+/** All live entries and targets, as known by the requesting entry. */
 export interface SubsetRequest {
   readonly entry: InstanceName;
   readonly entries: readonly SubsetEntry[];
   readonly targets: readonly SubsetTarget[];
-  /** Targets that an entry should hold. */
+  /** Number of targets that an entry should connect to. */
   readonly size?: number;
 }
 
@@ -37,11 +37,13 @@
 }
 
 /**
- * Targets that `entry` holds connections to. Each target picks its entries by
- * rendezvous, so that with the same lists all entries agree without a word;
- * an entry that comes or goes changes few choices. Every target is held by
- * `entriesPerTarget` entries, and an entry holds at most `SUBSET_SLACK` times
- * its mean, and `LEAST_TARGETS_PER_SERVICE` more for each service.
+ * Returns the targets that `entry` holds connections to.
+ *
+ * Each target picks its entries by rendezvous hashing, so that all entries with
+ * the same lists agree without coordination, and an entry that joins or leaves
+ * changes few choices. Every target is held by `entriesPerTarget` entries. An
+ * entry holds at most `SUBSET_SLACK` times the mean, plus
+ * `MIN_TARGETS_PER_SERVICE` for each service.
  */
 export function chooseSubset(request: SubsetRequest): readonly TargetName[] {
   const {entries, targets, size = SUBSET_SIZE} = request;
@@ -60,7 +62,7 @@
   return [...chosen, ...missingServices(request, chosen)];
 }
 
-/** By how many entries each target is held. */
+/** Returns the number of entries that hold each target. */
 export function entriesPerTarget(
   entryCount: number,
   targetCount: number,
@@ -84,7 +86,9 @@
   );
 }
 
-/** The target's best entries: most from its own zone, the rest from any. */
+/**
+ * Picks the target's best entries: most from its own zone, the rest from any.
+ */
 function pickHolders(
   target: SubsetTarget,
   holders: readonly Holder[],
@@ -96,8 +100,8 @@
     .map(holder => ({holder, score: rendezvousScore(hash, holder.hash)}))
     .sort((left, right) => right.score - left.score)
     .map(entry => entry.holder);
-  // Entries under the bound come first; a full one is taken only if there are
-  // too few others, because no target may stay uncovered.
+  // Entries below the bound come first. A full one is picked only if there are
+  // too few others, because no target may stay without entries.
   const open = ranked.filter(holder => holder.held < maxHeld);
   const full = ranked.filter(holder => holder.held >= maxHeld);
   const near = open.filter(holder => holder.zone === target.zone);
@@ -109,7 +113,9 @@
   return [...picked];
 }
 
-/** Targets to add so that the entry can serve every model and service. */
+/**
+ * Returns targets to add so that the entry can serve every model and service.
+ */
 function missingServices(
   request: SubsetRequest,
   chosen: readonly TargetName[],
--- a/packages/core/src/routing/types.ts
+++ b/packages/core/src/routing/types.ts
@@ -14,22 +14,22 @@
   | {
       readonly kind: 'model';
       readonly model: ModelName;
-      /** Absent when any version that the target serves will do. */
+      /** Undefined if any version that the target serves will do. */
       readonly versionDigest: VersionDigest | undefined;
     }
   | {readonly kind: 'service'; readonly service: ServiceName};
 
-/** A version that an engine itself reports as whole and loaded. */
+/** A version that an engine reports as complete and loaded. */
 export interface ServedVersion {
   readonly model: ModelName;
   readonly versionDigest: VersionDigest;
 }
 
-/** A target's own view of itself, late by `age`. */
+/** A target's own report, which is late by `age`. */
 export interface LoadReport {
   readonly target: TargetName;
   readonly zone: ZoneName;
-  /** Absent for a model engine. */
+  /** Undefined for a model engine. */
   readonly service: ServiceName | undefined;
   readonly leaving: boolean;
   readonly loaded: readonly ServedVersion[];
@@ -38,11 +38,11 @@
   readonly slots: number;
   /** Time since the target measured these figures. */
   readonly age: Milliseconds;
-  /** Prefix hashes that the target's cache probably holds; hints only. */
+  /** Prefix hashes that the target's cache probably holds. */
   readonly cachedPrefixes: readonly number[];
 }
 
-/** What the router learns from. `now` is when the entry saw it. */
+/** Input of the router. `now` is when the entry observed it. */
 export type RoutingEvent = {readonly now: MonotonicInstant} & (
   | {
       readonly kind: 'dispatched';
@@ -57,14 +57,14 @@
       readonly tokens: number;
     }
   | {readonly kind: 'finished'; readonly attempt: AttemptId}
-  /** Refused by the target before start, or withdrawn by the caller. */
+  /** Refused by the target before it started, or withdrawn by the caller. */
   | {readonly kind: 'refused'; readonly attempt: AttemptId}
   | {readonly kind: 'failed'; readonly attempt: AttemptId}
   | {readonly kind: 'reportReceived'; readonly report: LoadReport}
   | {readonly kind: 'targetGone'; readonly target: TargetName}
 );
 
-/** A question for a target. */
+/** A request for a target. */
 export interface TargetRequest {
   readonly work: RoutedWork;
   /** From `promptPrefix`; any constant for a plain service. */
@@ -72,40 +72,42 @@
   /** The entry's own zone. */
   readonly zone: ZoneName;
   readonly now: MonotonicInstant;
-  /** Targets already tried. */
+  /** Targets that were already tried. */
   readonly exclude: readonly TargetName[];
 }
 
-/** The chosen target with what may be expected of it. */
+/** The chosen target and what to expect of it. */
 export interface TargetChoice {
   readonly target: TargetName;
   /** Expected wait for a slot at the target. */
   readonly expectedWait: Milliseconds;
-  /** Load with this request, as a share of the target's slots. */
+  /** Load including this request, as a share of the target's slots. */
   readonly expectedLoad: number;
-  /** Expected time from dispatch to the first token, the wait included. */
+  /** Expected time from dispatch to the first token, including the wait. */
   readonly expectedFirstToken: Milliseconds;
   /** Measured time between tokens at this target. */
   readonly expectedTokenTime: Milliseconds;
-  /** Expected time from one end of a request of this entry to the next. */
+  /** Expected time between two of this entry's requests ending. */
   readonly turnTime: Milliseconds;
-  /** True if slots are free and no own request waits for its prefill. */
+  /**
+   * True if slots are free and none of this entry's requests waits for prefill.
+   */
   readonly idle: boolean;
-  /** True if this request tries whether an ejected target has recovered. */
+  /** True if this request tests whether an ejected target has recovered. */
   readonly probe: boolean;
 }
 
 /** No joined target reports that it serves the work. */
 export interface NoTargetError {
   readonly kind: 'noTarget';
-  /** When to ask again. */
+  /** When to retry. */
   readonly retryAfter: Milliseconds;
 }
 
 /** Why a target is ejected. */
 export type EjectionCause = 'failures' | 'stalled' | 'slow';
 
-/** An attempt that should be given up and tried elsewhere. */
+/** An attempt that should be canceled and retried elsewhere. */
 export interface StalledAttempt {
   readonly attempt: AttemptId;
   readonly target: TargetName;
--- a/packages/core/src/routing/workspace_limits.ts
+++ b/packages/core/src/routing/workspace_limits.ts
@@ -13,18 +13,18 @@
   USE_CHANGE_PER_HEARTBEAT,
 } from './constants';
 
-/** One entry's recent use by workspace, as a heartbeat carries it. */
+/** One entry's recent use by workspace, as sent with a heartbeat. */
 export interface PublishedUse {
   readonly entry: InstanceName;
   readonly use: ReadonlyMap<WorkspaceName, number>;
 }
 
-/** Answer to a request that asks to pass its workspace's limit. */
+/** Whether a request is within its workspace's limit. */
 export type LimitDecision =
   | {readonly kind: 'passed'}
   | {readonly kind: 'limited'; readonly retryAfter: Milliseconds};
 
-/** One entry's part of the workspaces' limits. */
+/** One entry's shares of the workspaces' limits. */
 export interface WorkspaceLimits {
   /** Takes one request from this entry's share of the workspace's limit. */
   readonly take: (
@@ -33,27 +33,29 @@
   ) => LimitDecision;
   /** Sets a workspace's limit in requests per second over all entries. */
   readonly setLimit: (workspace: WorkspaceName, limit: number) => void;
-  /** Use to send in the next heartbeat; call once per heartbeat. */
+  /**
+   * Returns the use to send with the next heartbeat; call once per heartbeat.
+   */
   readonly publish: (now: MonotonicInstant) => PublishedUse;
   readonly receive: (published: PublishedUse, now: MonotonicInstant) => void;
-  /** Counts a live entry from now on, before its first heartbeat comes. */
+  /** Counts a live entry from now on, before its first heartbeat arrives. */
   readonly entryJoined: (entry: InstanceName, now: MonotonicInstant) => void;
-  /** Forgets an entry that is surely gone. */
+  /** Removes an entry that has certainly stopped. */
   readonly entryGone: (entry: InstanceName) => void;
   /** Requests per second of the workspace at all entries, as published. */
   readonly siteUse: (workspace: WorkspaceName) => number;
-  /** This entry's share now, in requests per second. */
+  /** This entry's current share, in requests per second. */
   readonly share: (workspace: WorkspaceName, now: MonotonicInstant) => number;
 }
 
-/** Settings of an entry's limits. */
+/** Options of an entry's limits. */
 export interface WorkspaceLimitsOptions {
   readonly entry: InstanceName;
   readonly heartbeat: Milliseconds;
 }
 
 interface OtherEntry {
-  /** Absent until the first heartbeat. */
+  /** Undefined until the first heartbeat. */
   readonly use: ReadonlyMap<WorkspaceName, number> | undefined;
   readonly receivedAt: MonotonicInstant;
 }
@@ -67,13 +69,14 @@
 }
 
 /**
- * Creates one entry's limits. If each heartbeat takes less than one period to
- * arrive, the shares of all entries add up to at most `limit * SHARE_SUM_BOUND`:
- * each divides its own use by the sum of the uses that it has seen, and a use
- * seen is smaller than the use now by at most the growth since. Of an entry
- * that falls silent the most is assumed that it may have grown to, so that the
- * bound holds through a partition too. Each entry may save up one burst
- * besides.
+ * Creates one entry's limits.
+ *
+ * If each heartbeat arrives within one period, the shares of all entries add up
+ * to at most `limit * SHARE_SUM_BOUND`: each entry divides its own use by the
+ * sum of the uses it has received, and a received use is smaller than the
+ * current one by at most the growth since. For an entry that falls silent the
+ * maximum possible growth is assumed, so that the bound also holds during a
+ * partition. In addition, each entry may save up one burst.
  */
 export function createWorkspaceLimits(
   options: WorkspaceLimitsOptions,
@@ -117,9 +120,10 @@
   };
 
   /**
-   * Guard against an entry cut off from the others: it would go on with a
-   * large share that they have meanwhile given to themselves. What a silent
-   * entry may use grows with its silence, so this entry's share falls.
+   * Returns the factor by which a silent entry's use may have grown, which
+   * lowers this entry's share. Without it, an entry that is cut off would
+   * continue with a large share that the others have meanwhile given to
+   * themselves.
    */
   const growthOf = (other: OtherEntry, now: MonotonicInstant): number => {
     const heartbeats = (now - other.receivedAt) / options.heartbeat;
@@ -184,19 +188,21 @@
 }
 
 /**
- * Guard against shares that add up to more than the limit: a use that jumped
- * would count here at once and elsewhere only after the next heartbeat.
+ * Limits the change of a published use. A use that jumps would count here at
+ * once and elsewhere only after the next heartbeat, so the shares would add up
+ * to more than the limit.
  */
 function stepTowards(state: LimitState, measured: number): number {
-  const most = state.published * USE_CHANGE_PER_HEARTBEAT;
-  const least = state.published / USE_CHANGE_PER_HEARTBEAT;
-  const stepped = Math.min(most, Math.max(least, measured));
+  const maxUse = state.published * USE_CHANGE_PER_HEARTBEAT;
+  const floor = state.published / USE_CHANGE_PER_HEARTBEAT;
+  const stepped = Math.min(maxUse, Math.max(floor, measured));
   return Math.max(minUse(state.limit), stepped);
 }
 
 /**
- * Guard against an entry that starts and takes the whole limit because it has
- * heard nobody: whoever it has not heard from counts as using all of it.
+ * Returns another entry's use. An entry without a heartbeat counts as using the
+ * whole limit; otherwise an entry that starts would take the whole limit
+ * because it has received no heartbeat yet.
  */
 function useOf(
   other: OtherEntry,
@@ -207,23 +213,23 @@
   return other.use.get(workspace) ?? minUse(limit);
 }
 
-/** Use that is assumed of an entry without any, so that it can grow. */
+/** Use that is assumed for an entry without any, so that it can grow. */
 function minUse(limit: number): number {
   return limit * MIN_USE_SHARE;
 }
 
 /**
- * Failure: the first requests of a workspace come at once, and all but four are
- * refused though its share is hundreds a second. Guard: what was never used was
- * saved up to one burst, as between requests that come later.
+ * Adds the tokens since the last call. The first call adds a full burst;
+ * otherwise all but four of a workspace's first simultaneous requests would be
+ * refused although its share is hundreds per second.
  */
 function fill(state: LimitState, rate: number, now: MonotonicInstant): void {
-  const most = Math.max(MIN_LIMIT_BURST, rate * LIMIT_BURST_SECONDS);
+  const burst = Math.max(MIN_LIMIT_BURST, rate * LIMIT_BURST_SECONDS);
   const elapsed =
     state.filledAt === undefined ? Infinity : now - state.filledAt;
   state.filledAt = now;
-  const gained = rate === 0 ? 0 : (rate * elapsed) / 1_000;
-  state.tokens = Math.min(most, state.tokens + gained);
+  const added = rate === 0 ? 0 : (rate * elapsed) / 1_000;
+  state.tokens = Math.min(burst, state.tokens + added);
 }
 
 function timeToToken(state: LimitState, rate: number): Milliseconds {
@@ -232,5 +238,5 @@
   return Math.ceil(Math.min(MAX_LIMIT_RETRY_AFTER, time));
 }
 
-/** Longest time to come back that a limited caller is told. */
+/** Maximum retry delay for a limited caller. */
 const MAX_LIMIT_RETRY_AFTER: Milliseconds = 30_000;
--- a/packages/core/src/routing/workspace_shares.ts
+++ b/packages/core/src/routing/workspace_shares.ts
@@ -1,7 +1,9 @@
 import type {WorkspaceName} from '../types';
 import {OVER_SHARE_FACTOR} from './constants';
 
-/** Which workspaces hold more of this entry's requests than their weight. */
+/**
+ * Tracks which workspaces have more of this entry's requests than their weight.
+ */
 export interface WorkspaceShares {
   readonly started: (workspace: WorkspaceName, weight: number) => void;
   readonly ended: (workspace: WorkspaceName) => void;
@@ -15,9 +17,9 @@
   weight: number;
 }
 
-/** Where the shares learn what a workspace sends to all entries. */
+/** Options of workspace shares. */
 export interface WorkspaceSharesOptions {
-  /** Requests per second at all entries, refused ones included. */
+  /** Requests per second at all entries, including refused ones. */
   readonly siteUse: (workspace: WorkspaceName) => number;
 }
 
@@ -51,10 +53,10 @@
   };
 
   /**
-   * Over its part of the requests in flight here, and sending more than its
-   * part to the site: alone, the first would blame a workspace whose callers
-   * happen to use this entry, and the second would take from a busy one even
-   * what is its own.
+   * Whether a workspace is over its share of the requests in flight here and
+   * also sends more than its share to the site. The first condition alone would
+   * penalize a workspace whose callers happen to use this entry, and the second
+   * would refuse a busy one even its own share.
    */
   const isOverShare = (workspace: WorkspaceName, weight: number): boolean => {
     const own = shares.get(workspace);
@@ -64,7 +66,9 @@
     return sendsOverShare(workspace, weight);
   };
 
-  /** Compares with the others only, since a flood is most of the mean. */
+  /**
+   * Compares with the other workspaces only, since a flood dominates the mean.
+   */
   const sendsOverShare = (
     workspace: WorkspaceName,
     weight: number,
--- a/test/routing/admission.test.ts
+++ b/test/routing/admission.test.ts
@@ -56,7 +56,7 @@
     expect(admission.decide(behind).kind).toBe('refuse');
   });
 
-  test('refuses with a finite time to come back, whatever it is told', () => {
+  test('refuses with a finite retry delay, whatever the inputs', () => {
     const anyNumber = fc.oneof(
       fc.double(),
       fc.constantFrom(Infinity, -Infinity, NaN, 0),
@@ -99,7 +99,7 @@
     );
   });
 
-  test('keeps slots free of a workspace over its share, and its queue', () => {
+  test('keeps slots and the queue free of a workspace over its share', () => {
     const admission = createAdmission({firstTokenGoal: 1_900});
     const over = {...REQUEST, overShare: true};
     const free = {...IDLE, expectedLoad: 0.8};
@@ -113,7 +113,7 @@
     expect(admission.decide(quiet).kind).toBe('dispatch');
   });
 
-  test('sends out what was let into the queue', () => {
+  test('sends out requests that were queued', () => {
     const admission = createAdmission({firstTokenGoal: 1_900});
     expect(admission.mayLeaveQueue(withWait(900), 100)).toBe(false);
     expect(admission.mayLeaveQueue(withWait(500), 100)).toBe(true);
@@ -122,17 +122,17 @@
 });
 
 describe('a retry budget', () => {
-  test('bounds retries by a share of first tries and the reserve', () => {
+  test('bounds retries by a share of first attempts and the reserve', () => {
     fc.assert(
       fc.property(
         fc.array(fc.constantFrom('first', 'retry', 'move'), {maxLength: 400}),
         steps => {
           const budget = createRetryBudget();
-          let firstTries = 0;
+          let firstAttempts = 0;
           let retries = 0;
           for (const step of steps) {
             if (step === 'first') {
-              firstTries += 1;
+              firstAttempts += 1;
               budget.recordFirstTry();
             }
             if (step === 'retry' && budget.takeRetry()) retries += 1;
@@ -140,7 +140,7 @@
               retries += 1;
               expect(budget.available()).toBeGreaterThanOrEqual(4);
             }
-            expect(retries).toBeLessThanOrEqual(10 + 0.1 * firstTries);
+            expect(retries).toBeLessThanOrEqual(10 + 0.1 * firstAttempts);
           }
         },
       ),
@@ -150,7 +150,7 @@
 });
 
 describe('workspace shares', () => {
-  test('blame only who sends and holds more than its weight', () => {
+  test('flag only a workspace that both sends and holds more than its weight', () => {
     const uses = new Map([
       ['flood', 90],
       ['quiet', 10],
--- a/test/routing/ejection.test.ts
+++ b/test/routing/ejection.test.ts
@@ -48,10 +48,10 @@
 }
 
 describe('outlier ejection', () => {
-  test('takes a frozen target out and asks for its attempts back', () => {
-    // A caller sees its answer stop in the middle. The target's process is
-    // stopped while its connections stay open, and its agent goes on sending
-    // reports that show nothing wrong.
+  test('ejects a frozen target and returns its attempts', () => {
+    // The target's process is stopped while its connections stay open, and its
+    // agent continues to send healthy reports. A caller sees its response stop
+    // in the middle.
     const router = routerWith(TARGETS);
     startStreams(router);
     stream(router, evenTokenTimes(undefined, 40), 200, 1_000);
@@ -68,7 +68,7 @@
     }
   });
 
-  test('takes a slow target out by comparison with its peers', () => {
+  test('ejects a target that is slow compared with its peers', () => {
     const router = routerWith(TARGETS);
     startStreams(router);
     stream(router, evenTokenTimes('engine-1', 400), 200, 5_000);
@@ -76,7 +76,7 @@
     expect(healthOf(router, 'engine-0', 5_000)).toBe('healthy');
   });
 
-  test('takes a target out after failures in a row', () => {
+  test('ejects a target after consecutive failures', () => {
     const router = routerWith(TARGETS);
     for (const attempt of ['a1', 'a2', 'a3']) {
       const target = 'engine-3';
@@ -87,7 +87,7 @@
     expect(healthOf(router, 'engine-3', 100)).toBe('ejected');
   });
 
-  test('spares targets that are all slow alike', () => {
+  test('does not eject targets that are equally slow', () => {
     const router = routerWith(TARGETS);
     startStreams(router);
     const slow = new Map(TARGETS.map(target => [target, 400] as const));
@@ -129,8 +129,8 @@
   });
 
   test('falls back to an ejected target when it is the last one', () => {
-    // Every caller is refused although a target could answer: the only one
-    // left in the site was ejected, and its peers are leaving.
+    // The only target left in the site was ejected, and its peers are leaving.
+    // Every caller would be refused although a target could respond.
     const router = routerWith(TARGETS);
     for (const attempt of ['a1', 'a2', 'a3']) {
       const target = 'engine-0';
@@ -178,7 +178,7 @@
     );
   });
 
-  test('waits longer before each next probe of a target that stays bad', () => {
+  test('waits longer before each next probe of a target that keeps failing', () => {
     const router = routerWith(TARGETS);
     ejectByFailures(router, 'engine-0');
     router.evaluate(6_000);
--- a/test/routing/fair_queue.test.ts
+++ b/test/routing/fair_queue.test.ts
@@ -9,7 +9,7 @@
   maxLength: 6,
 });
 
-function placesOf(weights: readonly number[], priority = 0) {
+function queueClassesOf(weights: readonly number[], priority = 0) {
   return weights.map((weight, position): QueueClass => ({
     workspace: `workspace-${position}`,
     priority,
@@ -26,20 +26,20 @@
 }
 
 describe('a fair queue', () => {
-  test('gives each backlogged workspace its weight of the turns', () => {
+  test('gives each backlogged workspace turns by its weight', () => {
     fc.assert(
       fc.property(anyWeights, fc.integer({min: 1, max: 200}), (weights, n) => {
         const queue = createFairQueue<string>({capacity: 10_000});
-        const places = placesOf(weights);
-        for (const place of places) {
+        const queueClasses = queueClassesOf(weights);
+        for (const queueClass of queueClasses) {
           for (let item = 0; item < n; item += 1) {
-            queue.enqueue(place.workspace, place);
+            queue.enqueue(queueClass.workspace, queueClass);
           }
         }
         const turns = Array.from({length: n}, queue.dequeue);
         const counts = countByWorkspace(turns);
         const total = weights.reduce((sum, weight) => sum + weight, 0);
-        for (const {workspace, weight} of places) {
+        for (const {workspace, weight} of queueClasses) {
           const share = (n * weight) / total;
           const count = counts.get(workspace) ?? 0;
           expect(Math.abs(count - share)).toBeLessThanOrEqual(2);
@@ -50,10 +50,10 @@
   });
 
   test('gives no extra turns to a workspace that empties and rejoins', () => {
-    // One workspace gets every turn while another waits: it never has more
-    // than one request waiting, so each time it looks new to the queue.
+    // A workspace that never has more than one waiting request looks new to the
+    // queue each time, and would get every turn while another one waits.
     const queue = createFairQueue<string>();
-    const [rejoining, steady] = placesOf([1, 1]);
+    const [rejoining, steady] = queueClassesOf([1, 1]);
     for (let item = 0; item < 50; item += 1) {
       queue.enqueue('steady', {...steady!, workspace: 'steady'});
     }
@@ -68,7 +68,7 @@
     expect(countByWorkspace(turns).get('rejoining')).toBeLessThanOrEqual(21);
   });
 
-  test('lets lower numbers go first and starves nobody', () => {
+  test('serves lower numbers first without starving the others', () => {
     const queue = createFairQueue<string>({capacity: 1_000});
     for (let item = 0; item < 200; item += 1) {
       queue.enqueue('urgent', {workspace: 'a', priority: 0, weight: 5});
@@ -79,7 +79,7 @@
     expect(counts.get('patient')).toBeGreaterThanOrEqual(3);
   });
 
-  test('holds its capacity and loses or doubles no item', () => {
+  test('stays within its capacity and neither loses nor duplicates items', () => {
     const anyStep = fc.record({
       kind: fc.constantFrom('enqueue', 'enqueue', 'dequeue', 'drop'),
       workspace: fc.constantFrom('a', 'b', 'c'),
@@ -94,8 +94,8 @@
         };
         steps.forEach(({kind, workspace, weight}, item) => {
           if (kind === 'enqueue') {
-            const place = {workspace, priority: 0, weight};
-            const enqueued = queue.enqueue(item, place);
+            const queueClass = {workspace, priority: 0, weight};
+            const enqueued = queue.enqueue(item, queueClass);
             if (enqueued.kind !== 'full') inside.add(item);
             if (enqueued.kind === 'displaced') leave(enqueued.item);
           }
@@ -114,9 +114,9 @@
     );
   });
 
-  test('makes room for a quiet workspace in a queue full of a flood', () => {
-    // A quiet workspace's caller is told that the queue is full although it
-    // has sent nothing for an hour: another workspace filled every place.
+  test('makes room for a quiet workspace in a queue filled by another one', () => {
+    // If one workspace filled every slot, a caller of a quiet workspace would
+    // find the queue full although it has sent nothing for an hour.
     const queue = createFairQueue<string>({capacity: 10});
     const flood = {workspace: 'flood', priority: 0, weight: 1};
     for (let item = 0; item < 10; item += 1) queue.enqueue('flood', flood);
--- a/test/routing/router.test.ts
+++ b/test/routing/router.test.ts
@@ -15,7 +15,9 @@
 
 const TARGETS = targetNames(4);
 
-/** Any event of a few attempts and targets, doubled, crossed or out of place. */
+/**
+ * Any event of a few attempts and targets, possibly duplicated or out of order.
+ */
 const anyEvent: fc.Arbitrary<RoutingEvent> = fc
   .record({
     now: fc.constant(0),
@@ -43,7 +45,7 @@
     return {...event, target, report} as RoutingEvent;
   });
 
-/** Events in order, some time apart. */
+/** Events in order, with pauses between them. */
 const anyHistory = fc
   .array(fc.tuple(anyEvent, fc.nat({max: 700})), {maxLength: 60})
   .map(steps => {
@@ -158,9 +160,10 @@
     );
   });
 
-  test('believes no report that is older than what it knows', () => {
-    // A caller waits although targets are idle: a report from the time of a
-    // burst, held up on its way, comes after the one that showed its end.
+  test('ignores a report that is older than its data', () => {
+    // A report from the time of a burst is delayed and arrives after the one
+    // that showed its end. If it counted, a caller would wait although targets
+    // are idle.
     const router = routerWith(['engine-0'], 9_000);
     const late = idleReport('engine-0', {running: 8, queued: 30, age: 5_000});
     router.record({kind: 'reportReceived', report: late, now: 9_100});
@@ -168,7 +171,7 @@
     expect(choice.expectedWait).toBe(0);
   });
 
-  test('learns a queue from a late first token before any report', () => {
+  test('detects a queue from a late first token before any report', () => {
     const router = routerWith(['engine-0', 'engine-1'], 1_000);
     const first = chosenTarget(router, modelRequest(1_100));
     const attempt = 'a1';
@@ -177,7 +180,7 @@
     expect(chosenTarget(router, modelRequest(4_000))).not.toBe(first);
   });
 
-  test('asks to move what waits long, and says which target is idle', () => {
+  test('returns overdue attempts and whether a target is idle', () => {
     const router = routerWith(['engine-0', 'engine-1']);
     const target = chosenTarget(router, modelRequest(0));
     router.record({kind: 'dispatched', attempt: 'a1', target, now: 0});
--- a/test/routing/stalled_attempts.test.ts
+++ b/test/routing/stalled_attempts.test.ts
@@ -55,13 +55,13 @@
   router.evaluate(2);
 }
 
-describe('an answer in progress', () => {
-  // Two equal engines; on the way, one's tokens arrive in bunches and the
-  // other's one by one. Taken for slow, an engine would have its answers
-  // broken off in their middle.
-  test('is not broken off for a difference that nobody can perceive', () => {
+describe('a response in progress', () => {
+  // Of two equal engines, one's tokens arrive in bunches and the other's one by
+  // one. If it counted as slow, an engine would have its responses cut off in
+  // the middle.
+  test('is not cut off for an imperceptible difference', () => {
     const pause = fc.integer({min: 0, max: 9});
-    // Short enough that the quicker stream's silence at the end is no stall.
+    // Short enough that the quicker stream's silence at the end is not a stall.
     const count = fc.integer({min: 10, max: 60});
     fc.assert(
       fc.property(pause, pause, count, (leftPause, rightPause, tokens) => {
@@ -77,17 +77,17 @@
     );
   });
 
-  // Connections of other callers to an engine break; this caller's answer
-  // still moves. It must not be broken off with them.
-  test('is not broken off for the failures of others', () => {
+  // Connections of other callers to an engine break while this caller's
+  // response still makes progress. It must not be cut off with them.
+  test('is not cut off for failures of other requests', () => {
     const router = routerWithTwoTargets();
     stream(router, 'engine-1', [1, 1, 1]);
     failAll(router, 'engine-1');
     expect(router.stalledAttempts()).toEqual([]);
   });
 
-  // A first token that an ejected engine owes can still come from another.
-  test('moves on while it waits at an ejected target', () => {
+  // A first token that an ejected engine owes can still come from another one.
+  test('is moved while it waits at an ejected target', () => {
     const router = routerWithTwoTargets();
     const attempt = 'waiting#1';
     const target = 'engine-1';
@@ -96,10 +96,10 @@
     expect(router.stalledAttempts()).toMatchObject([{attempt, target}]);
   });
 
-  // One engine cut the connection, the other is ejected: the request goes to
-  // the ejected one, since a slow answer is better than none. Broken off there
-  // again, it would end without an answer.
-  test('is not broken off at an ejected target that was its last resort', () => {
+  // One engine cut the connection and the other is ejected. The request goes to
+  // the ejected one, since a slow response is better than none. If it were cut
+  // off there again, it would end without a response.
+  test('is not cut off at an ejected target that was its last resort', () => {
     const router = routerWithTwoTargets();
     failAll(router, 'engine-2');
     const chosen = router.chooseTarget({
--- a/test/routing/subset.test.ts
+++ b/test/routing/subset.test.ts
@@ -32,8 +32,8 @@
           for (const {instance: entry} of entries) {
             const subset = chooseSubset({entry, entries, targets, size});
             expect(new Set(subset).size).toBe(subset.length);
-            const most = Math.ceil(mean * 1.25) + perTarget + 2 * 4;
-            expect(subset.length).toBeLessThanOrEqual(most);
+            const maxSize = Math.ceil(mean * 1.25) + perTarget + 2 * 4;
+            expect(subset.length).toBeLessThanOrEqual(maxSize);
             for (const target of subset) {
               holders.set(target, (holders.get(target) ?? 0) + 1);
             }
@@ -71,7 +71,7 @@
     }
   });
 
-  test('holds all of a small site', () => {
+  test('holds all targets of a small site', () => {
     const {entries, targets} = createSite(8, 8);
     const subset = chooseSubset({entry: 'entry-0', entries, targets});
     expect(subset).toHaveLength(8);
--- a/test/routing/workspace_limits.test.ts
+++ b/test/routing/workspace_limits.test.ts
@@ -49,7 +49,7 @@
       for (let request = 0; request < wanted; request += 1) {
         if (limits.take('workspace', now).kind === 'passed') passed += 1;
       }
-      // Entries beat at the same rate, each at its own moment.
+      // Entries send heartbeats at the same rate but at different times.
       if (now % HEARTBEAT !== from * 100) return;
       const published = limits.publish(now);
       entries.forEach((_, to) => {
@@ -76,7 +76,7 @@
 });
 
 describe('workspace limits', () => {
-  test('add up to the stated bound at every moment', () => {
+  test('add up to the stated bound at any time', () => {
     fc.assert(
       fc.property(anyUse, anyDelays, (use, delays) => {
         const passed = runEntries(
@@ -97,8 +97,8 @@
   });
 
   test('add up to the bound through a partition', () => {
-    // A workspace gets twice its limit: two halves of the site do not hear
-    // each other, and each half shares out the whole limit.
+    // Two halves of the site receive nothing from each other. If each half
+    // shared out the whole limit, a workspace would get twice its limit.
     fc.assert(
       fc.property(anyUse, anyDelays, (use, delays) => {
         runEntries(
@@ -115,12 +115,12 @@
     );
   });
 
-  test('give a starting entry little before it has heard the others', () => {
+  test('give a starting entry little before it receives heartbeats', () => {
     const [starting] = createEntries(4);
     expect(starting!.share('workspace', 0)).toBeLessThan(LIMIT / 4);
   });
 
-  test('follow the use to the entry that has it', () => {
+  test('move to the entry that has the use', () => {
     const use = Array.from({length: 20}, () => [38, 0, 0, 0]);
     let last = 0;
     runEntries(
@@ -134,7 +134,7 @@
     expect(last).toBeGreaterThan(0.8 * LIMIT);
   });
 
-  test('say when to come back', () => {
+  test('return a retry delay', () => {
     const [limits] = createEntries(1);
     const decisions = Array.from({length: 100}, () =>
       limits!.take('workspace', 0),
@@ -148,9 +148,9 @@
     }
   });
 
-  // The first callers of a workspace come at the same moment, on a quiet machine
-  // within a few milliseconds. All but four of them were refused, though the entry
-  // might let pass as many each second.
+  // The first requests of a workspace arrive at the same time, or within a few
+  // milliseconds on a quiet machine. Without an initial burst, all but four are
+  // refused although the entry may let as many pass each second.
   test('let the first second of a share pass at once', () => {
     const [limits] = createEntries(1);
     const decisions = Array.from({length: LIMIT}, () =>
