--- a/packages/core/src/placement/allowance.ts
+++ b/packages/core/src/placement/allowance.ts
@@ -2,35 +2,39 @@
 import type {ZoneName} from '../types';
 import type {EngineLoad, SendingEntry} from './types';
 
-/** An entry's place among those that share the free slots of a zone's engines. */
+/** An entry's rank among the entries that share the free slots of an engine. */
 export interface SlotShare {
   readonly isNear: boolean;
-  /** Entries that share, and this one's number among them. */
+  /** Number of entries that share the slots. */
   readonly count: number;
+  /** This entry's rank among them, from 0. */
   readonly index: number;
 }
 
-/** Names a report alike at all entries that get it. */
+/** Identifies a report; the same at all entries that receive it. */
 export type ReportKey = Pick<EngineLoad, 'address' | 'sequence'>;
 
 /**
- * Free slots that are left to entries of the engine's own zone. Bytes between
- * zones cost, and near entries know an engine's load sooner.
+ * Free slots that are reserved for entries of the engine's own zone: traffic
+ * between zones costs, and near entries learn an engine's load sooner.
  */
 const RESERVED_NEAR_SLOTS = 3;
 
 /**
- * Requests that an engine is given within one report by near entries. Prompts
- * are read one after the other, 33 ms each, and all wait for all. An engine
- * that comes back empty would be given 16 at once: medians of 525 ms to the
- * first event in the seconds after a load, 408 ms with five, 205 with three.
+ * Requests that near entries together may start at an engine per report.
+ * Prompts are read one after the other, 33 ms each, and each request waits for
+ * all of them. Without this limit, an engine that comes back empty is sent 16
+ * at once: the median time to the first event in the seconds after a load was
+ * 525 ms, 408 ms with a limit of five and 205 ms with three.
  */
 const MAX_NEAR_STARTS = 3;
 
-/** The same for entries of other zones, whose reports come a third as often. */
+/** The same for entries of other zones, which receive every third report. */
 const MAX_FAR_STARTS = 2;
 
-/** The place of `self` among the entries that share an engine of `zone`. */
+/**
+ * Returns the rank of `self` among the entries that share an engine of `zone`.
+ */
 export function slotShareOf(
   self: SendingEntry,
   entries: readonly SendingEntry[],
@@ -49,39 +53,41 @@
 }
 
 /**
- * Slots of those free at a report that this entry may fill until the next one.
+ * Returns how many of an engine's free slots this entry may fill until the next
+ * report.
  *
- * Failure: each entry sees the same free slot and fills it; the rest of them
- * wait at the engine and are late, while other engines stand idle. Guard: the
- * slots are dealt out by number, and whose turn it is moves on with each
- * report, so that together the entries fill each slot once.
+ * Without this, every entry that sees a free slot fills it: all but one of the
+ * requests wait at the engine and are late while other engines are idle. The
+ * slots are divided by rank, and the rank rotates with each report, so that the
+ * entries together fill each slot once.
  */
 export function slotAllowance(
   free: number,
-  place: SlotShare,
+  share: SlotShare,
   report: ReportKey,
 ): number {
-  const shared = place.isNear
+  const shared = share.isNear
     ? Math.min(free, MAX_NEAR_STARTS)
     : Math.min(free - RESERVED_NEAR_SLOTS, MAX_FAR_STARTS);
   if (shared <= 0) return 0;
-  const each = Math.floor(shared / place.count);
-  const rest = shared % place.count;
-  return each + (turnPosition(place, report) < rest ? 1 : 0);
+  const each = Math.floor(shared / share.count);
+  const rest = shared % share.count;
+  return each + (turnPosition(share, report) < rest ? 1 : 0);
 }
 
 /**
- * How many entries are before this one at a report, 0 if it is its turn. Entries
- * of other zones get each third report only, so turns don't just count on.
+ * Returns how many entries come before this one at a report; 0 if it is first.
  *
- * Failure: agents that start together count alike, and an entry has its turn at
- * all engines in the same report. With 15 entries in a zone a request waits 280
- * ms for a place and is refused, while six in ten are free. Guard: turns differ
- * by engine.
+ * The position is a hash because entries of other zones receive every third
+ * report only, so counting up would always favor the same ones. The address is
+ * part of the hash because agents that start together use the same sequence
+ * numbers: an entry would be first at all engines in the same report. With 15
+ * entries in a zone, requests then wait 280 ms for a slot and are refused while
+ * six in ten slots are free.
  */
 export function turnPosition(
-  place: SlotShare,
+  share: SlotShare,
   {address, sequence}: ReportKey,
 ): number {
-  return (place.index + hash32(`${address} ${sequence}`)) % place.count;
+  return (share.index + hash32(`${address} ${sequence}`)) % share.count;
 }
--- a/packages/core/src/placement/cold_targets.ts
+++ b/packages/core/src/placement/cold_targets.ts
@@ -15,79 +15,85 @@
 import type {ListedTarget} from './types';
 
 /**
- * Time after a target's cold start in which its rate still grows. Without it all
- * entries send to an empty target at once when it becomes warm.
+ * Time after a cold start during which a target's rate still grows. Without it,
+ * all entries send to an empty target at once when it becomes warm.
  */
 const RAMP_TIME: Milliseconds = 2_000;
 
-/** How often the rate of a cold target is reached at the ramp's end. */
+/** Factor by which the rate has grown at the end of the ramp. */
 const RAMP_FACTOR = 8;
 
-/** A target that is cold. */
+/** A target in its cold start. */
 export interface ColdTarget {
   readonly instance: InstanceName;
   readonly service: ServiceName;
   readonly until: MonotonicInstant;
 }
 
-/** Knows which targets are cold, and what they bear. */
+/** Tracks which targets are cold and how many requests they may get. */
 export interface ColdTargets {
-  /** Takes the list of targets with their own words. */
+  /** Replaces the list of targets. */
   readonly list: (
     targets: readonly ListedTarget[],
     now: MonotonicInstant,
   ) => void;
-  /** Takes a report, which may show a life that the list doesn't have yet. */
+  /**
+   * Processes a report, which may show an incarnation that isn't listed yet.
+   */
   readonly report: (
     load: IncarnationStamp & {readonly address: string},
     now: MonotonicInstant,
   ) => void;
   readonly isCold: (target: TargetIdentity, now: MonotonicInstant) => boolean;
-  /** Requests a second from all entries together; undefined for no limit. */
+  /** Requests per second from all entries together; undefined if unlimited. */
   readonly rateOf: (
-    life: TargetIncarnation,
+    key: TargetIncarnation,
     now: MonotonicInstant,
   ) => number | undefined;
-  /** All targets that are cold. */
+  /** Lists all cold targets. */
   readonly all: (now: MonotonicInstant) => readonly ColdTarget[];
 }
 
 interface ColdIncarnation extends ColdTarget {
-  /** What the target said last; undefined if only a report shows this life. */
-  readonly said: Milliseconds | undefined;
+  /**
+   * Remaining cold time the target last reported; undefined if only a report
+   * shows this incarnation.
+   */
+  readonly reportedColdFor: Milliseconds | undefined;
 }
 
 /**
- * Creates the memory of cold targets.
+ * Creates the tracker of cold targets.
  *
- * Failure: a target's line is read each second and stays the same between two of
- * its heartbeats; counted from each reading, the target would stay cold for
- * longer than it says. Guard: a value counts from when it is first seen.
+ * A target's row is read every second but changes only with its heartbeats, so
+ * a value counts from when it is first seen. Counted from each read, the target
+ * would stay cold for longer than it reports.
  */
 export function createColdTargets(
   coldStartOf: (service: ServiceName) => ColdStart | undefined,
 ): ColdTargets {
-  let noted = new Map<TargetIncarnation, ColdIncarnation>();
+  let incarnations = new Map<TargetIncarnation, ColdIncarnation>();
   let listed = new Map<string, ListedTarget>();
 
   function list(targets: readonly ListedTarget[], now: MonotonicInstant): void {
     const instances = new Set(targets.map(({instance}) => instance));
-    const isKept = ([, life]: [TargetIncarnation, ColdIncarnation]): boolean =>
-      life.said === undefined &&
-      instances.has(life.instance) &&
-      now < life.until + RAMP_TIME;
-    const next = new Map([...noted].filter(isKept));
+    const isKept = ([, known]: [TargetIncarnation, ColdIncarnation]): boolean =>
+      known.reportedColdFor === undefined &&
+      instances.has(known.instance) &&
+      now < known.until + RAMP_TIME;
+    const next = new Map([...incarnations].filter(isKept));
     for (const target of targets) {
-      const life = targetIncarnationKey(target);
-      const {instance, service, coldFor: said} = target;
-      const known = noted.get(life);
-      if (known?.said === said) next.set(life, known);
+      const key = targetIncarnationKey(target);
+      const {instance, service, coldFor: reportedColdFor} = target;
+      const known = incarnations.get(key);
+      if (known?.reportedColdFor === reportedColdFor) next.set(key, known);
       else {
-        const until = said > 0 ? now + said : endOf(known, now);
-        next.set(life, {instance, service, said, until});
+        const until =
+          reportedColdFor > 0 ? now + reportedColdFor : endOf(known, now);
+        next.set(key, {instance, service, reportedColdFor, until});
       }
     }
-    noted = next;
+    incarnations = next;
     listed = new Map(targets.map(target => [target.address, target]));
   }
 
@@ -98,11 +104,16 @@
     const target = listed.get(load.address);
     if (target === undefined || !isEarlierIncarnation(target, load)) return;
     const {instance, service} = target;
-    const life = targetIncarnationKey({instance, born: load.born});
+    const key = targetIncarnationKey({instance, born: load.born});
     const duration = coldStartOf(service)?.duration;
-    if (duration === undefined || noted.has(life)) return;
+    if (duration === undefined || incarnations.has(key)) return;
     const until = now + duration;
-    noted.set(life, {instance, service, said: undefined, until});
+    incarnations.set(key, {
+      instance,
+      service,
+      reportedColdFor: undefined,
+      until,
+    });
   }
 
   function isColdIncarnation(
@@ -113,10 +124,10 @@
   }
 
   function rateOf(
-    life: TargetIncarnation,
+    key: TargetIncarnation,
     now: MonotonicInstant,
   ): number | undefined {
-    const known = noted.get(life);
+    const known = incarnations.get(key);
     if (known === undefined) return undefined;
     const warmFor = Math.max(0, now - known.until);
     if (warmFor >= RAMP_TIME) return undefined;
@@ -128,16 +139,19 @@
     list,
     report,
     isCold: (target, now) => {
-      const known = noted.get(targetIncarnationKey(target));
+      const known = incarnations.get(targetIncarnationKey(target));
       return known !== undefined && isColdIncarnation(known, now);
     },
     rateOf,
     all: now =>
-      [...noted.values()].filter(life => isColdIncarnation(life, now)),
+      [...incarnations.values()].filter(known => isColdIncarnation(known, now)),
   };
 }
 
-/** When a target that says it is warm has become so; the past if it never was cold. */
+/**
+ * Returns when a target that reports to be warm became so; a time in the past
+ * if it was never cold.
+ */
 function endOf(
   known: ColdIncarnation | undefined,
   now: MonotonicInstant,
--- a/packages/core/src/placement/directory_choice.ts
+++ b/packages/core/src/placement/directory_choice.ts
@@ -8,30 +8,36 @@
   readonly callerAddress: string;
 }
 
-/** Who asks for entries, and for what. */
+/** The caller's location and the regions its requests may use. */
 export interface EntryQuery {
   readonly zone: ZoneName | undefined;
   readonly region: RegionName | undefined;
-  /** Regions that all routes of the host with residency allow, if any has. */
+  /**
+   * Regions that all routes of the host with data residency allow; undefined if
+   * no route restricts regions.
+   */
   readonly allowedRegions: ReadonlySet<RegionName> | undefined;
 }
 
-/** Entries named at least, so that a caller has another when one fails. */
+/**
+ * Minimum number of entries to return, so that a caller has another one when
+ * one fails.
+ */
 const MIN_ENTRIES = 2;
 
-/** Most addresses in one answer. */
+/** Maximum number of addresses in one response. */
 const MAX_ENTRIES = 64;
 
 /**
- * The addresses for a caller: the entries of its own zone, else of its own
- * region, else of regions in which its requests are served, else all. Fewer than
- * two entries are passed over.
+ * Returns the entry addresses for a caller: those of its zone, else of its
+ * region, else of regions where its requests are served, else all. A group of
+ * fewer than two entries is skipped.
  */
 export function chooseEntries(
   entries: readonly UsableEntry[],
   {zone, region, allowedRegions}: EntryQuery,
 ): readonly string[] {
-  const circles = [
+  const groups = [
     entries.filter(entry => entry.zone === zone),
     entries.filter(entry => region !== undefined && entry.region === region),
     entries.filter(
@@ -40,7 +46,7 @@
         allowedRegions?.has(entry.region) === true,
     ),
   ];
-  const near = circles.find(circle => circle.length >= MIN_ENTRIES);
+  const near = groups.find(group => group.length >= MIN_ENTRIES);
   return (near ?? entries)
     .slice(0, MAX_ENTRIES)
     .map(entry => entry.callerAddress);
--- a/packages/core/src/placement/engine_times.ts
+++ b/packages/core/src/placement/engine_times.ts
@@ -1,13 +1,13 @@
 import type {EngineProfile} from '../routes';
 import type {Milliseconds} from '../types';
 
-const MILLISECONDS = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 const MILLION = 1_000_000;
 
-/** Times that steps take longer beside the prompts of others; 60 ms for 42. */
+/** Factor by which other requests' prompts slow down steps; 60 ms for 42. */
 const PREFILL_SLOWDOWN = 1.4;
 
-/** Time in which an engine reads a prompt, with nothing before it. */
+/** Returns the time in which an idle engine reads a prompt. */
 export function promptTime(
   profile: EngineProfile,
   tokens: number,
@@ -15,12 +15,12 @@
   if (profile.prefillRate <= 0) return 0;
   const pairs = (tokens * tokens) / 2;
   return (
-    (tokens * MILLISECONDS) / profile.prefillRate +
+    (tokens * MILLISECONDS_PER_SECOND) / profile.prefillRate +
     (pairs / MILLION) * profile.timePerMillionPairs
   );
 }
 
-/** Time in which a busy engine writes an answer. */
+/** Returns the time in which a busy engine generates a response. */
 export function generationTime(
   profile: EngineProfile,
   tokens: number,
--- a/packages/core/src/placement/evacuations.ts
+++ b/packages/core/src/placement/evacuations.ts
@@ -1,22 +1,22 @@
 import type {ZoneName} from '../types';
 
-/** A zone that the operator wants evacuated. */
+/** A zone that the operator evacuates. */
 export interface EvacuatedZone {
   readonly zone: ZoneName;
   /** Revision of the operator's row. */
   readonly revision: number;
 }
 
-/** A row of the operator on a zone's evacuation, as it was written or removed. */
+/** A row of the operator on a zone's evacuation, written or removed. */
 export interface EvacuationChange extends EvacuatedZone {
   readonly isEvacuated: boolean;
 }
 
-/** The zones that are evacuated, as far as one entry knows. */
+/** The evacuated zones, as far as one entry knows them. */
 export interface Evacuations {
-  /** Takes all rows, as of a revision of the store. */
+  /** Replaces all rows with those of a store revision. */
   readonly replace: (zones: readonly EvacuatedZone[], revision: number) => void;
-  /** Takes rows that have changed up to a revision of the store. */
+  /** Applies rows that changed up to a store revision. */
   readonly change: (
     changes: readonly EvacuationChange[],
     revision: number,
@@ -26,11 +26,11 @@
 }
 
 /**
- * Creates the memory of evacuations.
+ * Creates the set of evacuated zones.
  *
- * Failure: a reading that was held up on its way is taken after a newer one, and
- * an evacuation is forgotten. Guard: the store's revisions order all readings,
- * own and relayed, also across a restore of the store.
+ * The store's revisions order all reads, local and relayed, also across a
+ * restore of the store. Without this, a delayed read that is applied after a
+ * newer one would drop an evacuation.
  */
 export function createEvacuations(): Evacuations {
   let evacuated: ReadonlyMap<ZoneName, EvacuatedZone> = new Map();
--- a/packages/core/src/placement/first_event_times.ts
+++ b/packages/core/src/placement/first_event_times.ts
@@ -1,14 +1,14 @@
 import type {Milliseconds, ServiceName} from '../types';
 
-/** Time from a place at a target to the first part of its answer. */
+/** Time from getting a slot at a target to the first event of the response. */
 export interface FirstEventTimes {
-  /** `own` is the part of the time that the request's own prompt took. */
+  /** Records a time; `own` is the part that the request's own prompt took. */
   readonly record: (
     service: ServiceName,
     time: Milliseconds,
     own: Milliseconds,
   ) => void;
-  /** Time to allow for, or undefined before anything was seen. */
+  /** Returns the expected time, or undefined before the first record. */
   readonly expected: (
     service: ServiceName,
     own: Milliseconds,
@@ -16,59 +16,65 @@
 }
 
 /**
- * Weight of one answer in the means. An entry sees some twelve answers a second
- * at full load, so the means follow within a second.
+ * Weight of a sample in the means. At full load an entry sees some twelve
+ * responses per second, so the means follow within a second.
  */
 const WEIGHT = 0.1;
 
-/** Mean deviations above the mean that are allowed for; about two in three. */
+/**
+ * Mean deviations above the mean that are allowed for; covers about two in
+ * three responses.
+ */
 const DEVIATIONS = 0.5;
 
-interface Seen {
+interface Estimate {
   readonly mean: Milliseconds;
   readonly deviation: Milliseconds;
 }
 
 /**
- * Learns how long the targets of each service take.
+ * Learns how long the targets of each service take to send a first event.
  *
- * Failure: under load an engine's first event takes 300 ms in place of 130. A
- * request that waits for a place until 130 ms before its objective is then
- * late, earns a quarter, and takes the place of one that would be on time.
- * Guard: what is allowed for follows what was seen.
+ * Without this, a fixed value of 130 ms is assumed where an engine under load
+ * takes 300 ms: a request that waits for a slot until 130 ms before its
+ * objective is late, earns a quarter and takes the slot of one that would be on
+ * time.
  *
- * Failure: the largest prompts take four times as long to read as the mean, and
- * wait for a place as if they took no longer: they are late while others are
- * early. Guard: only what a request waits beside its own prompt is learned.
+ * Only the time beyond the request's own prompt is learned. The largest prompts
+ * take four times as long to read as the mean; if they waited for a slot as
+ * long as the others, they would be late.
  */
 export function createFirstEventTimes(): FirstEventTimes {
-  const services = new Map<ServiceName, Seen>();
+  const services = new Map<ServiceName, Estimate>();
 
   function record(
     service: ServiceName,
-    whole: Milliseconds,
+    total: Milliseconds,
     own: Milliseconds,
   ): void {
     const known = services.get(service);
-    const time = Math.max(0, whole - own);
+    const time = Math.max(0, total - own);
     services.set(
       service,
       known === undefined
         ? {mean: time, deviation: time / 2}
-        : move(known, time),
+        : updateEstimate(known, time),
     );
   }
 
   return {
     record,
     expected: (service, own) => {
-      const seen = services.get(service);
-      return seen && seen.mean + DEVIATIONS * seen.deviation + own;
+      const estimate = services.get(service);
+      return estimate && estimate.mean + DEVIATIONS * estimate.deviation + own;
     },
   };
 }
 
-function move({mean, deviation}: Seen, time: Milliseconds): Seen {
+function updateEstimate(
+  {mean, deviation}: Estimate,
+  time: Milliseconds,
+): Estimate {
   const distance = Math.abs(time - mean);
   return {
     mean: mean + WEIGHT * (time - mean),
--- a/packages/core/src/placement/incarnation_map.ts
+++ b/packages/core/src/placement/incarnation_map.ts
@@ -5,25 +5,25 @@
   type IncarnationStamp,
 } from './target_incarnation';
 
-/** What lives of targets have said, until a newer life of theirs is known. */
+/** Holds a value per target until a newer incarnation is known. */
 export interface IncarnationMap<Value> {
-  /** Undefined if nothing was said by this life or a later one. */
+  /** Returns undefined unless this incarnation or a later one has a value. */
   readonly get: (target: TargetIdentity) => Value | undefined;
   readonly set: (target: TargetIdentity, value: Value) => void;
 }
 
-interface Remembered<Value> extends IncarnationStamp {
+interface StoredValue<Value> extends IncarnationStamp {
   readonly value: Value;
 }
 
-/** Creates the memory; it holds `mostTargets` and drops the oldest beyond. */
+/** Creates a map that holds at most `maxTargets` and evicts the oldest. */
 export function createIncarnationMap<Value>(
   maxTargets: number,
 ): IncarnationMap<Value> {
-  const remembered = new Map<InstanceName, Remembered<Value>>();
+  const values = new Map<InstanceName, StoredValue<Value>>();
 
   function get(target: TargetIdentity): Value | undefined {
-    const known = remembered.get(target.instance);
+    const known = values.get(target.instance);
     if (known === undefined || isEarlierIncarnation(known, target)) {
       return undefined;
     }
@@ -32,13 +32,13 @@
 
   function set(target: TargetIdentity, value: Value): void {
     const {instance, born} = target;
-    const known = remembered.get(instance);
+    const known = values.get(instance);
     if (known !== undefined && isEarlierIncarnation(target, known)) return;
-    remembered.delete(instance);
-    remembered.set(instance, {born, value});
-    const [oldest] = remembered.keys();
-    if (remembered.size > maxTargets && oldest !== undefined) {
-      remembered.delete(oldest);
+    values.delete(instance);
+    values.set(instance, {born, value});
+    const [oldest] = values.keys();
+    if (values.size > maxTargets && oldest !== undefined) {
+      values.delete(oldest);
     }
   }
 
--- a/packages/core/src/placement/memory_tracker.ts
+++ b/packages/core/src/placement/memory_tracker.ts
@@ -8,23 +8,26 @@
 import {turnPosition, type SlotShare} from './allowance';
 import type {EngineLoad, ListedTarget, PlacementRequest} from './types';
 
-/** Age of a report where it is used, within which sends may not show in it. */
+/**
+ * Maximum age of a report when it is used; sends within this time before it may
+ * be missing from it.
+ */
 const MAX_REPORT_DELAY: Milliseconds = 300;
 
-/** How long requests run at most that an old report shows. */
+/** Maximum time that requests in an old report keep running. */
 const MAX_REPORTED_RUN: Milliseconds = 10_000;
 
-/** Own requests at an engine, for its memory. */
+/** This entry's requests at an engine, for its memory. */
 export interface OwnMemoryUse {
-  readonly sends: Set<OwnSend>;
+  readonly sends: Set<SentTokens>;
 }
 
-interface OwnSend {
+interface SentTokens {
   readonly tokens: number;
   readonly at: MonotonicInstant;
 }
 
-/** What is needed of a target to judge its memory. */
+/** Data about a target that is needed to evaluate its memory. */
 export interface MemoryTarget {
   readonly target: ListedTarget;
   readonly report: EngineLoad | undefined;
@@ -32,45 +35,48 @@
   readonly memory: OwnMemoryUse;
 }
 
-/** Judges the memory of engines, by own sends and by reports. */
+/** Evaluates the memory of engines from this entry's sends and from reports. */
 export interface MemoryTracker {
-  /** Notes a send at a target; the returned function notes its end. */
+  /** Records a send at a target; the returned function records its end. */
   readonly begin: (
-    entry: MemoryTarget,
+    record: MemoryTarget,
     need: MemoryNeed | undefined,
     now: MonotonicInstant,
   ) => () => void;
-  /** Whether a target has memory for a request; true if its profile names none. */
+  /**
+   * Whether a target has memory for a request; true if its profile sets no
+   * limit.
+   */
   readonly hasRoom: (
-    entry: MemoryTarget,
-    need: PlacementRequest,
-    place: SlotShare,
+    record: MemoryTarget,
+    request: PlacementRequest,
+    slotShare: SlotShare,
     senders: number,
     isReported: boolean,
   ) => boolean;
 }
 
-/** Creates the own sends of a life of a target. */
+/** Creates the memory use for an incarnation of a target. */
 export function createOwnMemoryUse(): OwnMemoryUse {
   return {sends: new Set()};
 }
 
-/** Creates the judge; it learns how large the requests of each service are. */
+/** Creates the tracker; it learns the request sizes of each service. */
 export function createMemoryTracker(): MemoryTracker {
   const sizes = createRequestSizes();
   const outputs = createRequestSizes();
 
-  function seenOr(
-    seen: SizeStatistics | undefined,
+  function statisticsOr(
+    observed: SizeStatistics | undefined,
     size: number,
   ): SizeStatistics {
-    return seen ?? {mean: size, deviation: size / 2};
+    return observed ?? {mean: size, deviation: size / 2};
   }
 
   function sizesOf(service: ServiceName, need: MemoryNeed) {
     return {
-      sizes: seenOr(sizes.seen(service), need.tokens),
-      outputs: seenOr(outputs.seen(service), need.output),
+      sizes: statisticsOr(sizes.seen(service), need.tokens),
+      outputs: statisticsOr(outputs.seen(service), need.output),
     };
   }
 
@@ -83,26 +89,28 @@
       memory.sends.add(send);
       return () => void memory.sends.delete(send);
     },
-    hasRoom: (entry, need, place, senders, isReported) => {
-      if (need.memory === undefined) return true;
-      const {target, report, reportedAt, memory} = entry;
-      const saysStill = need.now - reportedAt < MAX_REPORTED_RUN;
+    hasRoom: (record, request, slotShare, senders, isReported) => {
+      if (request.memory === undefined) return true;
+      const {target, report, reportedAt, memory} = record;
+      const isUsable = request.now - reportedAt < MAX_REPORTED_RUN;
       const all = [...memory.sends];
       const started = all.filter(({at}) => at >= reportedAt);
-      const unseen = all.filter(({at}) => at > reportedAt - MAX_REPORT_DELAY);
+      const unreported = all.filter(
+        ({at}) => at > reportedAt - MAX_REPORT_DELAY,
+      );
       const engine = {
         slots: target.slots,
-        report: report && saysStill ? reportedMemory(report) : undefined,
+        report: report && isUsable ? reportedMemory(report) : undefined,
         isReported,
-        ownUnreported: report && saysStill ? tokensOf(unseen) : 0,
+        ownUnreported: report && isUsable ? tokensOf(unreported) : 0,
         ownStarts: started.length,
         ownTokens: tokensOf(all),
-        ...sizesOf(need.service, need.memory),
+        ...sizesOf(request.service, request.memory),
       };
-      return hasMemory(engine, need.memory, {
+      return hasMemory(engine, request.memory, {
         senders,
-        isNear: place.isNear,
-        before: report === undefined ? 0 : turnPosition(place, report),
+        isNear: slotShare.isNear,
+        before: report === undefined ? 0 : turnPosition(slotShare, report),
       });
     },
   };
@@ -112,6 +120,6 @@
   return {share: memoryShare, running, waiting, sequence};
 }
 
-function tokensOf(sends: readonly OwnSend[]): number {
+function tokensOf(sends: readonly SentTokens[]): number {
   return sends.reduce((total, {tokens}) => total + tokens, 0);
 }
--- a/packages/core/src/placement/named_versions.ts
+++ b/packages/core/src/placement/named_versions.ts
@@ -1,24 +1,24 @@
 import type {Milliseconds, ModelName, MonotonicInstant} from '../types';
 
 /**
- * Time before a version's bound at which older ones start nothing more, in
- * milliseconds. Failure: a request is sent in time and waits at an overloaded
- * engine, behind the prompts of others; it begins on an older version after the
- * bound. Waits of 1.22 and 1.65 s were seen while few engines served, of requests
- * that were sent 1.04 and 1.39 s before it.
+ * Time in milliseconds before a version's bound at which older ones start
+ * nothing more. Without it, a request that is sent in time waits at an
+ * overloaded engine behind other prompts and begins on an older version after
+ * the bound. Waits of 1.22 and 1.65 s were seen while few engines served, for
+ * requests sent 1.04 and 1.39 s before the bound.
  */
 export const VERSION_BOUND_MARGIN = 1_500;
 
 /**
- * Longest time that a request needs to a target in another zone, in
- * milliseconds. Failure: a configuration of hundreds of kilobytes goes to each
- * process of a region, the link between regions is choked, and requests that
- * were sent in time begin on an older version 1.2 s after its bound; 2 s were
- * seen between the send and the target.
+ * Maximum time in milliseconds that a request needs to a target in another
+ * zone. When a configuration of hundreds of kilobytes goes to every process of
+ * a region, it congests the link between regions: requests that were sent in
+ * time began on an older version 1.2 s after its bound, and 2 s were seen
+ * between the send and the target.
  */
 export const MAX_FAR_DELAY = 2_500;
 
-/** That a version was named, and since when that is known somewhere. */
+/** A named version, and since when any process has known of it. */
 export interface VersionNaming {
   readonly model: ModelName;
   readonly version: number;
@@ -28,9 +28,9 @@
 /** Versions that the operator has named, and which of them must be in force. */
 export interface NamedVersions {
   /**
-   * Takes a name, also one that another process learned of before; of several
-   * moments for the same version the first one counts. Returns whether the
-   * version is newer than all known before.
+   * Records a version, also one that another process learned of earlier; the
+   * earliest time for a version counts. Returns whether it is newer than all
+   * known ones.
    */
   readonly name: (
     model: ModelName,
@@ -39,8 +39,8 @@
   ) => boolean;
   readonly newest: (model: ModelName) => number | undefined;
   /**
-   * The oldest version that may start a request which takes `delay` to reach its
-   * target; undefined if any may.
+   * Returns the oldest version that may start a request which takes `delay` to
+   * reach its target; undefined if any may.
    */
   readonly oldestAllowed: (
     model: ModelName,
@@ -48,18 +48,21 @@
     delay: Milliseconds,
   ) => number | undefined;
   readonly all: () => ReadonlyMap<ModelName, number>;
-  /** The last few names of each model, for other processes. */
+  /** Returns the most recent versions of each model, for other processes. */
   readonly recent: () => readonly VersionNaming[];
 }
 
-/** Names told to others; two follow one another within a bound at most. */
+/**
+ * Versions per model sent to other processes; at most two are named within a
+ * bound.
+ */
 const RECENT_NAMINGS = 3;
 
 /**
- * Creates the memory of named versions.
+ * Creates an empty set of named versions.
  *
- * Each version has its bound from its own naming: one that is named later does
- * not put off the one before it.
+ * Each version has its bound from its own naming: a later version does not
+ * postpone the bound of an earlier one.
  */
 export function createNamedVersions(bound: Milliseconds): NamedVersions {
   const namings = new Map<ModelName, readonly VersionNaming[]>();
@@ -70,10 +73,10 @@
   return {
     name: (model, version, knownSince) => {
       const known = namings.get(model) ?? [];
-      const same = known.find(naming => naming.version === version);
-      const first = Math.min(knownSince, same?.knownSince ?? knownSince);
+      const existing = known.find(naming => naming.version === version);
+      const first = Math.min(knownSince, existing?.knownSince ?? knownSince);
       const isNew = version > (newest(model) ?? 0);
-      const others = known.filter(naming => naming !== same);
+      const others = known.filter(naming => naming !== existing);
       const next = [...others, {model, version, knownSince: first}];
       next.sort((one, other) => one.version - other.version);
       namings.set(model, next);
--- a/packages/core/src/placement/prompt_times.ts
+++ b/packages/core/src/placement/prompt_times.ts
@@ -1,17 +1,17 @@
 import type {Milliseconds, ServiceName} from '../types';
 
-/** Part of the mean that the newest request makes up. */
+/** Weight of the newest request in the mean. */
 const SAMPLE_WEIGHT = 0.05;
 
-/** Knows which prompts of a service are short ones. */
+/** Tracks which prompts of a service are short. */
 export interface PromptTimes {
-  /** Takes the time in which a target reads a prompt that is sent. */
+  /** Records the time in which a target reads a prompt that is sent. */
   readonly record: (service: ServiceName, promptTime: Milliseconds) => void;
-  /** Whether a prompt is no longer than the mean of those sent lately. */
+  /** Whether a prompt is no longer than the mean of recent ones. */
   readonly isShort: (service: ServiceName, promptTime: Milliseconds) => boolean;
 }
 
-/** Creates the memory of prompts. */
+/** Creates an empty tracker. */
 export function createPromptTimes(): PromptTimes {
   const means = new Map<ServiceName, Milliseconds>();
 
--- a/packages/core/src/placement/rate_limits.ts
+++ b/packages/core/src/placement/rate_limits.ts
@@ -1,19 +1,19 @@
 import type {MonotonicInstant, TargetIncarnation} from '../types';
 import {createRevisionedRows, type ChangedRows} from '../utils/revisioned_rows';
 
-/** Targets whose limits are remembered. */
+/** Maximum number of targets whose limits are kept. */
 const MAX_TARGETS = 1_000;
 
-/** The limit that one life of a target has named, or that it names none. */
+/** The rate limit that one incarnation of a target set, or that it set none. */
 export interface RateLimitRecord {
   readonly life: TargetIncarnation;
-  /** Requests a second from all entries together; undefined for no limit. */
+  /** Requests per second from all entries together; undefined if unlimited. */
   readonly rate: number | undefined;
-  /** Grows with each change that any entry has seen. */
+  /** Incremented with each change that any entry has seen. */
   readonly edition: number;
 }
 
-/** An answer of a target, as far as its limit is concerned. */
+/** The rate limit in a target's response. */
 export interface LimitedAnswer {
   readonly life: TargetIncarnation;
   readonly rate: number | undefined;
@@ -21,29 +21,30 @@
   readonly sentAt: MonotonicInstant;
 }
 
-/** The limits that targets have named. */
+/** The rate limits that targets have set. */
 export interface RateLimits {
-  /** Takes an answer seen here; returns whether it changes the limit. */
+  /** Records a response received here; returns whether it changes the limit. */
   readonly recordAnswer: (answer: LimitedAnswer) => boolean;
-  /** Takes what another entry knows; returns whether it is newer. */
+  /** Merges another entry's record; returns whether it is newer. */
   readonly merge: (record: RateLimitRecord) => boolean;
-  /** Records that changed after `revision`, no more than `most`. */
+  /** Records that changed after `revision`, at most `most`. */
   readonly changedSince: (
     revision: number,
     most: number,
   ) => ChangedRows<RateLimitRecord>;
-  /** The limit in force; undefined if there is none. */
+  /** The current limit; undefined if there is none. */
   readonly rateOf: (life: TargetIncarnation) => number | undefined;
 }
 
 interface HeldLimit extends RateLimitRecord {
-  /** When the target was last known here to say so. */
+  /** When the target last confirmed the limit here. */
   confirmedAt: MonotonicInstant;
 }
 
 /**
- * Creates the limits that one entry knows of. Of two records the one of the later
- * edition counts, and of one edition the stricter, so that all come to the same.
+ * Creates the rate limits known to one entry. Of two records the later edition
+ * wins, and of the same edition the stricter limit, so that all entries
+ * converge.
  */
 export function createRateLimits(clock: () => MonotonicInstant): RateLimits {
   const limits = createRevisionedRows<HeldLimit>(MAX_TARGETS);
@@ -54,7 +55,7 @@
       if (held !== undefined) held.confirmedAt = clock();
       return false;
     }
-    // An answer to an earlier request may have overtaken the one with the limit.
+    // A response to an earlier request may arrive after the one with the limit.
     if (
       rate === undefined &&
       held !== undefined &&
--- a/packages/core/src/placement/retained_target_list.ts
+++ b/packages/core/src/placement/retained_target_list.ts
@@ -2,26 +2,28 @@
 import {createIncarnationMap} from './incarnation_map';
 import type {ListedTarget} from './types';
 
-/** Targets of which is remembered that their lines went. */
+/** Number of removed targets that are remembered. */
 const MAX_REMOVED_TARGETS = 1_000;
 
-/** Heartbeats without which the store removes a target's line. */
+/** Missed heartbeats after which the store removes a target's row. */
 const HEARTBEATS_TO_EXPIRY = 3;
 
-/** How long the list of targets may lag behind a store that was away. */
+/** How long the list may lag behind after a store outage. */
 export interface RetainedTargetListOptions {
-  /** Period in which targets renew their lines. */
+  /** Period in which targets renew their rows. */
   readonly heartbeat: Milliseconds;
-  /** How long after the store's return a missing line may still come back. */
+  /** How long after the store's return a missing row may still come back. */
   readonly recoveryTime: Milliseconds;
 }
 
-/** Knows the targets across an absence of the store. */
+/** The list of targets, retained across store outages. */
 export interface RetainedTargetList {
   readonly recordFailure: (now: MonotonicInstant) => void;
-  /** Notes that the store came back from a copy, without its last changes. */
+  /**
+   * Records that the store was restored from a copy without its last changes.
+   */
   readonly recordRestore: (now: MonotonicInstant) => void;
-  /** Takes a fresh list; returns the targets to go by. */
+  /** Applies a fresh list and returns the targets to use. */
   readonly update: (
     listed: readonly ListedTarget[],
     now: MonotonicInstant,
@@ -29,79 +31,82 @@
 }
 
 /**
- * Creates the memory of the list.
+ * Creates the retained list.
  *
- * Failure: while the store is away, targets cannot renew their lines and lapse.
- * Just after its return the list is nearly empty, and requests are refused
- * though all targets live. Guard: after an absence of a heartbeat or more,
- * lines that are missing count until the targets have had time to come back.
- * One that came back and goes again has really gone, and counts no longer:
- * kept, the target would be sent requests seconds after it had left.
+ * During a store outage targets can't renew their rows, and the rows expire.
+ * Without this, the list is nearly empty just after the store's return, and
+ * requests are refused although all targets run. After an outage of a heartbeat
+ * or more, missing rows count until the targets have had time to write them
+ * again.
+ *
+ * A target that came back and disappears again is removed at once. Otherwise it
+ * would be sent requests for seconds after it had left.
  */
 export function createRetainedTargetList(
   options: RetainedTargetListOptions,
 ): RetainedTargetList {
-  let known: readonly ListedTarget[] = [];
-  let lostSince: MonotonicInstant | undefined;
-  let keepUntil: MonotonicInstant = -Infinity;
-  /** Instances whose lines were listed since the store's return. */
-  let cameBack = new Set<InstanceName>();
+  let current: readonly ListedTarget[] = [];
+  let outageSince: MonotonicInstant | undefined;
+  let retainUntil: MonotonicInstant = -Infinity;
+  /** Instances whose rows were listed since the store's return. */
+  let returned = new Set<InstanceName>();
 
-  const gone = createIncarnationMap<boolean>(MAX_REMOVED_TARGETS);
-  /** Until when a line that had gone may be there by an old copy alone. */
-  let doubtUntil: MonotonicInstant = -Infinity;
+  const removed = createIncarnationMap<boolean>(MAX_REMOVED_TARGETS);
+  /** Until when the row of a removed target may stem from an old copy only. */
+  let restoredRowsUntil: MonotonicInstant = -Infinity;
 
-  function withoutGone(
+  function withoutRemoved(
     listed: readonly ListedTarget[],
     now: MonotonicInstant,
   ): readonly ListedTarget[] {
-    if (now >= doubtUntil) return listed;
-    return listed.filter(target => gone.get(target) !== true);
+    if (now >= restoredRowsUntil) return listed;
+    return listed.filter(target => removed.get(target) !== true);
   }
 
-  function replaceKnown(next: readonly ListedTarget[]): void {
-    const left = new Set(next.map(({instance}) => instance));
-    for (const target of known) {
-      if (!left.has(target.instance)) gone.set(target, true);
+  function replaceCurrent(next: readonly ListedTarget[]): void {
+    const remaining = new Set(next.map(({instance}) => instance));
+    for (const target of current) {
+      if (!remaining.has(target.instance)) removed.set(target, true);
     }
     for (const target of next) {
-      if (gone.get(target) === true) gone.set(target, false);
+      if (removed.get(target) === true) removed.set(target, false);
     }
-    known = next;
+    current = next;
   }
 
-  /** Counts missing lines until their targets have had time to write them. */
-  function keepMissing(now: MonotonicInstant): void {
-    keepUntil = now + options.recoveryTime;
-    cameBack = new Set();
+  /** Retains missing rows until their targets have had time to write them. */
+  function retainMissing(now: MonotonicInstant): void {
+    retainUntil = now + options.recoveryTime;
+    returned = new Set();
   }
 
   return {
     recordFailure: now => {
-      lostSince ??= now;
+      outageSince ??= now;
     },
     recordRestore: now => {
-      keepMissing(now);
-      doubtUntil = now + HEARTBEATS_TO_EXPIRY * options.heartbeat;
+      retainMissing(now);
+      restoredRowsUntil = now + HEARTBEATS_TO_EXPIRY * options.heartbeat;
     },
     update: (read, now) => {
-      const listed = withoutGone(read, now);
-      if (lostSince !== undefined && now - lostSince >= options.heartbeat) {
-        keepMissing(now);
+      const listed = withoutRemoved(read, now);
+      if (outageSince !== undefined && now - outageSince >= options.heartbeat) {
+        retainMissing(now);
       }
-      lostSince = undefined;
-      if (now >= keepUntil) {
-        replaceKnown(listed);
-        return known;
+      outageSince = undefined;
+      if (now >= retainUntil) {
+        replaceCurrent(listed);
+        return current;
       }
-      for (const {instance} of listed) cameBack.add(instance);
-      // Another life at the address means that the missing one has ended.
-      const taken = new Set(listed.map(target => target.address));
-      const missing = known.filter(
-        ({instance, address}) => !cameBack.has(instance) && !taken.has(address),
+      for (const {instance} of listed) returned.add(instance);
+      // A different incarnation at the address means the missing one has ended.
+      const usedAddresses = new Set(listed.map(target => target.address));
+      const missing = current.filter(
+        ({instance, address}) =>
+          !returned.has(instance) && !usedAddresses.has(address),
       );
-      replaceKnown([...listed, ...missing]);
-      return known;
+      replaceCurrent([...listed, ...missing]);
+      return current;
     },
   };
 }
--- a/packages/core/src/placement/send_pacer.ts
+++ b/packages/core/src/placement/send_pacer.ts
@@ -5,28 +5,33 @@
 
 const SECOND = 1_000;
 
-/** Least rate at which a target is asked, so that its limit's end shows. */
+/**
+ * Minimum rate at which a target is tried, so that the end of its limit is
+ * noticed.
+ */
 const MIN_RATE = 0.25;
 
-/** Sends that an entry may save up, in seconds of its part; one at least. */
+/**
+ * Sends that an entry may accumulate, in seconds of its share; at least one.
+ */
 const MAX_BURST_SECONDS = 0.25;
 
 /** Targets whose sends are counted; an entry sends to fewer at a time. */
 const MAX_TARGETS = 1_000;
 
-/** What pacing the sends of one entry needs. */
+/** Options of a send pacer. */
 export interface SendPacerOptions {
   readonly self: SendingEntry;
-  /** The limit that a target names, for all entries together. */
-  readonly rateOf: (life: TargetIncarnation) => number | undefined;
+  /** The rate limit of a target, for all entries together. */
+  readonly rateOf: (key: TargetIncarnation) => number | undefined;
   /**
-   * Part of the site that the known senders are, 0 to 1. An entry that is cut off
-   * from others takes no more than its own part of a limit.
+   * Share of the site's entries that are known as senders, 0 to 1. An entry
+   * that is cut off from others takes no more than its own share of a limit.
    */
   readonly knownShare: () => number;
 }
 
-/** Keeps the sends of one entry to its part of what targets name. */
+/** Limits the sends of one entry to its share of the targets' rate limits. */
 export interface SendPacer {
   /** Replaces the entries that send to the same targets, this one included. */
   readonly setSenders: (senders: readonly SendingEntry[]) => void;
@@ -42,9 +47,12 @@
 }
 
 /**
- * Creates the pacing. Few entries share a small limit, chosen alike by all, since
- * each of them may send one request at any time: hundreds of entries with a part
- * of one a second would send hundreds at once.
+ * Creates the pacer.
+ *
+ * A small limit is shared by few entries, which all entries select alike. Each
+ * sharing entry may send one request at any time, so with an equal share for
+ * all, hundreds of entries would send hundreds at once for a limit of one per
+ * second.
  */
 export function createSendPacer(options: SendPacerOptions): SendPacer {
   const {self} = options;
@@ -52,52 +60,52 @@
   const ranks = new Map<TargetIncarnation, number>();
   let senders: readonly SendingEntry[] = [self];
 
-  /** This entry's part in sends a second; undefined without a limit. */
-  function partOf(life: TargetIncarnation): number | undefined {
-    const named = options.rateOf(life);
-    if (named === undefined) return undefined;
-    const rate = Math.max(named, MIN_RATE);
+  /** Returns this entry's share in sends per second; undefined if unlimited. */
+  function shareOf(key: TargetIncarnation): number | undefined {
+    const limit = options.rateOf(key);
+    if (limit === undefined) return undefined;
+    const rate = Math.max(limit, MIN_RATE);
     const sharing = Math.min(senders.length, 1 + Math.floor(rate));
-    if (rankOf(life) >= sharing) return 0;
+    if (rankOf(key) >= sharing) return 0;
     return (rate * options.knownShare()) / sharing;
   }
 
-  /** Entries that are asked before this one to send to a target. */
-  function rankOf(life: TargetIncarnation): number {
-    const known = ranks.get(life);
+  /** Returns the number of entries selected for a target before this one. */
+  function rankOf(key: TargetIncarnation): number {
+    const known = ranks.get(key);
     if (known !== undefined) return known;
-    const own = weightOf(life, self);
-    const rank = senders.filter(sender => weightOf(life, sender) < own).length;
-    ranks.set(life, rank);
+    const own = weightOf(key, self);
+    const rank = senders.filter(sender => weightOf(key, sender) < own).length;
+    ranks.set(key, rank);
     return rank;
   }
 
-  function forget(life: TargetIncarnation): void {
-    buckets.delete(life);
-    ranks.delete(life);
+  function forget(key: TargetIncarnation): void {
+    buckets.delete(key);
+    ranks.delete(key);
   }
 
   function bucketOf(
-    life: TargetIncarnation,
-    part: number,
+    key: TargetIncarnation,
+    share: number,
     now: MonotonicInstant,
   ): Bucket {
-    const bucket = buckets.get(life) ?? {sends: 0, filledAt: now};
-    const most = Math.max(1, part * MAX_BURST_SECONDS);
-    const gained = (part * (now - bucket.filledAt)) / SECOND;
-    bucket.sends = Math.min(most, bucket.sends + gained);
+    const bucket = buckets.get(key) ?? {sends: 0, filledAt: now};
+    const maxSends = Math.max(1, share * MAX_BURST_SECONDS);
+    const refill = (share * (now - bucket.filledAt)) / SECOND;
+    bucket.sends = Math.min(maxSends, bucket.sends + refill);
     bucket.filledAt = now;
-    buckets.set(life, bucket);
+    buckets.set(key, bucket);
     const [oldest] = buckets.keys();
     if (buckets.size > MAX_TARGETS && oldest !== undefined) forget(oldest);
     return bucket;
   }
 
   function maySend(target: TargetIdentity, now: MonotonicInstant): boolean {
-    const life = targetIncarnationKey(target);
-    const part = partOf(life);
-    if (part !== undefined) return bucketOf(life, part, now).sends >= 1;
-    forget(life);
+    const key = targetIncarnationKey(target);
+    const share = shareOf(key);
+    if (share !== undefined) return bucketOf(key, share, now).sends >= 1;
+    forget(key);
     return true;
   }
 
@@ -108,13 +116,13 @@
     },
     maySend,
     recordSend: (target, now) => {
-      const life = targetIncarnationKey(target);
-      const part = partOf(life);
-      if (part !== undefined) bucketOf(life, part, now).sends -= 1;
+      const key = targetIncarnationKey(target);
+      const share = shareOf(key);
+      if (share !== undefined) bucketOf(key, share, now).sends -= 1;
     },
   };
 }
 
-function weightOf(life: TargetIncarnation, {instance}: SendingEntry): number {
-  return hash32(`${life} ${instance}`);
+function weightOf(key: TargetIncarnation, {instance}: SendingEntry): number {
+  return hash32(`${key} ${instance}`);
 }
--- a/packages/core/src/placement/service_capacity.ts
+++ b/packages/core/src/placement/service_capacity.ts
@@ -2,22 +2,27 @@
 import type {MonotonicInstant} from '../types';
 import {isReported, type TargetRecord} from './target_record';
 
-/** Paces that count; an engine that misreports its pace has some part in any case. */
+/**
+ * Bounds of a pace, so that an engine that misreports it still counts in part.
+ */
 const MIN_PACE = 0.5;
 const MAX_PACE = 10;
 
-/** What those of `entries` can take that are reported and don't load weights. */
+/**
+ * Returns the capacity of those `records` that are reported and don't load
+ * weights.
+ */
 export function capacityOf(
-  entries: readonly TargetRecord[],
+  records: readonly TargetRecord[],
   now: MonotonicInstant,
 ): ServiceCapacity {
   let places = 0;
   let pacedPlaces = 0;
   let loading = 0;
   let free = 0;
-  for (const entry of entries) {
-    const {report, target, ownInFlightChange} = entry;
-    if (!isReported(entry, now) || report === undefined) continue;
+  for (const record of records) {
+    const {report, target, ownInFlightChange} = record;
+    if (!isReported(record, now) || report === undefined) continue;
     if (report.ordering) {
       loading += target.slots;
       continue;
--- a/packages/core/src/placement/target_choice.ts
+++ b/packages/core/src/placement/target_choice.ts
@@ -15,149 +15,160 @@
 } from './target_record';
 import type {PlacementRequest} from './types';
 
-/** Error of a forecast, in milliseconds, within which a first event may be late. */
+/**
+ * Typical error of a forecast, in milliseconds; a first event forecast this
+ * close to its deadline may be late.
+ */
 const FORECAST_ERROR: Milliseconds = 60;
 
-/** What a late first event weighs, as milliseconds of an earlier one. */
+/** Cost of a late first event, in milliseconds of an earlier one. */
 const LATE_COST: Milliseconds = 1_000;
 
-/** The same for a target in another zone: about one way there and back. */
+/** Cost of a target in another zone: about one round trip. */
 const FAR_COST: Milliseconds = 20;
 
-/** Share of a prompt's reading that delays each request that runs there. */
+/**
+ * Share of a prompt's read time by which it delays each request that runs
+ * there.
+ */
 const DELAY_SHARE = 0.05;
 
-/** Share of a run's time that counts for the place it holds. */
+/** Share of a run's time that counts for the slot it occupies. */
 const RUN_TIME_SHARE = 0.05;
 
-/** What an engine with all places in use weighs beside an idle one. */
+/** Cost of an engine with all slots in use compared with an idle one. */
 const LOAD_COST: Milliseconds = 50;
 
-/** What a run that an engine's load would wait for weighs. */
+/** Cost of a run that an engine's load of weights would have to wait for. */
 const RUN_INTO_LOAD_COST: Milliseconds = 100;
 
 /**
- * Prompts, as long as the request's own, that the entries whose turn is before
- * this one's may send before the next report. With one prompt in place of four,
- * 8.0 in place of 6.1% are late with 17 entries and engines in slow periods. Of
- * open places, all entries know the same ones.
+ * Prompts, as long as the request's own, that entries whose turn comes first
+ * may send before the next report. With one prompt instead of four, 8.0%
+ * instead of 6.1% of the first events are late with 17 entries and engines in
+ * slow periods. Open slots are known to all entries at once.
  */
-const TURN_PROMPTS = {dealt: 4, open: 16};
+const TURN_PROMPTS = {assigned: 4, open: 16};
 
 /**
- * Share of the engines that must have an open place for any to be taken. At 1.1
- * times the capacity, entries that take the last few collide there: 33.6% are
- * late with 17 entries, 28.7 with this share, 25.1 by turns alone.
+ * Share of the engines that must have an open slot for any to be used. At 1.1
+ * times the capacity, entries that use the last few open slots collide: 33.6%
+ * of the first events are late with 17 entries, 28.7% with this share and 25.1%
+ * by turns alone.
  */
 const MIN_OPEN_SHARE = 0.5;
 
-/** Whether places are dealt out to this entry or open to all. */
+/** Whether slots are assigned to this entry or open to all. */
 type SlotSource = keyof typeof TURN_PROMPTS;
 
 /** Targets that a request may be sent to. */
 export interface TargetCandidates {
-  /** With a place that is dealt out to this entry. */
-  readonly dealt: readonly TargetRecord[];
-  /** With a place, dealt out to this entry or not. */
+  /** Targets with a slot that is assigned to this entry. */
+  readonly assigned: readonly TargetRecord[];
+  /** Targets with a free slot, assigned to this entry or not. */
   readonly open: readonly TargetRecord[];
-  /** All that could serve the request. */
+  /** All targets that could serve the request. */
   readonly peers: readonly TargetRecord[];
 }
 
-/** The target with the least cost; undefined if there is none. */
+/** Returns the target with the lowest cost; undefined if there is none. */
 export function chooseBest(
-  {dealt, open, peers}: TargetCandidates,
-  need: PlacementRequest,
+  {assigned, open, peers}: TargetCandidates,
+  request: PlacementRequest,
   zone: ZoneName,
   placement: PlacementStrategy,
 ): TargetRecord | undefined {
-  const {profile, now, firstEventDeadline} = need;
+  const {profile, now, firstEventDeadline} = request;
   if (profile === undefined || placement === 'load') {
-    return cheapestOf(dealt, entry => costOf(entry, need, zone));
+    return cheapestOf(assigned, record => costOf(record, request, zone));
   }
   const {paces, isUneven} = pacesOf(peers, now);
   const paceOf = new Map(peers.map((peer, index) => [peer, paces[index]]));
-  const harmAs = (deal: SlotSource) => (entry: TargetRecord) =>
-    forecastCost(entry, {
-      need,
+  const costFrom = (slotSource: SlotSource) => (record: TargetRecord) =>
+    forecastCost(record, {
+      placementRequest: request,
       zone,
       profile,
-      deal,
-      pace: paceOf.get(entry) ?? 1,
+      slotSource,
+      pace: paceOf.get(record) ?? 1,
     });
-  const byDeal = isUneven
-    ? cheapestOf(dealt, harmAs('dealt'))
-    : cheapestOf(dealt, entry => costOf(entry, need, zone));
-  if (byDeal !== undefined || firstEventDeadline === undefined) return byDeal;
+  const byTurn = isUneven
+    ? cheapestOf(assigned, costFrom('assigned'))
+    : cheapestOf(assigned, record => costOf(record, request, zone));
+  if (byTurn !== undefined || firstEventDeadline === undefined) return byTurn;
   if (open.length < peers.length * MIN_OPEN_SHARE) return undefined;
-  return cheapestOf(open, harmAs('open'));
+  return cheapestOf(open, costFrom('open'));
 }
 
 function cheapestOf(
-  entries: readonly TargetRecord[],
-  costBy: (entry: TargetRecord) => number,
+  records: readonly TargetRecord[],
+  costBy: (record: TargetRecord) => number,
 ): TargetRecord | undefined {
   let best: TargetRecord | undefined;
-  let least = Infinity;
-  for (const entry of entries) {
-    const cost = costBy(entry);
-    if (cost >= least) continue;
-    best = entry;
-    least = cost;
+  let minCost = Infinity;
+  for (const record of records) {
+    const cost = costBy(record);
+    if (cost >= minCost) continue;
+    best = record;
+    minCost = cost;
   }
   return best;
 }
 
-/** Time until the first event at a target; undefined for plain targets. */
+/**
+ * Returns the time until the first event at a target; undefined for plain
+ * targets.
+ */
 export function forecastAt(
-  entry: TargetRecord,
-  need: PlacementRequest,
+  record: TargetRecord,
+  request: PlacementRequest,
 ): Milliseconds | undefined {
-  if (need.profile === undefined) return undefined;
-  const work = workAt(entry, need, reportedPace(entry, need.now));
-  return forecastFirstEvent(need.profile, work, need);
+  if (request.profile === undefined) return undefined;
+  const work = workAt(record, request, reportedPace(record, request.now));
+  return forecastFirstEvent(request.profile, work, request);
 }
 
-/** The paces of targets of one service, in their order. */
+/** Returns the paces of a service's targets, in the same order. */
 export function pacesOf(
-  entries: readonly TargetRecord[],
+  records: readonly TargetRecord[],
   now: MonotonicInstant,
 ): RelativePaces {
   return relativePaces(
-    entries.map(entry => ({
-      zone: entry.target.zone,
-      reported: reportedPace(entry, now),
-      logObserved: entry.observedPace.logPace(now),
+    records.map(record => ({
+      zone: record.target.zone,
+      reported: reportedPace(record, now),
+      logObserved: record.observedPace.logPace(now),
     })),
   );
 }
 
-/** What the harm of a place goes by. */
+/** Inputs of the forecast cost. */
 interface CostTerms {
-  readonly need: PlacementRequest;
+  readonly placementRequest: PlacementRequest;
   readonly zone: ZoneName;
   readonly profile: EngineProfile;
-  readonly deal: SlotSource;
+  readonly slotSource: SlotSource;
   readonly pace: number;
 }
 
-/** What a place costs the request and others, in milliseconds. */
+/** Returns what a target costs the request and others, in milliseconds. */
 function forecastCost(
-  entry: TargetRecord,
-  {need, zone, profile, deal, pace}: CostTerms,
+  record: TargetRecord,
+  {placementRequest: request, zone, profile, slotSource, pace}: CostTerms,
 ): Milliseconds {
-  const {promptTime, expectedRun} = need;
-  const work = workAt(entry, need, pace);
-  const turns = entry.share.before * TURN_PROMPTS[deal] * promptTime * pace;
-  const first = forecastFirstEvent(profile, work, need) + turns;
+  const {promptTime, expectedRun} = request;
+  const work = workAt(record, request, pace);
+  const turns =
+    record.share.before * TURN_PROMPTS[slotSource] * promptTime * pace;
+  const firstEvent = forecastFirstEvent(profile, work, request) + turns;
   const delay = work.running * promptTime * pace * DELAY_SHARE;
   const run = expectedRun * pace;
   const load = ((work.running + work.waiting) / profile.slots) * pace;
-  const far = entry.target.zone === zone ? 0 : FAR_COST;
+  const far = record.target.zone === zone ? 0 : FAR_COST;
   const runsIntoLoad = work.loadsIn !== undefined && run > work.loadsIn;
   return (
-    first +
-    latenessOf(first, need) +
+    firstEvent +
+    latenessOf(firstEvent, request) +
     delay +
     run * RUN_TIME_SHARE +
     load * LOAD_COST +
@@ -167,22 +178,25 @@
 }
 
 function latenessOf(
-  first: Milliseconds,
+  firstEvent: Milliseconds,
   {firstEventDeadline, now}: PlacementRequest,
 ): Milliseconds {
   if (firstEventDeadline === undefined) return 0;
-  const left = firstEventDeadline - now - first;
-  return LATE_COST / (1 + Math.exp(left / FORECAST_ERROR));
+  const timeLeft = firstEventDeadline - now - firstEvent;
+  return LATE_COST / (1 + Math.exp(timeLeft / FORECAST_ERROR));
 }
 
-/** Prompts of others are unread at least while their requests wait there. */
+/**
+ * Returns an engine's work. Prompts of other entries are unread at least while
+ * their requests wait there.
+ */
 function workAt(
-  entry: TargetRecord,
-  need: PlacementRequest,
+  record: TargetRecord,
+  request: PlacementRequest,
   pace: number,
 ): EngineWork {
-  const {report, ownInFlight, ownInFlightChange, unreadPrompts} = entry;
-  if (!isReported(entry, need.now) || report === undefined) {
+  const {report, ownInFlight, ownInFlightChange, unreadPrompts} = record;
+  if (!isReported(record, request.now) || report === undefined) {
     const running = ownInFlight;
     return {running, waiting: 0, unreadPrompts, loadsIn: undefined, pace};
   }
@@ -190,16 +204,16 @@
   return {
     running: Math.max(ownInFlight, report.running + ownInFlightChange),
     waiting,
-    unreadPrompts: Math.max(unreadPrompts, waiting * need.promptTime),
+    unreadPrompts: Math.max(unreadPrompts, waiting * request.promptTime),
     loadsIn,
     pace,
   };
 }
 
-/** What the agent says, fading to 1 with the report's age. */
-function reportedPace(entry: TargetRecord, now: MonotonicInstant): number {
-  const {report, reportedAt} = entry;
-  if (report === undefined || !isReported(entry, now)) return 1;
+/** Returns the pace from the agent's report, fading to 1 with its age. */
+function reportedPace(record: TargetRecord, now: MonotonicInstant): number {
+  const {report, reportedAt} = record;
+  if (report === undefined || !isReported(record, now)) return 1;
   const fresh = 1 - Math.max(0, now - reportedAt) / MAX_REPORT_AGE;
   return 1 + (report.pace - 1) * fresh;
 }
--- a/packages/core/src/placement/target_cost.ts
+++ b/packages/core/src/placement/target_cost.ts
@@ -3,57 +3,57 @@
 import type {PlacementRequest} from './types';
 
 /**
- * Load that a target in another zone must be below a near one, as a share of
- * its slots. Bytes between zones cost about 2% of a request's worth, and an
- * eighth of an engine's slots costs its streams about as much in time.
+ * How much lower the load of a target in another zone must be than that of a
+ * near one, as a share of its slots. Bytes between zones cost about 2% of a
+ * request's value, and an eighth of an engine's slots costs its streams about
+ * as much in time.
  */
 const OTHER_ZONE_LOAD = 0.12;
 
 /**
- * Cost of a request that would run on after its engine is to load weights: the
- * load waits for it while the other slots stand idle.
+ * Cost of a request that would still run when its engine is to load weights:
+ * the load waits for it while the other slots are idle.
  */
 const RUN_INTO_LOAD_COST = 0.5;
 
 /**
- * Unread prompts, in milliseconds, that weigh as much as all slots of an engine
- * in use: an answer's first event waits for all of them, while a slot in use
- * makes steps 0.4% slower.
+ * Unread prompts, in milliseconds, that cost as much as an engine with all
+ * slots in use: a first event waits for all of them, while a used slot makes
+ * steps only 0.4% slower.
  */
 const FULL_LOAD_PROMPT_TIME = 400;
 
 /**
- * Weight of another entry's turn at an engine. Failure: all entries of a zone see
- * the same least loaded engine and send to it within one report; three prompts
- * wait for one another while other engines read none. With turns, each prefers
- * another engine.
+ * Cost of coming last in the turns at an engine. Without it, all entries of a
+ * zone send to the same least loaded engine within one report, and three
+ * prompts wait for one another while other engines read none.
  */
 const TURN_COST = 0.15;
 
-/** Requests that a target has now, as far as can be told from here. */
-function loadOf(entry: TargetRecord, now: MonotonicInstant): number {
-  if (!isReported(entry, now) || entry.report === undefined) {
-    return entry.ownInFlight;
+/** Returns the number of requests at a target, as far as it is known here. */
+function loadOf(record: TargetRecord, now: MonotonicInstant): number {
+  if (!isReported(record, now) || record.report === undefined) {
+    return record.ownInFlight;
   }
-  const {running, waiting} = entry.report;
+  const {running, waiting} = record.report;
   return Math.max(
-    entry.ownInFlight,
-    running + waiting + entry.ownInFlightChange,
+    record.ownInFlight,
+    running + waiting + record.ownInFlightChange,
   );
 }
 
-/** What a place costs; the least one is taken. */
+/** Returns the cost of a target; the lowest one is chosen. */
 export function costOf(
-  entry: TargetRecord,
-  need: PlacementRequest,
+  record: TargetRecord,
+  request: PlacementRequest,
   zone: ZoneName,
 ): number {
-  const load = loadOf(entry, need.now) / Math.max(1, entry.target.slots);
-  const far = entry.target.zone === zone ? 0 : OTHER_ZONE_LOAD;
-  const pace = entry.report?.pace ?? 1;
-  const unread = entry.unreadPrompts / FULL_LOAD_PROMPT_TIME;
-  const turn = entry.share.before * TURN_COST;
-  return load * pace + unread + far + turn + loadCost(entry, need);
+  const load = loadOf(record, request.now) / Math.max(1, record.target.slots);
+  const far = record.target.zone === zone ? 0 : OTHER_ZONE_LOAD;
+  const pace = record.report?.pace ?? 1;
+  const unread = record.unreadPrompts / FULL_LOAD_PROMPT_TIME;
+  const turn = record.share.before * TURN_COST;
+  return load * pace + unread + far + turn + loadCost(record, request);
 }
 
 function loadCost(
--- a/packages/core/src/placement/target_incarnation.ts
+++ b/packages/core/src/placement/target_incarnation.ts
@@ -4,19 +4,19 @@
   TargetIncarnation,
 } from '../types';
 
-/** Something that one life of a target says, or that is said of it. */
+/** Data that belongs to one incarnation of a target. */
 export interface IncarnationStamp {
-  /** Start of that life; undefined if the target doesn't say it. */
+  /** Start of the incarnation; undefined if the target doesn't report it. */
   readonly born: EpochMilliseconds | undefined;
 }
 
 /**
- * Whether `one` is of a life before that of `other`.
+ * Whether `one` is of an earlier incarnation than `other`.
  *
- * Failure: a target starts again under the id that it had, and a late word of
- * its former life is taken for news: requests go to an engine that holds
- * nothing. Guard: both lives are dated by the same machine, and the earlier one
- * has nothing to say. Lives without a date can't be told apart here.
+ * Without this, late data of a previous incarnation counts as an update after a
+ * target has restarted under the same id, and requests go to an engine that
+ * holds nothing. Both times stem from the same machine's clock. Incarnations
+ * without a start time can't be told apart.
  */
 export function isEarlierIncarnation(
   one: IncarnationStamp,
@@ -26,7 +26,7 @@
   return one.born < other.born;
 }
 
-/** Whether both are of one life, as far as can be told. */
+/** Whether both are of the same incarnation, as far as is known. */
 export function isSameIncarnation(
   one: IncarnationStamp,
   other: IncarnationStamp,
@@ -34,12 +34,15 @@
   return !isEarlierIncarnation(one, other) && !isEarlierIncarnation(other, one);
 }
 
-/** A target, as far as its lives are told apart. */
+/** Identifies an incarnation of a target. */
 export interface TargetIdentity extends IncarnationStamp {
   readonly instance: InstanceName;
 }
 
-/** Names a life; lives without a date are named alike under one id. */
+/**
+ * Returns the key of an incarnation; those without a start time share the
+ * instance's id.
+ */
 export function targetIncarnationKey({
   instance,
   born,
--- a/packages/core/src/placement/target_record.ts
+++ b/packages/core/src/placement/target_record.ts
@@ -16,53 +16,62 @@
   PlacementRequest,
 } from './types';
 
-/** A report older than this says nothing of the load now, in milliseconds. */
+/**
+ * Age in milliseconds after which a report says nothing about the current load.
+ */
 export const MAX_REPORT_AGE = 2_000;
 
-/** Lines lapse after three heartbeats of 1.2 s without a sign of life. */
+/**
+ * Time in milliseconds for which a denial counts: rows expire after three
+ * heartbeats of 1.2 s.
+ */
 const MAX_DENIAL_AGE = 3_600;
 
-/** What an entry knows of one life of a target. */
+/** What an entry knows about one incarnation of a target. */
 export interface TargetRecord {
   target: ListedTarget;
-  /** Told when this life ends with their request in hand. */
+  /** Called when this incarnation ends while their request is in flight. */
   readonly endListeners: Set<() => void>;
-  /** Own requests, for the engine's memory. */
+  /** This entry's requests, for the engine's memory. */
   readonly memory: OwnMemoryUse;
-  /** What the list said when the target denied it. */
-  deniedListing: string | undefined;
+  /** Key of the listed row that the target denied. */
+  deniedKey: string | undefined;
   deniedAt: MonotonicInstant;
   ownInFlight: number;
-  /** Time in which it reads the prompts of own requests without a first event. */
+  /**
+   * Time to read the prompts of this entry's requests without a first event.
+   */
   unreadPrompts: Milliseconds;
-  /** Own sends less own ends since the last report. */
+  /**
+   * Requests started minus requests ended by this entry since the last report.
+   */
   ownInFlightChange: number;
-  /** What this entry may fill of the free slots. */
+  /** Share of the free slots that this entry may fill. */
   share: EngineTurn;
   report: EngineLoad | undefined;
   reportedAt: MonotonicInstant;
   failures: number;
   avoidUntil: MonotonicInstant;
-  /** Pace of its first events, beside what is reported. */
+  /** Pace observed from first events, in addition to the reported one. */
   readonly observedPace: ObservedPace;
 }
 
-/** Whether engines are chosen by their load, or by the forecast first event. */
+/** Whether engines are chosen by load or by the forecast first event. */
 export type PlacementStrategy = 'load' | 'forecast';
 
-/** What the operator says of places. */
+/** The operator's rules for placement. */
 export interface PlacementRules {
-  /** Whether the zone's targets are to get nothing. */
+  /** Whether the zone's targets must get no requests. */
   readonly isEvacuated: (zone: ZoneName) => boolean;
-  /** What engines are chosen by. */
+  /** Strategy by which engines are chosen. */
   readonly placement: PlacementStrategy;
   /** Undefined if the zone's region is not known. */
   readonly regionOf: (zone: ZoneName) => RegionName | undefined;
-  /** Whether the target bears little right after its start. */
+  /** Whether the target is in its cold start and takes few requests. */
   readonly isCold: (target: ListedTarget, now: MonotonicInstant) => boolean;
 }
 
-/** The rules where the operator says nothing. */
+/** The rules where the operator sets none. */
 export const DEFAULT_PLACEMENT_RULES: PlacementRules = {
   placement: 'load',
   isEvacuated: () => false,
@@ -70,112 +79,120 @@
   isCold: () => false,
 };
 
-/** Whether a target is one of those among which a request may be served. */
+/** Whether a target is among those that may serve a request. */
 export function mayServe(
   {service, zone}: ListedTarget,
-  need: PlacementRequest,
+  request: PlacementRequest,
   rules: PlacementRules,
 ): boolean {
-  if (service !== need.service) return false;
-  return mayBeServedIn(need.destinations, rules.regionOf(zone));
+  if (service !== request.service) return false;
+  return mayBeServedIn(request.destinations, rules.regionOf(zone));
 }
 
-/** Whether a target that stays may start a request at all. */
+/** Whether a target that isn't leaving may start a request at all. */
 export function canStart(
-  entry: TargetRecord,
-  need: PlacementRequest,
+  record: TargetRecord,
+  request: PlacementRequest,
   zone: ZoneName,
   rules: PlacementRules,
 ): boolean {
-  const {target} = entry;
-  if (!mayServe(target, need, rules)) return false;
+  const {target} = record;
+  if (!mayServe(target, request, rules)) return false;
   if (rules.isEvacuated(target.zone)) return false;
-  if (need.tried.has(target.instance)) return false;
-  if (isDenied(entry, need.now)) return false;
-  if (need.model === undefined) return true;
-  const version = versionHeldBy(entry, need.model, need.now);
-  const least =
-    entry.target.zone === zone ? need.minVersion : need.minFarVersion;
-  return version !== undefined && version >= (least ?? 0);
+  if (request.tried.has(target.instance)) return false;
+  if (isDenied(record, request.now)) return false;
+  if (request.model === undefined) return true;
+  const version = versionHeldBy(record, request.model, request.now);
+  const minVersion =
+    record.target.zone === zone ? request.minVersion : request.minFarVersion;
+  return version !== undefined && version >= (minVersion ?? 0);
 }
 
-/** The version of a model that a target holds, as far as is known here. */
+/**
+ * Returns the version of a model that a target holds, as far as is known here.
+ */
 export function versionHeldBy(
-  entry: TargetRecord,
+  record: TargetRecord,
   model: ModelName,
   now: MonotonicInstant,
 ): number | undefined {
-  return heldBy(entry, now)?.find(held => held.model === model)?.version;
+  return heldBy(record, now)?.find(held => held.model === model)?.version;
 }
 
 /** Whether this entry may send one more request to a target. */
 export function hasRoom(
-  entry: TargetRecord,
+  record: TargetRecord,
   now: MonotonicInstant,
   senders: number,
 ): boolean {
-  if (!isReported(entry, now) || entry.report === undefined) {
-    return hasRoomUnreported(entry, senders);
+  if (!isReported(record, now) || record.report === undefined) {
+    return hasRoomUnreported(record, senders);
   }
   // An engine that loads weights refuses everything until it is done.
-  if (entry.report.ordering) return false;
-  return entry.ownInFlightChange < entry.share.allowed;
+  if (record.report.ordering) return false;
+  return record.ownInFlightChange < record.share.allowed;
 }
 
 /**
- * Whether an engine is reported to have a place, dealt out to this entry or not.
+ * Whether an engine is reported to have a free slot, assigned to this entry or
+ * not.
  *
- * Failure: places are dealt out by turns, and what an entry doesn't use of its
- * turn is lost. With more entries than engines, requests wait for their entry's
- * turn until they are late while most engines have places.
+ * Slots are assigned by turns, and what an entry doesn't use of its turn is
+ * lost. Without open slots, if there are more entries than engines, requests
+ * wait for their entry's turn until they are late while most engines have free
+ * slots.
  */
 export function hasFreeSlot(
-  entry: TargetRecord,
+  record: TargetRecord,
   now: MonotonicInstant,
 ): boolean {
-  const {report, ownInFlightChange, target} = entry;
-  if (report === undefined || !isReported(entry, now)) return false;
+  const {report, ownInFlightChange, target} = record;
+  if (report === undefined || !isReported(record, now)) return false;
   if (report.ordering) return false;
-  // One beside those dealt out: prompts of one entry don't wait for one another.
-  if (ownInFlightChange > entry.share.allowed) return false;
+  // At most one beyond the assigned slots, so that an entry's prompts don't
+  // wait for one another.
+  if (ownInFlightChange > record.share.allowed) return false;
   return report.running + report.waiting + ownInFlightChange < target.slots;
 }
 
-/** Without reports, each entry keeps to twice its part of the slots. */
-function hasRoomUnreported(entry: TargetRecord, senders: number): boolean {
-  const {slots, held} = entry.target;
-  if (held === undefined) return entry.ownInFlight < slots;
-  return entry.ownInFlight < Math.ceil((2 * slots) / Math.max(1, senders));
+/** Without reports, each entry uses at most twice its share of the slots. */
+function hasRoomUnreported(record: TargetRecord, senders: number): boolean {
+  const {slots, held} = record.target;
+  if (held === undefined) return record.ownInFlight < slots;
+  return record.ownInFlight < Math.ceil((2 * slots) / Math.max(1, senders));
 }
 
 /**
- * Failure: engines have restarted, and the list still says what they held. Each
- * request that goes by it is turned away, until the first report comes. Guard:
- * what a target has denied once is believed no more, until it is reported on,
- * its line changes, or a line that nobody renews would have lapsed.
+ * Whether the target denied the listed row. Without this, after engines have
+ * restarted, each request that relies on the old row is rejected until the
+ * first report arrives. A denial counts until a report arrives, the row
+ * changes, or a row that nobody renews would have expired.
  */
-function isDenied(entry: TargetRecord, now: MonotonicInstant): boolean {
-  if (entry.deniedListing === undefined || isReported(entry, now)) return false;
-  return now - entry.deniedAt < MAX_DENIAL_AGE;
+function isDenied(record: TargetRecord, now: MonotonicInstant): boolean {
+  if (record.deniedKey === undefined || isReported(record, now)) return false;
+  return now - record.deniedAt < MAX_DENIAL_AGE;
 }
 
-/** What a line of the list says that a target may deny. */
+/** Returns the parts of a listed row that a target may deny. */
 export function listingKey({address, born, held}: ListedTarget): string {
   return JSON.stringify([address, born, held]);
 }
 
-/** The agent's word while it is fresh, the platform's list otherwise. */
+/**
+ * Returns the held models: from the agent's report while it is fresh, otherwise
+ * from the platform's list.
+ */
 function heldBy(
-  entry: TargetRecord,
+  record: TargetRecord,
   now: MonotonicInstant,
 ): readonly HeldModel[] | undefined {
-  return isReported(entry, now) ? entry.report?.held : entry.target.held;
+  return isReported(record, now) ? record.report?.held : record.target.held;
 }
 
-/** Whether what its agent said of a target still counts. */
+/** Whether the last report of a target's agent still counts. */
 export function isReported(
-  entry: TargetRecord,
+  known: TargetRecord,
   now: MonotonicInstant,
 ): boolean {
-  return entry.report !== undefined && now - entry.reportedAt < MAX_REPORT_AGE;
+  return known.report !== undefined && now - known.reportedAt < MAX_REPORT_AGE;
 }
--- a/packages/core/src/placement/target_registry.ts
+++ b/packages/core/src/placement/target_registry.ts
@@ -37,11 +37,11 @@
 /** Failures in a row after which a target is avoided. */
 const FAILURES_TO_AVOID = 2;
 
-/** First pause for a target that fails, in milliseconds; doubles each time. */
+/** First pause for a failing target, in milliseconds; doubled each time. */
 const FIRST_PAUSE = 500;
 const MAX_PAUSE = 4_000;
 
-/** Targets of which is remembered what they said of themselves. */
+/** Maximum number of targets whose leaving and backoff state is kept. */
 const MAX_REMEMBERED_TARGETS = 1_000;
 
 const UNKNOWN_TARGET_REQUEST: InFlightRequest = {
@@ -50,21 +50,22 @@
 };
 
 /**
- * Creates the book of an entry. Nothing is chosen while `isListUsable` says that
- * what the entry goes by is too old, nor what `maySend` or `placeRules` exclude.
+ * Creates the registry of an entry. Nothing is chosen while `isListUsable`
+ * reports that the list is too old, and no target that `maySend` or
+ * `placementRules` exclude.
  */
 export function createTargetRegistry(
   self: SendingEntry,
   isListUsable: () => boolean = () => true,
   maySend: SendPacer['maySend'] = () => true,
-  placeRules: Partial<PlacementRules> = {},
+  placementRules: Partial<PlacementRules> = {},
 ): TargetRegistry {
   const {zone} = self;
-  const rules = {...DEFAULT_PLACEMENT_RULES, ...placeRules};
+  const rules = {...DEFAULT_PLACEMENT_RULES, ...placementRules};
   const prompts = createPromptTimes();
   let senders: readonly SendingEntry[] = [self];
-  const places = new Map<ZoneName, SlotShare>();
-  let entries = new Map<string, TargetRecord>();
+  const slotShares = new Map<ZoneName, SlotShare>();
+  let records = new Map<string, TargetRecord>();
   const memory = createMemoryTracker();
   const leavingTargets = createIncarnationMap<true>(MAX_REMEMBERED_TARGETS);
   const backoffEnds = createIncarnationMap<MonotonicInstant>(
@@ -75,46 +76,49 @@
   function list(targets: readonly ListedTarget[], now: MonotonicInstant): void {
     const next = new Map<string, TargetRecord>();
     for (const target of targets) {
-      // A restored store may call it ready once more, until it says so again.
+      // A restored store may list it as ready until it reports leaving again.
       if (target.leaving) recordLeaving(target);
-      next.set(target.instance, entryOf(target, now));
+      next.set(target.instance, recordOf(target, now));
     }
-    entries = next;
+    records = next;
   }
 
-  /** The entry of the newest life that list and reports know of. */
-  function entryOf(target: ListedTarget, now: MonotonicInstant): TargetRecord {
-    const known = entries.get(target.instance);
-    if (known === undefined) return createEntry(newestIncarnation(target));
+  /**
+   * Returns the record of the newest incarnation in the list and the reports.
+   */
+  function recordOf(target: ListedTarget, now: MonotonicInstant): TargetRecord {
+    const known = records.get(target.instance);
+    if (known === undefined) return createRecord(newestIncarnation(target));
     if (isEarlierIncarnation(target, known.target) && isReported(known, now)) {
       return known;
     }
     if (!isSameIncarnation(known.target, target)) {
       endIncarnation(known);
-      return createEntry(target);
+      return createRecord(target);
     }
-    if (known.deniedListing !== listingKey(target)) {
-      known.deniedListing = undefined;
+    if (known.deniedKey !== listingKey(target)) {
+      known.deniedKey = undefined;
     }
     known.target = target;
     return known;
   }
 
   /**
-   * Failure: an engine dies and starts again, and the connections of its former
-   * life fall silent; their streams wait for seconds for an event that never
-   * comes. Guard: once its new life is known they are told at once. Targets that
-   * hold no weights may have begun a request in their new life already.
+   * Notifies the requests in flight that their incarnation has ended. When an
+   * engine dies and restarts, its old connections stay silent, and without this
+   * its streams wait for seconds for an event that never comes. Targets without
+   * weights are skipped, as they may have begun a request in their new
+   * incarnation already.
    */
-  function endIncarnation({endListeners: inHand, target}: TargetRecord): void {
+  function endIncarnation({endListeners, target}: TargetRecord): void {
     if (target.held === undefined) return;
-    for (const onIncarnationEnded of [...inHand]) onIncarnationEnded();
+    for (const onIncarnationEnded of [...endListeners]) onIncarnationEnded();
   }
 
   function report(load: EngineLoad, now: MonotonicInstant): void {
     if (isLate(load, now)) return;
     reports.set(load.address, {load, at: now});
-    for (const known of [...entries.values()]) {
+    for (const known of [...records.values()]) {
       const {target} = known;
       if (
         target.address !== load.address ||
@@ -124,26 +128,33 @@
       }
       const hasRestarted = isEarlierIncarnation(target, load);
       if (hasRestarted) endIncarnation(known);
-      const entry = hasRestarted
-        ? createEntry(newestIncarnation(target))
+      const record = hasRestarted
+        ? createRecord(newestIncarnation(target))
         : known;
-      entries.set(target.instance, entry);
-      entry.deniedListing = undefined;
-      entry.report = load;
-      entry.reportedAt = now;
-      entry.ownInFlightChange = 0;
-      entry.share = turnAt(entry.target, load, placeAt(entry.target.zone));
+      records.set(target.instance, record);
+      record.deniedKey = undefined;
+      record.report = load;
+      record.reportedAt = now;
+      record.ownInFlightChange = 0;
+      record.share = turnAt(
+        record.target,
+        load,
+        slotShareAt(record.target.zone),
+      );
     }
   }
 
-  /** A newer life that has fallen silent has the last word no more. */
+  /**
+   * Whether a report is of an earlier incarnation. A newer one that has fallen
+   * silent no longer overrides it.
+   */
   function isLate(load: EngineLoad, now: MonotonicInstant): boolean {
     const before = reports.get(load.address);
     if (before === undefined || now - before.at >= MAX_REPORT_AGE) return false;
     return isEarlierIncarnation(load, before.load);
   }
 
-  /** What the list says of a former life holds for the new one no more. */
+  /** Listed state of an earlier incarnation doesn't apply to the new one. */
   function newestIncarnation(target: ListedTarget): ListedTarget {
     const reported = reports.get(target.address)?.load;
     if (reported === undefined || !isEarlierIncarnation(target, reported)) {
@@ -152,81 +163,81 @@
     return {...target, born: reported.born, held: target.held && []};
   }
 
-  function placeAt(targetZone: ZoneName): SlotShare {
-    const known = places.get(targetZone);
+  function slotShareAt(targetZone: ZoneName): SlotShare {
+    const known = slotShares.get(targetZone);
     if (known !== undefined) return known;
-    const place = slotShareOf(self, senders, targetZone);
-    places.set(targetZone, place);
-    return place;
+    const slotShare = slotShareOf(self, senders, targetZone);
+    slotShares.set(targetZone, slotShare);
+    return slotShare;
   }
 
   function setEntries(next: readonly SendingEntry[]): void {
     senders = next;
-    places.clear();
+    slotShares.clear();
   }
 
   function begin(target: ListedTarget, sent: SentRequest): InFlightRequest {
-    const entry = entries.get(target.instance);
-    if (entry === undefined) return UNKNOWN_TARGET_REQUEST;
+    const record = records.get(target.instance);
+    if (record === undefined) return UNKNOWN_TARGET_REQUEST;
     const {promptTime, onIncarnationEnded} = sent;
-    const freeMemory = memory.begin(entry, sent.memory, sent.at ?? 0);
+    const freeMemory = memory.begin(record, sent.memory, sent.at ?? 0);
     prompts.record(target.service, promptTime);
     let unread = promptTime;
     const begun = (): void => {
-      entry.unreadPrompts -= unread;
+      record.unreadPrompts -= unread;
       unread = 0;
     };
-    entry.ownInFlight += 1;
-    entry.ownInFlightChange += 1;
-    entry.unreadPrompts += unread;
-    entry.endListeners.add(onIncarnationEnded);
+    record.ownInFlight += 1;
+    record.ownInFlightChange += 1;
+    record.unreadPrompts += unread;
+    record.endListeners.add(onIncarnationEnded);
     return {
       begun,
       end: () => {
         begun();
         freeMemory();
-        entry.endListeners.delete(onIncarnationEnded);
-        entry.ownInFlight -= 1;
-        entry.ownInFlightChange -= 1;
+        record.endListeners.delete(onIncarnationEnded);
+        record.ownInFlight -= 1;
+        record.ownInFlightChange -= 1;
       },
     };
   }
 
   function recordFailure(target: ListedTarget, now: MonotonicInstant): void {
-    const entry = entries.get(target.instance);
-    if (entry === undefined) return;
-    entry.failures += 1;
-    avoidAfterFailures(entry, now);
+    const record = records.get(target.instance);
+    if (record === undefined) return;
+    record.failures += 1;
+    avoidAfterFailures(record, now);
   }
 
   function recordRefusedConnection(
     target: ListedTarget,
     now: MonotonicInstant,
   ): void {
-    const entry = entries.get(target.instance);
-    if (entry === undefined) return;
-    entry.failures = Math.max(entry.failures + 1, FAILURES_TO_AVOID);
-    avoidAfterFailures(entry, now);
+    const record = records.get(target.instance);
+    if (record === undefined) return;
+    record.failures = Math.max(record.failures + 1, FAILURES_TO_AVOID);
+    avoidAfterFailures(record, now);
   }
 
   function avoidAfterFailures(
-    entry: TargetRecord,
+    record: TargetRecord,
     now: MonotonicInstant,
   ): void {
-    if (entry.failures < FAILURES_TO_AVOID) return;
-    const doublings = entry.failures - FAILURES_TO_AVOID;
+    if (record.failures < FAILURES_TO_AVOID) return;
+    const doublings = record.failures - FAILURES_TO_AVOID;
     const pause = Math.min(MAX_PAUSE, FIRST_PAUSE * 2 ** doublings);
-    entry.avoidUntil = now + pause;
+    record.avoidUntil = now + pause;
   }
 
-  /** Whether this life has said that it leaves, in the list or in an answer. */
+  /** Whether this incarnation is leaving, by the list or by a response. */
   function isLeaving(target: ListedTarget): boolean {
     return leavingTargets.get(target) === true;
   }
 
   function isStaying(target: ListedTarget): boolean {
-    const entry = entries.get(target.instance);
-    return entry !== undefined && !isLeaving(entry.target);
+    const record = records.get(target.instance);
+    return record !== undefined && !isLeaving(record.target);
   }
 
   function recordLeaving(target: ListedTarget): boolean {
@@ -235,70 +246,80 @@
     return true;
   }
 
-  /** When a target takes requests of this entry again; the past if it does. */
+  /**
+   * Returns when a target accepts requests of this entry again; a time in the
+   * past if it already does.
+   */
   function backoffEnd(target: ListedTarget): MonotonicInstant {
     return backoffEnds.get(target) ?? -Infinity;
   }
 
-  function mayTake(entry: TargetRecord, need: PlacementRequest): boolean {
-    if (backoffEnd(entry.target) > need.now) return false;
-    return canStart(entry, need, zone, rules);
+  function mayTake(record: TargetRecord, request: PlacementRequest): boolean {
+    if (backoffEnd(record.target) > request.now) return false;
+    return canStart(record, request, zone, rules);
   }
 
-  function mayStart(target: ListedTarget, need: PlacementRequest): boolean {
-    const entry = entries.get(target.instance);
-    if (entry === undefined || !isListUsable()) return false;
-    return !isLeaving(entry.target) && mayTake(entry, need);
+  function mayStart(target: ListedTarget, request: PlacementRequest): boolean {
+    const record = records.get(target.instance);
+    if (record === undefined || !isListUsable()) return false;
+    return !isLeaving(record.target) && mayTake(record, request);
   }
 
-  function hasMemoryFor(entry: TargetRecord, need: PlacementRequest): boolean {
-    const place = placeAt(entry.target.zone);
-    const isFresh = isReported(entry, need.now);
-    return memory.hasRoom(entry, need, place, senders.length, isFresh);
+  function hasMemoryFor(
+    record: TargetRecord,
+    request: PlacementRequest,
+  ): boolean {
+    const slotShare = slotShareAt(record.target.zone);
+    const isFresh = isReported(record, request.now);
+    return memory.hasRoom(record, request, slotShare, senders.length, isFresh);
   }
 
-  function choose(need: PlacementRequest): TargetSelection {
-    if (areEmpty(need.destinations)) return {kind: 'nowhere'};
+  function choose(request: PlacementRequest): TargetSelection {
+    if (areEmpty(request.destinations)) return {kind: 'nowhere'};
     if (!isListUsable()) return {kind: 'outdated'};
-    const ofService = [...entries.values()].filter(({target}) =>
-      mayServe(target, need, rules),
+    const ofService = [...records.values()].filter(({target}) =>
+      mayServe(target, request, rules),
     );
-    const lasting = ofService.filter(({target}) => !isLeaving(target));
-    if (ofService.length > 0 && lasting.length === 0) return {kind: 'leaving'};
-    const staying = lasting.filter(
+    const active = ofService.filter(({target}) => !isLeaving(target));
+    if (ofService.length > 0 && active.length === 0) return {kind: 'leaving'};
+    const staying = active.filter(
       ({target}) => !rules.isEvacuated(target.zone),
     );
-    if (lasting.length > 0 && staying.length === 0) return {kind: 'evacuated'};
+    if (active.length > 0 && staying.length === 0) return {kind: 'evacuated'};
     const ends = staying.map(({target}) => backoffEnd(target));
     const firstEnd = Math.min(...ends);
-    if (staying.length > 0 && firstEnd > need.now) {
+    if (staying.length > 0 && firstEnd > request.now) {
       return {kind: 'backingOff', until: firstEnd};
     }
-    const usable = staying.filter(entry => mayTake(entry, need));
+    const usable = staying.filter(record => mayTake(record, request));
     if (usable.length === 0) return {kind: 'none'};
-    for (const entry of usable) {
-      advanceTurn(entry, placeAt(entry.target.zone), need.now);
+    for (const record of usable) {
+      advanceTurn(record, slotShareAt(record.target.zone), request.now);
     }
-    const calm = usable.filter(entry => entry.avoidUntil <= need.now);
-    const withRoom = (calm.length > 0 ? calm : usable).filter(
-      entry =>
-        hasRoom(entry, need.now, senders.length) && hasMemoryFor(entry, need),
+    const notAvoided = usable.filter(
+      record => record.avoidUntil <= request.now,
+    );
+    const withRoom = (notAvoided.length > 0 ? notAvoided : usable).filter(
+      record =>
+        hasRoom(record, request.now, senders.length) &&
+        hasMemoryFor(record, request),
     );
-    const allowed = withRoom.filter(({target}) => maySend(target, need.now));
-    const open = (calm.length > 0 ? calm : usable).filter(
-      entry => hasFreeSlot(entry, need.now) && maySend(entry.target, need.now),
+    const allowed = withRoom.filter(({target}) => maySend(target, request.now));
+    const open = (notAvoided.length > 0 ? notAvoided : usable).filter(
+      record =>
+        hasFreeSlot(record, request.now) && maySend(record.target, request.now),
     );
     const choices = {
-      dealt: forPrompt(allowed, need),
-      open: forPrompt(open, need),
+      assigned: forPrompt(allowed, request),
+      open: forPrompt(open, request),
       peers: usable,
     };
-    const best = chooseBest(choices, need, zone, rules.placement);
+    const best = chooseBest(choices, request, zone, rules.placement);
     if (best === undefined) return {kind: 'full'};
     return {kind: 'chosen', target: best.target};
   }
 
-  /** Cold targets bear little, so they are left to requests with short prompts. */
+  /** Cold targets take few requests, so they are left to short prompts. */
   function forPrompt(
     allowed: readonly TargetRecord[],
     {service, promptTime, now}: PlacementRequest,
@@ -308,26 +329,26 @@
     return warm.length > 0 ? warm : allowed;
   }
 
-  function createEntry(target: ListedTarget): TargetRecord {
+  function createRecord(target: ListedTarget): TargetRecord {
     const reported = reports.get(target.address);
-    const isOfFormerLife =
+    const isOfEarlierIncarnation =
       reported && isEarlierIncarnation(reported.load, target);
-    const early = isOfFormerLife === true ? undefined : reported;
+    const usableReport = isOfEarlierIncarnation === true ? undefined : reported;
     return {
       target,
       endListeners: new Set(),
       memory: createOwnMemoryUse(),
-      deniedListing: undefined,
+      deniedKey: undefined,
       deniedAt: -Infinity,
       ownInFlight: 0,
       unreadPrompts: 0,
       ownInFlightChange: 0,
       share:
-        early === undefined
+        usableReport === undefined
           ? NO_TURN
-          : turnAt(target, early.load, placeAt(target.zone)),
-      report: early?.load,
-      reportedAt: early?.at ?? -Infinity,
+          : turnAt(target, usableReport.load, slotShareAt(target.zone)),
+      report: usableReport?.load,
+      reportedAt: usableReport?.at ?? -Infinity,
       failures: 0,
       avoidUntil: -Infinity,
       observedPace: createObservedPace(),
@@ -340,24 +361,24 @@
     report,
     begin,
     isDrainingForLoad: (target, now) => {
-      const entry = entries.get(target.instance);
-      if (entry === undefined || !isReported(entry, now)) return false;
-      return entry.report?.ordering === true;
+      const record = records.get(target.instance);
+      if (record === undefined || !isReported(record, now)) return false;
+      return record.report?.ordering === true;
     },
     isStaying,
     recordFailure,
     recordRefusedConnection,
     recordMisdirected(target, now) {
-      const entry = entries.get(target.instance);
-      if (entry === undefined) return;
-      entry.deniedListing = listingKey(entry.target);
-      entry.deniedAt = now;
+      const record = records.get(target.instance);
+      if (record === undefined) return;
+      record.deniedKey = listingKey(record.target);
+      record.deniedAt = now;
     },
     recordSuccess(target) {
-      const entry = entries.get(target.instance);
-      if (entry === undefined) return;
-      entry.failures = 0;
-      entry.avoidUntil = -Infinity;
+      const record = records.get(target.instance);
+      if (record === undefined) return;
+      record.failures = 0;
+      record.avoidUntil = -Infinity;
     },
     recordLeaving,
     recordBackoff: (target, until) => {
@@ -365,15 +386,15 @@
     },
     mayStart,
     choose,
-    forecast: (target, need) => {
-      const entry = entries.get(target.instance);
-      return entry && forecastAt(entry, need);
+    forecast: (target, request) => {
+      const record = records.get(target.instance);
+      return record && forecastAt(record, request);
     },
     recordFirstEvent: (target, ratio, now) =>
-      entries.get(target.instance)?.observedPace.record(ratio, now),
+      records.get(target.instance)?.observedPace.record(ratio, now),
     capacity: (service, now) =>
       capacityOf(
-        [...entries.values()].filter(
+        [...records.values()].filter(
           ({target}) =>
             target.service === service &&
             !isLeaving(target) &&
@@ -382,8 +403,8 @@
         now,
       ),
     heldVersion: (target, model, now) => {
-      const entry = entries.get(target.instance);
-      return entry && versionHeldBy(entry, model, now);
+      const record = records.get(target.instance);
+      return record && versionHeldBy(record, model, now);
     },
   };
 }
--- a/packages/core/src/placement/types.ts
+++ b/packages/core/src/placement/types.ts
@@ -10,15 +10,15 @@
   ZoneName,
 } from '../types';
 
-/** A model that an engine holds whole. */
+/** A model that an engine holds completely. */
 export interface HeldModel {
   readonly model: ModelName;
   readonly version: number;
 }
 
-/** One life of a target, as the platform lists it. */
+/** One incarnation of a target, as the platform lists it. */
 export interface ListedTarget extends IncarnationStamp {
-  /** Stays the same if the target starts again under the id it had. */
+  /** Stays the same if the target restarts under the same id. */
   readonly instance: string;
   readonly service: ServiceName;
   /** `IP:port`. */
@@ -26,59 +26,59 @@
   readonly zone: ZoneName;
   readonly slots: number;
   readonly leaving: boolean;
-  /** How long it stays cold, by its own word at its last sign of life. */
+  /** Remaining cold time, as of its last heartbeat. */
   readonly coldFor: Milliseconds;
-  /** Undefined if the target is no model engine. */
+  /** Undefined for a plain target. */
   readonly held: readonly HeldModel[] | undefined;
 }
 
-/** What an engine's own agent says of it. */
+/** An engine's state as its agent reports it. */
 export interface EngineLoad extends IncarnationStamp {
   readonly address: string;
   readonly held: readonly HeldModel[];
-  /** Whether it loads weights and starts nothing new. */
+  /** Whether it loads weights and starts no requests. */
   readonly ordering: boolean;
   readonly running: number;
   readonly waiting: number;
-  /** Times a pass takes longer than the service's profile says. */
+  /** Factor by which a pass takes longer than in the service's profile. */
   readonly pace: number;
-  /** Grows with each report; the same at all entries that get it. */
+  /** Incremented with each report; the same at all entries that receive it. */
   readonly sequence: number;
-  /** Time until it is to load a version; undefined if it is not. */
+  /** Time until it is to load a version; undefined if it isn't. */
   readonly loadsIn: Milliseconds | undefined;
-  /** Share of its memory for requests that is in use; undefined if unknown. */
+  /** Share of its request memory that is in use; undefined if unknown. */
   readonly memoryShare: number | undefined;
 }
 
-/** One of the entries that send to the same targets. */
+/** An entry that sends to the same targets. */
 export interface SendingEntry {
   readonly instance: string;
   readonly zone: ZoneName;
 }
 
-/** What a place must have for a request. */
+/** What a request needs from its target. */
 export interface PlacementRequest {
   readonly service: ServiceName;
   readonly model: ModelName | undefined;
-  /** Oldest version that may start it; undefined if any may. */
+  /** Oldest version that may start the request; undefined if any may. */
   readonly minVersion: number | undefined;
-  /** The same for targets in other zones, which a request reaches later. */
+  /** The same for targets in other zones, which take longer to reach. */
   readonly minFarVersion: number | undefined;
   /** Where the request may be served. */
   readonly destinations: Destinations;
   /** Time in which an idle target reads the request's prompt. */
   readonly promptTime: Milliseconds;
-  /** How long the request will probably run, once begun. */
+  /** Expected run time, once begun. */
   readonly expectedRun: Milliseconds;
-  /** Tokens that it will probably hold at its end; 0 for plain targets. */
+  /** Expected number of tokens at its end; 0 for plain targets. */
   readonly expectedTokens: number;
-  /** What it asks of an engine's memory; undefined where none is named. */
+  /** Memory it needs on an engine; undefined if there is no limit. */
   readonly memory?: MemoryNeed;
-  /** Until then a first event is on time; undefined if nothing says so. */
+  /** Deadline of the first event; undefined if there is none. */
   readonly firstEventDeadline: MonotonicInstant | undefined;
-  /** How fast the service's engines work; undefined for plain targets. */
+  /** Profile of the service's engines; undefined for plain targets. */
   readonly profile: EngineProfile | undefined;
-  /** Instances that have had the request. */
+  /** Instances that the request was already sent to. */
   readonly tried: ReadonlySet<string>;
   readonly now: MonotonicInstant;
 }
@@ -87,79 +87,88 @@
 export interface SentRequest {
   /** Time in which the target reads its prompt. */
   readonly promptTime: Milliseconds;
-  /** What it asks of an engine's memory, and when it is sent. */
+  /** Memory it needs on an engine, and when it is sent. */
   readonly memory?: MemoryNeed;
   readonly at?: MonotonicInstant;
-  /** Called if an engine's life ends with the request in hand. */
+  /** Called if the engine's incarnation ends while the request is in flight. */
   readonly onIncarnationEnded: () => void;
 }
 
-/** A request at a target. */
+/** A request in flight at a target. */
 export interface InFlightRequest {
-  /** Notes its first event: its prompt has been read. */
+  /** Records the first event: the prompt has been read. */
   readonly begun: () => void;
   readonly end: () => void;
 }
 
-/** What an entry knows of the targets it may send to. */
+/** The targets that an entry may send to. */
 export interface TargetRegistry {
   /** Replaces the list. */
   readonly list: (
     targets: readonly ListedTarget[],
     now: MonotonicInstant,
   ) => void;
-  /** Replaces the entries that send to the same targets, this one included. */
+  /** Replaces the entries that send to the same targets, including this one. */
   readonly setEntries: (entries: readonly SendingEntry[]) => void;
   readonly report: (load: EngineLoad, now: MonotonicInstant) => void;
-  /** Notes a request sent. */
+  /** Records a request that is sent. */
   readonly begin: (target: ListedTarget, sent: SentRequest) => InFlightRequest;
-  /** Whether a target takes nothing new and waits for what runs, to load. */
+  /**
+   * Whether a target starts nothing and waits for its requests in order to
+   * load.
+   */
   readonly isDrainingForLoad: (
     target: ListedTarget,
     now: MonotonicInstant,
   ) => boolean;
-  /** Notes that a target denies to be, or to hold, what is believed of it. */
+  /**
+   * Records that a target denies its identity or the models it is listed with.
+   */
   readonly recordMisdirected: (
     target: ListedTarget,
     now: MonotonicInstant,
   ) => void;
   readonly recordFailure: (target: ListedTarget, now: MonotonicInstant) => void;
-  /** Whether the target is listed and has not said that it leaves. */
+  /** Whether the target is listed and not leaving. */
   readonly isStaying: (target: ListedTarget) => boolean;
-  /** Notes that nothing listens at a target's address: it is avoided at once. */
+  /**
+   * Records that nothing listens at a target's address; it is avoided at once.
+   */
   readonly recordRefusedConnection: (
     target: ListedTarget,
     now: MonotonicInstant,
   ) => void;
   readonly recordSuccess: (target: ListedTarget) => void;
-  /** Notes that a target says it leaves; returns whether that is new. */
+  /**
+   * Records that a target reports that it leaves; returns whether that is new.
+   */
   readonly recordLeaving: (target: ListedTarget) => boolean;
-  /** Notes that a target wants no request of this entry before `until`. */
+  /** Records that a target accepts no request of this entry before `until`. */
   readonly recordBackoff: (
     target: ListedTarget,
     until: MonotonicInstant,
   ) => void;
-  /** Whether a target, chosen before, may still start such a request. */
+  /** Whether a previously chosen target may still start such a request. */
   readonly mayStart: (target: ListedTarget, need: PlacementRequest) => boolean;
-  /** The best place with room, or why there is none. */
+  /** Chooses the best target with room, or returns why there is none. */
   readonly choose: (need: PlacementRequest) => TargetSelection;
   /** Time until the first event at a target; undefined for plain targets. */
   readonly forecast: (
     target: ListedTarget,
     need: PlacementRequest,
   ) => Milliseconds | undefined;
-  /** Notes that a first event took so many times its forecast. */
+  /** Records the ratio of a first event's time to its forecast. */
   readonly recordFirstEvent: (
     target: ListedTarget,
     ratio: number,
     now: MonotonicInstant,
   ) => void;
-  /** What the engines of a service that are reported can take. */
+  /** Returns the capacity of a service's reported engines. */
   readonly capacity: (
     service: ServiceName,
     now: MonotonicInstant,
   ) => ServiceCapacity;
-  /** The version that a target holds, as far as is known here. */
+  /** Returns the version that a target holds, as far as is known here. */
   readonly heldVersion: (
     target: ListedTarget,
     model: ModelName,
@@ -167,19 +176,19 @@
   ) => number | undefined;
 }
 
-/** The best place for a request. */
+/** The best target for a request, or why there is none. */
 export type TargetSelection =
   | {readonly kind: 'chosen'; readonly target: ListedTarget}
-  /** Targets are there, all of them full. */
+  /** There are targets, but all of them are full. */
   | {readonly kind: 'full'}
   | {readonly kind: 'none'}
-  /** All targets of the service leave. */
+  /** All targets of the service are leaving. */
   | {readonly kind: 'leaving'}
-  /** All that stay are in zones that are being evacuated. */
+  /** All remaining targets are in evacuated zones. */
   | {readonly kind: 'evacuated'}
   /** No region is allowed for the request. */
   | {readonly kind: 'nowhere'}
-  /** All that stay want no request of this entry before `until`. */
+  /** All remaining targets accept no request of this entry before `until`. */
   | {readonly kind: 'backingOff'; readonly until: MonotonicInstant}
   /** The list is too old: targets may have left. */
   | {readonly kind: 'outdated'};
--- a/test/placement/allowance.test.ts
+++ b/test/placement/allowance.test.ts
@@ -23,9 +23,9 @@
   return site.map((zone, index) => ({instance: `entry-${index}`, zone}));
 }
 
-// Eight entries see the same free slot in the same report. If each filled it,
-// seven requests would wait at the engine and be late.
-test('near entries together start what is free once, and none twice', () => {
+// Eight entries see the same free slot in the same report. If each of them
+// filled it, seven requests would wait at the engine and be late.
+test('near entries together fill each free slot exactly once', () => {
   fc.assert(
     fc.property(
       sites,
@@ -51,15 +51,15 @@
   );
 });
 
-test('entries of other zones leave slots to near ones', () => {
+test('entries of other zones leave reserved slots to near entries', () => {
   const entries = entriesOf(['north', 'south']);
   const far = slotShareOf(entries[1]!, entries, 'north');
   expect(slotAllowance(3, far, report(0))).toBe(0);
   expect(slotAllowance(5, far, report(0))).toBe(2);
 });
 
-// All engines of a zone are lost. Its callers are served by engines of other
-// zones, though the entries there come first.
+// If all engines of a zone are lost, its callers must be served by engines of
+// other zones, although the entries there come first.
 test('an engine with room takes requests from other zones too', () => {
   const entries = entriesOf(['north', 'south', 'south']);
   const given = entries
@@ -70,7 +70,7 @@
   expect(given.reduce((sum, slots) => sum + slots, 0)).toBe(2);
 });
 
-test('with no entry in an engine’s zone all of them share it', () => {
+test('all entries share an engine whose zone has no entry', () => {
   const entries = entriesOf(['north', 'south']);
   const given = entries.map(entry =>
     slotAllowance(2, slotShareOf(entry, entries, 'west'), report(0)),
@@ -78,9 +78,9 @@
   expect(given).toEqual([1, 1]);
 });
 
-// Entries of other zones get each third report. With three or six of them, turns
-// that count on by one stand still for them: some never start anything there.
-test('single slots go to each entry as often, whichever reports it gets', () => {
+// Entries of other zones receive every third report. With three or six of them,
+// turns that advance by one per report would never reach some entries.
+test('single slots are shared equally, whichever reports the entries receive', () => {
   const reports = 2_000;
   fc.assert(
     fc.property(
@@ -90,10 +90,10 @@
       (size, step, first) => {
         const entries = entriesOf(Array<string>(size).fill('north'));
         const given = entries.map(entry => {
-          const place = slotShareOf(entry, entries, 'north');
+          const share = slotShareOf(entry, entries, 'north');
           let slots = 0;
           for (let count = 0; count < reports; count += 1) {
-            slots += slotAllowance(1, place, report(first + count * step));
+            slots += slotAllowance(1, share, report(first + count * step));
           }
           return slots;
         });
@@ -108,15 +108,16 @@
   );
 });
 
-// Agents that start together count their reports alike. With turns by the count
-// alone an entry has its turn at all engines in one report, and at none in others.
-test('engines whose reports are counted alike give turns to different entries', () => {
+// Agents that start together use the same sequence numbers. With turns by
+// sequence number alone, an entry has its turn at all engines in one report and
+// at none in others.
+test('engines with equal sequence numbers give turns to different entries', () => {
   const entries = entriesOf(Array<string>(15).fill('north'));
-  const place = slotShareOf(entries[0]!, entries, 'north');
+  const share = slotShareOf(entries[0]!, entries, 'north');
   const engines = Array.from({length: 12}, (_, index) => `engine-${index}:1`);
   const withoutTurn = Array.from({length: 500}, (_, sequence) =>
     engines.every(
-      engine => slotAllowance(8, place, report(sequence, engine)) < 1,
+      engine => slotAllowance(8, share, report(sequence, engine)) < 1,
     ),
   ).filter(isWithout => isWithout).length;
   // 0.8 to the power of 12 is 0.07.
--- a/test/placement/backing_off.test.ts
+++ b/test/placement/backing_off.test.ts
@@ -9,60 +9,60 @@
 const target = (instance: string, changes: Partial<ListedTarget> = {}) =>
   plainTarget(instance, {born: 100, ...changes});
 
-function bookOf(...targets: ListedTarget[]): TargetRegistry {
-  const book = createTargetRegistry({instance: 'entry', zone: 'north'});
-  book.list(targets, 0);
-  return book;
+function registryOf(...targets: ListedTarget[]): TargetRegistry {
+  const registry = createTargetRegistry({instance: 'entry', zone: 'north'});
+  registry.list(targets, 0);
+  return registry;
 }
 
-function chosen(book: TargetRegistry, now: number): string | undefined {
-  const choice = book.choose(plainNeed({now}));
+function chosen(registry: TargetRegistry, now: number): string | undefined {
+  const choice = registry.choose(plainNeed({now}));
   return choice.kind === 'chosen' ? choice.target.instance : undefined;
 }
 
-test('a target that asks to back off is chosen again only once the time is over', () => {
-  const book = bookOf(target('one'));
-  book.recordBackoff(target('one'), 3_000);
-  expect(chosen(book, 2_999)).toBeUndefined();
-  expect(chosen(book, 3_000)).toBe('one');
+test('a target that requests a backoff is chosen again only after it ends', () => {
+  const registry = registryOf(target('one'));
+  registry.recordBackoff(target('one'), 3_000);
+  expect(chosen(registry, 2_999)).toBeUndefined();
+  expect(chosen(registry, 3_000)).toBe('one');
 });
 
-test('a shorter time that is asked for later does not end a longer one', () => {
-  const book = bookOf(target('one'));
-  book.recordBackoff(target('one'), 3_000);
-  book.recordBackoff(target('one'), 1_000);
-  expect(chosen(book, 2_000)).toBeUndefined();
+test('a shorter backoff that is requested later does not end a longer one', () => {
+  const registry = registryOf(target('one'));
+  registry.recordBackoff(target('one'), 3_000);
+  registry.recordBackoff(target('one'), 1_000);
+  expect(chosen(registry, 2_000)).toBeUndefined();
 });
 
-test('a request chosen before its target asks to back off does not begin', () => {
-  const book = bookOf(target('one'));
-  book.recordBackoff(target('one'), 3_000);
-  expect(book.mayStart(target('one'), plainNeed({now: 10}))).toBe(false);
-  expect(book.mayStart(target('one'), plainNeed({now: 3_000}))).toBe(true);
+test('a request placed before its target requests a backoff does not start', () => {
+  const registry = registryOf(target('one'));
+  registry.recordBackoff(target('one'), 3_000);
+  expect(registry.mayStart(target('one'), plainNeed({now: 10}))).toBe(false);
+  expect(registry.mayStart(target('one'), plainNeed({now: 3_000}))).toBe(true);
 });
 
-test('the time is kept while the line of its target lapses and comes back', () => {
-  const book = bookOf(target('one'));
-  book.recordBackoff(target('one'), 3_000);
-  book.list([], 10);
-  book.list([target('one')], 20);
-  expect(chosen(book, 2_000)).toBeUndefined();
+test('a backoff is kept while the row of its target expires and comes back', () => {
+  const registry = registryOf(target('one'));
+  registry.recordBackoff(target('one'), 3_000);
+  registry.list([], 10);
+  registry.list([target('one')], 20);
+  expect(chosen(registry, 2_000)).toBeUndefined();
 });
 
-test('a new life under the same id is not bound by what the former one asked', () => {
-  const book = bookOf(target('one'));
-  book.recordBackoff(target('one'), 3_000);
-  book.list([target('one', {born: 200})], 10);
-  expect(chosen(book, 20)).toBe('one');
+test('a new incarnation under the same id ignores the backoff of the previous one', () => {
+  const registry = registryOf(target('one'));
+  registry.recordBackoff(target('one'), 3_000);
+  registry.list([target('one', {born: 200})], 10);
+  expect(chosen(registry, 20)).toBe('one');
 });
 
-test('targets that all back off name the first end, leaving ones apart', () => {
-  const book = bookOf(target('one'), target('two'), target('three'));
-  book.recordBackoff(target('one'), 3_000);
-  book.recordBackoff(target('two'), 2_000);
-  book.recordBackoff(target('three'), 1_000);
-  book.recordLeaving(target('three'));
-  expect(book.choose(plainNeed({now: 10}))).toEqual({
+test('if all targets back off, the earliest end is returned, ignoring leaving ones', () => {
+  const registry = registryOf(target('one'), target('two'), target('three'));
+  registry.recordBackoff(target('one'), 3_000);
+  registry.recordBackoff(target('two'), 2_000);
+  registry.recordBackoff(target('three'), 1_000);
+  registry.recordLeaving(target('three'));
+  expect(registry.choose(plainNeed({now: 10}))).toEqual({
     kind: 'backingOff',
     until: 2_000,
   });
--- a/test/placement/evacuated_zones.test.ts
+++ b/test/placement/evacuated_zones.test.ts
@@ -10,7 +10,7 @@
 
 function siteWith(...evacuated: string[]) {
   const zones = new Set(evacuated);
-  const book = createTargetRegistry(
+  const registry = createTargetRegistry(
     {instance: 'entry', zone: 'north'},
     () => true,
     () => true,
@@ -18,30 +18,30 @@
   );
   const north = plainTarget('north-1');
   const south = plainTarget('south-1', {zone: 'south'});
-  book.list([north, south], 0);
-  return {book, zones, north, south};
+  registry.list([north, south], 0);
+  return {registry, zones, north, south};
 }
 
 test('no target of an evacuated zone is chosen', () => {
-  const {book, south} = siteWith('north');
-  expect(book.choose(plainNeed())).toEqual({kind: 'chosen', target: south});
+  const {registry, south} = siteWith('north');
+  expect(registry.choose(plainNeed())).toEqual({kind: 'chosen', target: south});
 });
 
 test('a request chosen before its zone is evacuated does not begin there', () => {
-  const {book, zones, north, south} = siteWith();
+  const {registry, zones, north, south} = siteWith();
   zones.add('north');
-  expect(book.mayStart(north, plainNeed())).toBe(false);
-  expect(book.mayStart(south, plainNeed())).toBe(true);
+  expect(registry.mayStart(north, plainNeed())).toBe(false);
+  expect(registry.mayStart(south, plainNeed())).toBe(true);
 });
 
-test('a service whose zones are all evacuated is refused at once, not waited for', () => {
-  const {book, zones} = siteWith('north', 'south');
-  expect(book.choose(plainNeed())).toEqual({kind: 'evacuated'});
+test('a request is refused at once if all zones of its service are evacuated', () => {
+  const {registry, zones} = siteWith('north', 'south');
+  expect(registry.choose(plainNeed())).toEqual({kind: 'evacuated'});
   zones.clear();
-  expect(book.choose(plainNeed()).kind).toBe('chosen');
+  expect(registry.choose(plainNeed()).kind).toBe('chosen');
 });
 
-/** The operator's rows in the order of their writing. */
+/** The operator's rows in the order in which they were written. */
 const history = fc.array(
   fc.record({
     zone: fc.constantFrom('north', 'south', 'west'),
@@ -50,8 +50,11 @@
   {minLength: 1, maxLength: 12},
 );
 
-/** A reading: up to which row, and after which (all rows if undefined). */
-const readings = fc.array(
+/**
+ * A read: the last row it covers, and the row after which it starts (undefined
+ * for all rows).
+ */
+const reads = fc.array(
   fc.record({
     until: fc.nat(12),
     after: fc.option(fc.nat(12), {nil: undefined}),
@@ -59,11 +62,11 @@
   {maxLength: 30},
 );
 
-// Relayed and own readings overtake one another; those of changes begin where
-// something older was known.
-test('the newest reading counts in any order of readings', () => {
+// Relayed and local reads overtake one another. Reads of changes start at an
+// earlier known revision.
+test('the newest read wins whatever the order of reads', () => {
   fc.assert(
-    fc.property(history, readings, (written, taken) => {
+    fc.property(history, reads, (written, applied) => {
       const rows: EvacuationChange[] = written.map((row, index) => ({
         ...row,
         revision: index + 1,
@@ -71,12 +74,12 @@
       const evacuations = createEvacuations();
       let known = 0;
       evacuations.replace([], 0);
-      for (const reading of taken) {
-        const until = Math.min(reading.until, rows.length);
-        if (reading.after === undefined) {
+      for (const read of applied) {
+        const until = Math.min(read.until, rows.length);
+        if (read.after === undefined) {
           evacuations.replace(zonesAt(rows, until), until);
         } else {
-          const after = Math.min(reading.after, known);
+          const after = Math.min(read.after, known);
           const isNew = ({revision}: EvacuationChange) =>
             revision > after && revision <= until;
           evacuations.change(rows.filter(isNew), until);
--- a/test/placement/first_event_times.test.ts
+++ b/test/placement/first_event_times.test.ts
@@ -3,15 +3,15 @@
 import {expect, test} from 'vitest';
 import {propertyRuns} from '../forwarding/property_runs';
 
-test('knows nothing of a service before its first answer', () => {
+test('returns undefined for a service without records', () => {
   const times = createFirstEventTimes();
   times.record('engines', 130, 0);
   expect(times.expected('other', 0)).toBeUndefined();
 });
 
-// A burst fills the engines. Requests that wait for a place as if engines were
-// idle get one too late, and all of their callers see a late first event.
-test('follows engines that turn slow within some twenty answers', () => {
+// A burst fills the engines. If idle engines were assumed, requests would wait
+// too long for a slot and all of their first events would be late.
+test('follows engines that become slow within twenty responses', () => {
   const times = createFirstEventTimes();
   for (let count = 0; count < 50; count += 1) times.record('engines', 130, 0);
   expect(times.expected('engines', 0)).toBeLessThan(140);
@@ -19,7 +19,7 @@
   expect(times.expected('engines', 0)).toBeGreaterThan(270);
 });
 
-test('stays between the shortest time and a half more than the longest', () => {
+test('stays between the shortest time and 1.5 times the longest', () => {
   fc.assert(
     fc.property(
       fc.array(fc.integer({min: 1, max: 5_000}), {minLength: 1}),
@@ -35,9 +35,9 @@
   );
 });
 
-// The largest prompts take 200 ms to read where the mean takes 50. Placed as if
-// they were like the others, all of them are late.
-test('allows for a request’s own prompt beside what it waits', () => {
+// The largest prompts take 200 ms to read, the mean 50 ms. If they were placed
+// like the others, all of them would be late.
+test('adds the time of a request’s own prompt to the wait', () => {
   const times = createFirstEventTimes();
   for (let count = 0; count < 50; count += 1) times.record('engines', 150, 50);
   const small = times.expected('engines', 20)!;
--- a/test/placement/leaving_targets.test.ts
+++ b/test/placement/leaving_targets.test.ts
@@ -9,68 +9,68 @@
 const target = (instance: string, changes: Partial<ListedTarget> = {}) =>
   plainTarget(instance, {born: 100, ...changes});
 
-const NEED = plainNeed();
+const REQUEST = plainNeed();
 
-function bookOf(...targets: ListedTarget[]): TargetRegistry {
-  const book = createTargetRegistry({instance: 'entry', zone: 'north'});
-  book.list(targets, 0);
-  return book;
+function registryOf(...targets: ListedTarget[]): TargetRegistry {
+  const registry = createTargetRegistry({instance: 'entry', zone: 'north'});
+  registry.list(targets, 0);
+  return registry;
 }
 
-function chosen(book: TargetRegistry): string | undefined {
-  const choice = book.choose(NEED);
+function chosen(registry: TargetRegistry): string | undefined {
+  const choice = registry.choose(REQUEST);
   return choice.kind === 'chosen' ? choice.target.instance : undefined;
 }
 
-test('a target that says it leaves is chosen no more, and others are', () => {
-  const book = bookOf(target('one'), target('two'));
-  const first = chosen(book) === 'one' ? target('one') : target('two');
-  expect(book.recordLeaving(first)).toBe(true);
-  expect(book.recordLeaving(first)).toBe(false);
-  expect(chosen(book)).toBe(first.instance === 'one' ? 'two' : 'one');
+test('a target that reports that it leaves is no longer chosen, but others are', () => {
+  const registry = registryOf(target('one'), target('two'));
+  const first = chosen(registry) === 'one' ? target('one') : target('two');
+  expect(registry.recordLeaving(first)).toBe(true);
+  expect(registry.recordLeaving(first)).toBe(false);
+  expect(chosen(registry)).toBe(first.instance === 'one' ? 'two' : 'one');
 });
 
-test('a request chosen before its target says that it leaves does not begin', () => {
-  const book = bookOf(target('one'));
-  expect(book.mayStart(target('one'), NEED)).toBe(true);
-  book.recordLeaving(target('one'));
-  expect(book.mayStart(target('one'), NEED)).toBe(false);
+test('a request placed before its target reports that it leaves does not start', () => {
+  const registry = registryOf(target('one'));
+  expect(registry.mayStart(target('one'), REQUEST)).toBe(true);
+  registry.recordLeaving(target('one'));
+  expect(registry.mayStart(target('one'), REQUEST)).toBe(false);
 });
 
-test('a leaving target stays so when its line lapses and comes back', () => {
-  const book = bookOf(target('one'));
-  book.recordLeaving(target('one'));
-  book.list([], 0);
-  book.list([target('one')], 0);
-  expect(book.choose(NEED)).toEqual({kind: 'leaving'});
+test('a leaving target stays leaving when its row expires and comes back', () => {
+  const registry = registryOf(target('one'));
+  registry.recordLeaving(target('one'));
+  registry.list([], 0);
+  registry.list([target('one')], 0);
+  expect(registry.choose(REQUEST)).toEqual({kind: 'leaving'});
 });
 
-test('a new life under the same id is chosen, and the former one is not again', () => {
-  const book = bookOf(target('one'));
-  book.recordLeaving(target('one'));
-  book.list([target('one', {born: 200})], 0);
-  expect(chosen(book)).toBe('one');
-  book.list([target('one', {born: 100})], 0);
-  expect(book.choose(NEED)).toEqual({kind: 'leaving'});
+test('a new incarnation under the same id is chosen, the previous one is not', () => {
+  const registry = registryOf(target('one'));
+  registry.recordLeaving(target('one'));
+  registry.list([target('one', {born: 200})], 0);
+  expect(chosen(registry)).toBe('one');
+  registry.list([target('one', {born: 100})], 0);
+  expect(registry.choose(REQUEST)).toEqual({kind: 'leaving'});
 });
 
-test('what a former life said does not end the new one', () => {
-  const book = bookOf(target('one', {born: 200}));
-  book.recordLeaving(target('one', {born: 100}));
-  expect(chosen(book)).toBe('one');
+test('a leaving report of a previous incarnation does not affect the new one', () => {
+  const registry = registryOf(target('one', {born: 200}));
+  registry.recordLeaving(target('one', {born: 100}));
+  expect(chosen(registry)).toBe('one');
 });
 
-test('targets that all leave, by the list or by their answers, are told from none', () => {
-  const book = bookOf(target('one', {leaving: true}), target('two'));
-  book.recordLeaving(target('two'));
-  expect(book.choose(NEED)).toEqual({kind: 'leaving'});
-  expect(bookOf().choose(NEED)).toEqual({kind: 'none'});
+test('having only leaving targets is distinguished from having none', () => {
+  const registry = registryOf(target('one', {leaving: true}), target('two'));
+  registry.recordLeaving(target('two'));
+  expect(registry.choose(REQUEST)).toEqual({kind: 'leaving'});
+  expect(registryOf().choose(REQUEST)).toEqual({kind: 'none'});
 });
 
-test('a target that the list called leaving stays so when an older list comes back', () => {
-  const book = bookOf(target('one', {leaving: true}));
-  book.list([target('one')], 0);
-  expect(book.choose(NEED)).toEqual({kind: 'leaving'});
-  book.list([target('one', {born: 200})], 0);
-  expect(chosen(book)).toBe('one');
+test('a target listed as leaving stays leaving when an older list comes back', () => {
+  const registry = registryOf(target('one', {leaving: true}));
+  registry.list([target('one')], 0);
+  expect(registry.choose(REQUEST)).toEqual({kind: 'leaving'});
+  registry.list([target('one', {born: 200})], 0);
+  expect(chosen(registry)).toBe('one');
 });
--- a/test/placement/named_versions.test.ts
+++ b/test/placement/named_versions.test.ts
@@ -1,8 +1,8 @@
 import {createNamedVersions} from '@hibiscusbeam/core';
 import {expect, test} from 'vitest';
 
-// A version is named four seconds after another one. Counted from the newest
-// name alone, requests would go on to start on the first version for 12 s.
+// A version is named four seconds after another one. If only the newest naming
+// counted, requests would continue to start on the first version for 12 s.
 test('each version has its bound from its own naming', () => {
   const versions = createNamedVersions(8_000);
   versions.name('model', 2, 0);
@@ -12,9 +12,9 @@
   expect(versions.oldestAllowed('model', 12_000, 0)).toBe(3);
 });
 
-// An entry starts anew six seconds after a version was named. Counted from its
-// own first look, it would send requests to the older version for 6 s too long.
-test('the first process that learned of a name sets the bound', () => {
+// An entry restarts six seconds after a version was named. If its own first
+// check counted, it would send requests to the older version for 6 s too long.
+test('the process that learned of a version first sets its bound', () => {
   const versions = createNamedVersions(8_000);
   versions.name('model', 3, 6_000);
   expect(versions.name('model', 2, -1_000)).toBe(false);
@@ -27,7 +27,7 @@
   expect(three).toMatchObject({version: 3, knownSince: 1_000});
 });
 
-test('an older name is not the newest', () => {
+test('an older version that is named later is not the newest', () => {
   const versions = createNamedVersions(8_000);
   expect(versions.name('model', 3, 0)).toBe(true);
   expect(versions.name('model', 2, 100)).toBe(false);
--- a/test/placement/rate_limits.test.ts
+++ b/test/placement/rate_limits.test.ts
@@ -15,7 +15,7 @@
   };
 }
 
-test('a limit holds until the target answers without one', () => {
+test('a limit applies until the target responds without one', () => {
   const {answer, at, rate} = startLimits();
   at(10);
   expect(answer(2, 5)).toBe(true);
@@ -25,7 +25,7 @@
   expect(rate()).toBeUndefined();
 });
 
-test('a late answer to a request sent before the limit does not end it', () => {
+test('a late response to a request sent before the limit does not end it', () => {
   const {answer, at, rate} = startLimits();
   at(10);
   answer(2, 5);
@@ -34,7 +34,7 @@
   expect(rate()).toBe(2);
 });
 
-test('an entry that has sent nothing knows the limit from another one', () => {
+test('an entry that has sent nothing learns the limit from another entry', () => {
   const here = startLimits();
   const there = startLimits();
   there.answer(3, 0);
@@ -45,7 +45,7 @@
   expect(here.rate()).toBe(3);
 });
 
-test('what entries pass on in any order comes to the same, and comes to rest', () => {
+test('entries that relay limits in any order converge and then stop relaying', () => {
   const change = fc.record({
     entry: fc.nat({max: 2}),
     rate: fc.option(fc.nat({max: 3}), {nil: undefined}),
--- a/test/placement/residency.test.ts
+++ b/test/placement/residency.test.ts
@@ -19,8 +19,8 @@
 /** The last one is a zone without a known region. */
 const ZONES = [...REGIONS.keys(), 'unknown'];
 
-function createBook(evacuated: ReadonlySet<string> = new Set()) {
-  const book = createTargetRegistry(
+function createRegistry(evacuated: ReadonlySet<string> = new Set()) {
+  const registry = createTargetRegistry(
     {instance: 'entry', zone: 'north'},
     () => true,
     () => true,
@@ -29,11 +29,11 @@
       regionOf: zone => REGIONS.get(zone),
     },
   );
-  book.list(
+  registry.list(
     ZONES.map(zone => plainTarget(`${zone}-1`, {zone, slots: 2})),
     0,
   );
-  return book;
+  return registry;
 }
 
 const within = (...regions: string[]): Partial<PlacementRequest> => ({
@@ -41,26 +41,28 @@
 });
 
 test('a request goes to a target of its regions only', () => {
-  const choice = createBook().choose(plainNeed(within('inland')));
+  const choice = createRegistry().choose(plainNeed(within('inland')));
   expect(choice).toMatchObject({kind: 'chosen', target: {zone: 'south'}});
 });
 
 test('a target of a zone without a known region is in no region', () => {
-  const book = createBook();
+  const registry = createRegistry();
   const need = within('unknown');
-  expect(book.choose(plainNeed(need))).toEqual({kind: 'none'});
+  expect(registry.choose(plainNeed(need))).toEqual({kind: 'none'});
   const unknown = plainTarget('unknown-1', {zone: 'unknown', slots: 2});
-  expect(book.mayStart(unknown, plainNeed(need))).toBe(false);
-  expect(book.mayStart(unknown, plainNeed())).toBe(true);
+  expect(registry.mayStart(unknown, plainNeed(need))).toBe(false);
+  expect(registry.mayStart(unknown, plainNeed())).toBe(true);
 });
 
-test('a request with an empty set of regions is not waited for', () => {
-  expect(createBook().choose(plainNeed(within()))).toEqual({kind: 'nowhere'});
+test('a request with an empty set of regions is refused at once', () => {
+  expect(createRegistry().choose(plainNeed(within()))).toEqual({
+    kind: 'nowhere',
+  });
 });
 
-test('a request whose regions are all evacuated is not waited for', () => {
-  const book = createBook(new Set(['south']));
-  const choice = book.choose(plainNeed(within('inland')));
+test('a request whose regions are all evacuated is refused at once', () => {
+  const registry = createRegistry(new Set(['south']));
+  const choice = registry.choose(plainNeed(within('inland')));
   expect(choice).toEqual({kind: 'evacuated'});
 });
 
@@ -93,13 +95,13 @@
   fc.record({kind: fc.constant('send' as const)}),
 );
 
-// Requests are chosen places by one configuration and sent by another, while
-// zones are evacuated and targets fail.
+// Requests are placed with one configuration and sent with another, while zones
+// are evacuated and targets fail.
 test('no send leaves its regions or reaches an evacuated zone', () => {
   fc.assert(
     fc.property(fc.array(step, {maxLength: 60}), steps => {
       const evacuated = new Set<string>();
-      const book = createBook(evacuated);
+      const registry = createRegistry(evacuated);
       let destinations = ANYWHERE;
       let placed: ReturnType<typeof plainTarget>[] = [];
       const needNow = () => plainNeed({destinations});
@@ -119,17 +121,17 @@
             break;
           case 'fail': {
             const failed = plainTarget(`${one.zone}-1`, {zone: one.zone});
-            book.recordRefusedConnection(failed, 0);
+            registry.recordRefusedConnection(failed, 0);
             break;
           }
           case 'choose': {
-            const choice = book.choose(needNow());
+            const choice = registry.choose(needNow());
             if (choice.kind === 'chosen') placed.push(choice.target);
             break;
           }
           case 'send': {
             const sent = placed.filter(target =>
-              book.mayStart(target, needNow()),
+              registry.mayStart(target, needNow()),
             );
             placed = [];
             for (const {zone} of sent) {
@@ -185,6 +187,6 @@
     {...anyone, allowedRegions: new Set<string>()},
     'n1,e1,e2,s1,s2,u1',
   ],
-])('the directory names %s', (_, question, expected) => {
-  expect(chooseEntries(ENTRIES, question).join()).toBe(expected);
+])('the directory returns %s', (_, query, expected) => {
+  expect(chooseEntries(ENTRIES, query).join()).toBe(expected);
 });
--- a/test/placement/retry_budgets.test.ts
+++ b/test/placement/retry_budgets.test.ts
@@ -1,10 +1,10 @@
 import {createRetryBudgets} from '../../packages/fleet/src/entry/retry_budgets';
 import {expect, test} from 'vitest';
 
-// All entries of a site start anew at the same time. Each knows no other one
-// yet, takes the site's whole slack for its own, and together they send more
-// repeats than the site may.
-test('repeats nothing before the other entries are known, then its part', () => {
+// All entries of a site restart at the same time and don't know each other yet.
+// If each of them used the site's whole slack, together they would retry more
+// often than the site may.
+test('allows no retries before the other entries are known, then its share', () => {
   const known: {entries: number | undefined} = {entries: undefined};
   const budgets = createRetryBudgets({
     share: 0.2,
@@ -20,7 +20,7 @@
   expect(taken * 8).toBeLessThanOrEqual(104);
 });
 
-test('the part of the slack shrinks as entries join', () => {
+test('the share of the slack shrinks as entries join', () => {
   let entries = 2;
   const budgets = createRetryBudgets({
     share: 0.2,
@@ -34,8 +34,11 @@
   expect(taken * entries).toBeLessThanOrEqual(100);
 });
 
-/** Budgets of one entry that have nothing left and earn one by five requests. */
-function usedUpBudgets() {
+/**
+ * Budgets of one entry that have nothing left and earn one retry per five
+ * requests.
+ */
+function exhaustedBudgets() {
   const budgets = createRetryBudgets({
     share: 0.34,
     slack: 10,
@@ -45,10 +48,10 @@
   return budgets;
 }
 
-// The budget is used up for a moment. Without a second question the request
+// The budget is used up for a short time. Without a second check, the request
 // waits for its silent target until its deadline.
-test('a denied repeat is granted in turn once first requests allow it', async () => {
-  const budgets = usedUpBudgets();
+test('a denied retry is granted in turn once first requests allow it', async () => {
+  const budgets = exhaustedBudgets();
   const {signal} = new AbortController();
   const granted: string[] = [];
   for (const name of ['one', 'other']) {
@@ -68,8 +71,8 @@
   expect(granted).toEqual(['one', 'other']);
 });
 
-test('a repeat that is wanted no more is not taken', async () => {
-  const budgets = usedUpBudgets();
+test('a retry that is no longer wanted is not taken', async () => {
+  const budgets = exhaustedBudgets();
   const withdrawal = new AbortController();
   const repeat = budgets.awaitRetry('engines', withdrawal.signal);
   withdrawal.abort();
--- a/test/placement/spreading_load.test.ts
+++ b/test/placement/spreading_load.test.ts
@@ -12,12 +12,12 @@
 const ENGINES = 6;
 const ENTRIES = 3;
 const SLOTS = 16;
-const PER_SECOND = 50;
+const REQUESTS_PER_SECOND = 50;
 const DURATION = 40_000;
 const REPORT_PERIOD = 100;
 const MEAN_PROMPT = 50;
-const WRITING = 1_500;
-const PASS = 150;
+const GENERATION_TIME = 1_500;
+const PASS_TIME = 150;
 const OBJECTIVE = 400;
 
 interface Engine {
@@ -33,8 +33,8 @@
   readonly run: () => void;
 }
 
-/** Numbers from 0 to 1 that are the same in each run. */
-function createNumbers(seed: number): () => number {
+/** Random numbers from 0 to 1 that are the same in each run. */
+function createRandom(seed: number): () => number {
   let count = 0;
   return () => hash32(`${seed}/${(count += 1)}`) / 2 ** 32;
 }
@@ -48,22 +48,22 @@
   }));
 }
 
-/** Plays the load of one zone; returns the share of late first events. */
-function playZone(seed: number): number {
-  const next = createNumbers(seed);
+/** Simulates the load of one zone; returns the share of late first events. */
+function simulateZone(seed: number): number {
+  const next = createRandom(seed);
   const engines = createEngines();
   const entries: readonly SendingEntry[] = Array.from(
     {length: ENTRIES},
     (_, index) => ({instance: `entry-${index}`, zone: 'north'}),
   );
-  const books = entries.map(entry => {
-    const book = createTargetRegistry(entry);
-    book.list(
+  const registries = entries.map(entry => {
+    const registry = createTargetRegistry(entry);
+    registry.list(
       engines.map(({target}) => target),
       0,
     );
-    book.setEntries(entries);
-    return book;
+    registry.setEntries(entries);
+    return registry;
   });
   const events: Event[] = [];
   let sent = 0;
@@ -73,37 +73,39 @@
     engine.sequence += 1;
     const {running, sequence} = engine;
     const {instance, held = []} = engine.target;
-    for (const book of books) {
-      book.report(engineLoad(instance, {held, running, sequence}), now);
+    for (const registry of registries) {
+      registry.report(engineLoad(instance, {held, running, sequence}), now);
     }
   }
 
   function send(arrivedAt: number, prompt: number, now: number): void {
-    const book = books[Math.floor(next() * ENTRIES)]!;
-    const choice = book.choose(engineNeed({expectedRun: WRITING, now}));
+    const registry = registries[Math.floor(next() * ENTRIES)]!;
+    const choice = registry.choose(
+      engineNeed({expectedRun: GENERATION_TIME, now}),
+    );
     if (choice.kind !== 'chosen') {
       events.push({at: now + 10, run: () => send(arrivedAt, prompt, now + 10)});
       return;
     }
     const {target} = choice;
-    const inHand = book.begin(target, {
+    const inFlight = registry.begin(target, {
       promptTime: prompt,
       onIncarnationEnded: () => undefined,
     });
     serve(
       engines.find(engine => engine.target === target)!,
-      inHand,
+      inFlight,
     );
 
     function serve(engine: Engine, request: InFlightRequest): void {
       engine.running += 1;
       engine.readUntil = Math.max(engine.readUntil, now) + prompt;
-      const firstAt = engine.readUntil + PASS * next();
+      const firstAt = engine.readUntil + PASS_TIME * next();
       sent += 1;
       if (firstAt - arrivedAt > OBJECTIVE) late += 1;
       events.push({at: firstAt, run: request.begun});
       events.push({
-        at: firstAt + WRITING * (0.5 + next()),
+        at: firstAt + GENERATION_TIME * (0.5 + next()),
         run: () => {
           engine.running -= 1;
           request.end();
@@ -122,7 +124,7 @@
     const arrivedAt = at;
     const prompt = -Math.log(1 - next()) * MEAN_PROMPT;
     events.push({at, run: () => send(arrivedAt, prompt, arrivedAt)});
-    at += (-Math.log(1 - next()) * 1_000) / PER_SECOND;
+    at += (-Math.log(1 - next()) * 1_000) / REQUESTS_PER_SECOND;
   }
   while (events.length > 0) {
     events.sort((one, other) => other.at - one.at);
@@ -132,12 +134,12 @@
 }
 
 // Three entries see the same least loaded engine in the same report and send
-// their requests to it; prompts wait for one another there while other engines
-// read none, and callers see late first events though the zone has room. Of
-// three days, 4.2% were late by load and slots alone, 3.3% with unread prompts
-// and turns.
+// their requests to it. Prompts wait for one another there while other engines
+// read none, and first events are late although the zone has room. In three
+// simulations, 4.2% were late by load and slots alone, and 3.3% with unread
+// prompts and turns.
 test('few first events of a busy zone are late', () => {
-  const shares = [1, 2, 3].map(playZone);
+  const shares = [1, 2, 3].map(simulateZone);
   const mean = shares.reduce((sum, share) => sum + share, 0) / shares.length;
   expect(mean).toBeLessThan(0.038);
 });
--- a/test/placement/target_registry.test.ts
+++ b/test/placement/target_registry.test.ts
@@ -11,29 +11,29 @@
 const engine = (instance: string, zone = 'north') =>
   engineTarget(instance, {zone});
 
-function bookOf(...targets: ListedTarget[]) {
-  const book = createTargetRegistry(self);
-  book.list(targets, 0);
-  return book;
+function registryOf(...targets: ListedTarget[]) {
+  const registry = createTargetRegistry(self);
+  registry.list(targets, 0);
+  return registry;
 }
 
-test('goes to the engine with the lower load', () => {
-  const book = bookOf(engine('one'), engine('two'));
-  book.report(load('one', {running: 9}), 0);
-  book.report(load('two', {running: 3}), 0);
-  expect(book.choose(need())).toMatchObject({target: {instance: 'two'}});
+test('chooses the engine with the lower load', () => {
+  const registry = registryOf(engine('one'), engine('two'));
+  registry.report(load('one', {running: 9}), 0);
+  registry.report(load('two', {running: 3}), 0);
+  expect(registry.choose(need())).toMatchObject({target: {instance: 'two'}});
 });
 
-// An engine comes back empty after it loaded a version. Given 16 prompts at
-// once it reads them one after the other, and all first events are late.
-test('gives an empty engine only as many prompts as it reads in time', () => {
-  const book = bookOf(engine('one'));
-  book.report(load('one'), 0);
+// An engine comes back empty after it has loaded a version. It reads prompts
+// one after the other, so with 16 at once all first events would be late.
+test('sends an empty engine only as many prompts as it reads in time', () => {
+  const registry = registryOf(engine('one'));
+  registry.report(load('one'), 0);
   let sent = 0;
   for (;;) {
-    const choice = book.choose(need());
+    const choice = registry.choose(need());
     if (choice.kind !== 'chosen') break;
-    book.begin(choice.target, {
+    registry.begin(choice.target, {
       promptTime: 0,
       onIncarnationEnded: () => undefined,
     });
@@ -42,58 +42,59 @@
   expect(sent).toBe(3);
 });
 
-// The engines of a zone are lost. An empty engine of another zone takes its
-// requests; refused, its callers alone would go without.
+// If the engines of a zone are lost, an empty engine of another zone must take
+// its requests. Otherwise its callers alone would be refused.
 test('sends to an empty engine of another zone if there is no near one', () => {
-  const book = bookOf(engine('one', 'south'));
-  book.setEntries([self, {instance: 'other', zone: 'south'}]);
-  book.report(load('one'), 0);
-  expect(book.choose(need()).kind).toBe('chosen');
+  const registry = registryOf(engine('one', 'south'));
+  registry.setEntries([self, {instance: 'other', zone: 'south'}]);
+  registry.report(load('one'), 0);
+  expect(registry.choose(need()).kind).toBe('chosen');
 });
 
 test('sends nothing to an engine that loads weights', () => {
-  const book = bookOf(engine('one'));
-  book.report(load('one', {ordering: true}), 0);
-  expect(book.choose(need()).kind).toBe('full');
+  const registry = registryOf(engine('one'));
+  registry.report(load('one', {ordering: true}), 0);
+  expect(registry.choose(need()).kind).toBe('full');
 });
 
 test('sends nothing to an engine with an older version than may start', () => {
-  const book = bookOf(engine('one'), engine('two'));
-  book.report(load('two', {held: [{model: 'model', version: 2}]}), 0);
-  const choice = book.choose(need({minVersion: 2}));
+  const registry = registryOf(engine('one'), engine('two'));
+  registry.report(load('two', {held: [{model: 'model', version: 2}]}), 0);
+  const choice = registry.choose(need({minVersion: 2}));
   expect(choice).toMatchObject({target: {instance: 'two'}});
   const {target} = choice as {readonly target: ListedTarget};
-  expect(book.heldVersion(target, 'model', 0)).toBe(2);
+  expect(registry.heldVersion(target, 'model', 0)).toBe(2);
 });
 
 // An engine is to load a version in 300 ms. A long request sent there would
-// keep it from loading while its other slots stand idle.
+// keep it from loading while its other slots are idle.
 test('keeps a long request from an engine that is about to load', () => {
-  const book = bookOf(engine('one'), engine('two'));
-  book.report(load('one', {running: 2, loadsIn: 300}), 0);
-  book.report(load('two', {running: 6}), 0);
-  const instanceFor = (expectedRun: number) => book.choose(need({expectedRun}));
+  const registry = registryOf(engine('one'), engine('two'));
+  registry.report(load('one', {running: 2, loadsIn: 300}), 0);
+  registry.report(load('two', {running: 6}), 0);
+  const instanceFor = (expectedRun: number) =>
+    registry.choose(need({expectedRun}));
   expect(instanceFor(2_000)).toMatchObject({target: {instance: 'two'}});
   expect(instanceFor(100)).toMatchObject({target: {instance: 'one'}});
 });
 
-test('an old report says nothing of the load now', () => {
-  const book = bookOf(engine('one'));
-  book.report(load('one', {running: 17}), 0);
-  expect(book.choose(need({now: 100})).kind).toBe('full');
-  expect(book.choose(need({now: 5_000})).kind).toBe('chosen');
+test('an old report is not used for the current load', () => {
+  const registry = registryOf(engine('one'));
+  registry.report(load('one', {running: 17}), 0);
+  expect(registry.choose(need({now: 100})).kind).toBe('full');
+  expect(registry.choose(need({now: 5_000})).kind).toBe('chosen');
 });
 
-test('a target that fails twice is left alone for a while', () => {
-  const book = bookOf(engine('one'), engine('two'));
+test('a target that fails twice is avoided for a while', () => {
+  const registry = registryOf(engine('one'), engine('two'));
   const one = engine('one');
-  book.recordFailure(one, 0);
-  book.recordFailure(one, 0);
+  registry.recordFailure(one, 0);
+  registry.recordFailure(one, 0);
   for (let count = 0; count < 4; count += 1) {
-    const choice = book.choose(need({now: 100}));
+    const choice = registry.choose(need({now: 100}));
     expect(choice).toMatchObject({target: {instance: 'two'}});
     if (choice.kind === 'chosen') {
-      book.begin(choice.target, {
+      registry.begin(choice.target, {
         promptTime: 0,
         onIncarnationEnded: () => undefined,
       });
@@ -101,11 +102,11 @@
   }
 });
 
-// The link between two regions is choked for seconds. A request that is sent in
-// time reaches an engine there after the bound of the version it holds.
+// The link between two regions is congested for seconds. A request that is sent
+// in time may reach an engine there after the bound of the version it holds.
 test('an engine in another zone starts nothing older before its bound', () => {
-  const book = bookOf(engine('one', 'south'));
-  book.report(load('one'), 0);
-  expect(book.choose(need({minFarVersion: 2}))).toEqual({kind: 'none'});
-  expect(book.choose(need())).toMatchObject({kind: 'chosen'});
+  const registry = registryOf(engine('one', 'south'));
+  registry.report(load('one'), 0);
+  expect(registry.choose(need({minFarVersion: 2}))).toEqual({kind: 'none'});
+  expect(registry.choose(need())).toMatchObject({kind: 'chosen'});
 });
