--- a/packages/core/src/configuration/commands/abandon_plan.ts
+++ b/packages/core/src/configuration/commands/abandon_plan.ts
@@ -9,7 +9,7 @@
   retryAfter,
 } from './table_steps';
 
-/** Gives a plan up for good: it can never be confirmed afterwards. */
+/** Abandons a plan permanently: it can't be confirmed afterwards. */
 export function* abandonPlan(
   planId: PlanId,
 ): TableFlow<Result<void, PlanCommitFault>> {
--- a/packages/core/src/configuration/commands/confirm_plan.ts
+++ b/packages/core/src/configuration/commands/confirm_plan.ts
@@ -33,29 +33,35 @@
 } from './table_steps';
 
 /**
- * Bodies that are kept, counted from the head. Each commit deletes the one
- * that falls out, so the table holds at most so many. Enough for operators to
- * look back and for a starting process to read the body that it saw as head.
+ * Number of bodies that the table keeps, counted from the head. Each commit
+ * deletes the oldest one beyond it. The history is for operators, and for a
+ * starting process that reads the body of the head it saw.
  */
 export const BODIES_KEPT = 64;
 
-/** What committing a generation needs. */
+/** Dependencies and limits of committing a generation. */
 export interface CommitOptions {
   readonly digestText: DigestText;
-  /** Bodies that the table keeps, the head's included; {@link BODIES_KEPT}. */
+  /**
+   * Bodies that the table keeps, including the head's; defaults to
+   * {@link BODIES_KEPT}.
+   */
   readonly bodiesKept?: number;
 }
 
-/** A plan that is part of the line of accepted configurations. */
+/** A plan that has become an accepted configuration. */
 export interface ConfirmedPlan {
   readonly accepted: AcceptedConfiguration;
-  /** True if the plan was confirmed before; nothing changed this time. */
+  /**
+   * True if the plan had been confirmed before, so that this call changed
+   * nothing.
+   */
   readonly wasConfirmed: boolean;
 }
 
 /**
- * Makes a stored plan the next generation, in one transaction. Safe to repeat:
- * a plan is applied at most once, whichever replies are lost.
+ * Makes a stored plan the next generation, in one transaction. Safe to retry: a
+ * plan is applied at most once, whichever replies are lost.
  */
 export function* confirmPlan(
   planId: PlanId,
@@ -71,9 +77,9 @@
   if (decodeAccepted(accepted, options.digestText) === undefined) {
     return new Err({kind: 'malformedRow', key: planKey(planId)});
   }
-  // Failure: a plan made on an older generation would silently undo what was
-  // accepted since. Its base must be the head, and the head's row version is a
-  // condition of the commit, so that no other change fits in between.
+  // A plan made on an older generation would silently undo what was accepted
+  // since. Its base must be the head, and the head's row version is a condition
+  // of the commit, so that no other change can be accepted in between.
   if ((head?.value.generation ?? 0) !== plan.base) {
     return new Err(yield* describeConflict(plan, head?.value));
   }
@@ -97,7 +103,7 @@
   }
 }
 
-/** Finds by the plan's id whether the plan was applied. */
+/** Determines by the plan's id whether the plan was applied. */
 function* readBack(
   plan: Plan,
 ): TableFlow<Result<ConfirmedPlan, PlanCommitFault>> {
@@ -111,7 +117,8 @@
   const {head, planRow} = rows.val;
   const settled = settledOutcome(planRow.value);
   if (settled !== undefined) return settled;
-  // Still planned with the head moved: the commit can never take effect.
+  // The plan is unconfirmed and the head has moved, so the commit can't take
+  // effect any more.
   if ((head?.value.generation ?? 0) === plan.base) return new Err(unknown);
   return new Err(yield* describeConflict(plan, head?.value));
 }
@@ -122,9 +129,9 @@
 }
 
 /**
- * Failure: an operator is told that another change came first, when that
- * change is this very plan, confirmed by somebody else between the two reads.
- * With the head read first, a plan that moved it reads as confirmed.
+ * Reads the head before the plan, so that a plan that moved the head reads as
+ * confirmed. In the other order, a plan that somebody else confirms between the
+ * two reads would be reported as overtaken by itself.
  */
 function* readHeadThenPlan(
   planId: PlanId,
@@ -157,7 +164,10 @@
   return {generation, digest, planId, configuration};
 }
 
-/** A plan must not touch what a move has closed and is about to open. */
+/**
+ * Finds an unfinished move that shares a subject with the plan: what a move has
+ * closed and will reopen must not change meanwhile.
+ */
 function* findConflictingMove(
   plan: Plan,
   head: HeadRow | undefined,
@@ -168,7 +178,8 @@
     if (!row.ok) return row.val;
     const move = row.val === undefined ? undefined : decodeMoveRow(row.val);
     if (move === undefined) return {kind: 'malformedRow', key};
-    // The older system must not be off when the move gives it something.
+    // A move may hand items to the older system, so that it must not be
+    // switched off meanwhile.
     const moving = [SITE_SUBJECT, ...move.move.items.map(subjectOfItem)];
     const shared = sharedSubjects(planSubjects(plan), moving);
     if (shared.length > 0) {
@@ -194,8 +205,9 @@
     conditions: [
       headCondition(head),
       {kind: 'absent', key: bodyKey(generation)},
-      // Failure: a plan abandoned by one operator while another confirms it
-      // would still be applied. Each of the two changes this row's version.
+      // Confirming and abandoning both change this row's version, so that a
+      // plan which one operator abandons while another confirms it is not
+      // applied.
       {
         kind: 'versionIs',
         key: planKey(planId),
@@ -210,14 +222,17 @@
   };
 }
 
-/** The condition that the head is still as it was read. */
+/** Condition that the head has not changed since it was read. */
 function headCondition(head: Versioned<HeadRow> | undefined): TableCondition {
   return head === undefined
     ? {kind: 'absent', key: HEAD_KEY}
     : {kind: 'versionIs', key: HEAD_KEY, version: head.version};
 }
 
-/** Writes of a new generation: its body, the head, and the trimmed body. */
+/**
+ * Writes of a new generation: its body, the head, and the deletion of the
+ * oldest body.
+ */
 export function acceptedWrites(
   accepted: AcceptedConfiguration,
   head: HeadRow,
--- a/packages/core/src/configuration/commands/describe_conflict.ts
+++ b/packages/core/src/configuration/commands/describe_conflict.ts
@@ -10,10 +10,13 @@
 } from '../types';
 import {readRowOrFault, readPlan} from './read_state';
 
-/** Most accepted changes that a conflict names, to bound its table reads. */
+/**
+ * Maximum number of accepted changes that a conflict reports, which bounds its
+ * table reads.
+ */
 const MAX_REPORTED_CHANGES = 5;
 
-/** The answer to a plan whose base is no longer the head. */
+/** Builds the fault for a plan whose base is no longer the head. */
 export function* describeConflict(
   plan: Plan,
   head: HeadRow | undefined,
--- a/packages/core/src/configuration/commands/generation_manager.ts
+++ b/packages/core/src/configuration/commands/generation_manager.ts
@@ -17,54 +17,59 @@
 } from '../types';
 import {DEFAULT_GENERATION_MANAGER_BOUNDS} from './generation_manager_bounds';
 
-/** What a generation keeper is made from. */
+/** Options of a generation manager. */
 export interface GenerationManagerOptions {
   readonly instance: InstanceName;
   readonly digestText: DigestText;
-  /** What `learnGeneration` returned. */
+  /** Result of `learnGeneration`. */
   readonly start: AcceptedConfiguration;
   readonly startedAt: MonotonicInstant;
   readonly bounds?: GenerationManagerBounds;
 }
 
-/** One process's hold on the configuration in force. */
+/**
+ * Tracks the configuration in force for one process and propagates it to peers.
+ */
 export interface GenerationManager {
   readonly current: () => AcceptedConfiguration;
-  /** Takes a configuration from the table or a peer, if it is higher. */
+  /**
+   * Adopts a configuration from the table or a peer if its generation is higher
+   * than the current one.
+   */
   readonly offer: (
     value: unknown,
     source: OfferSource,
     now: MonotonicInstant,
   ) => Result<readonly GenerationManagerEffect[], OfferFault>;
-  /** Takes the generation that a peer's heartbeat carried. */
+  /** Handles the generation in a peer's heartbeat. */
   readonly receivePeerGeneration: (
     peer: InstanceName,
     generation: Generation,
     now: MonotonicInstant,
   ) => readonly GenerationManagerEffect[];
-  /** Takes the generation of the head row; 0 if there is no such row. */
+  /** Handles the generation of the head row; 0 if there is no such row. */
   readonly receiveHead: (
     generation: Generation,
     now: MonotonicInstant,
   ) => readonly GenerationManagerEffect[];
-  /** Takes that a peer did not send its configuration. */
+  /** Handles a pull in which the peer sent no configuration. */
   readonly recordPullFailure: (
     peer: InstanceName,
     now: MonotonicInstant,
   ) => readonly GenerationManagerEffect[];
-  /** To be called a few times a second. */
+  /** Must be called a few times a second. */
   readonly tick: (
     tick: GenerationManagerTick,
   ) => readonly GenerationManagerEffect[];
   readonly dump: () => GenerationManagerDump;
 }
 
-/** A keeper's state, for people. */
+/** State of a generation manager, for diagnosis. */
 export interface GenerationManagerDump {
   readonly generation: Generation;
   readonly digest: string;
   readonly planId: string;
-  /** Highest generation that the platform or a peer has named. */
+  /** Highest generation that the platform or a peer has reported. */
   readonly highestHeard: Generation;
   readonly pullingFrom: InstanceName | undefined;
 }
@@ -74,7 +79,7 @@
   readonly startedAt: MonotonicInstant;
 }
 
-/** Makes the part that adopts, spreads and looks for generations. */
+/** Creates a manager that adopts, announces and polls for generations. */
 export function createGenerationManager(
   options: GenerationManagerOptions,
 ): GenerationManager {
@@ -85,7 +90,8 @@
   let peers: readonly InstanceName[] = [];
   let pull: Pull | undefined;
   let nextPollAt: MonotonicInstant | undefined;
-  const peerGenerations = new Map<InstanceName, Generation>();
+  /** Generations reported by peers. */
+  const seen = new Map<InstanceName, Generation>();
 
   function offer(
     value: unknown,
@@ -94,25 +100,22 @@
   ): Result<readonly GenerationManagerEffect[], OfferFault> {
     if (source.kind === 'peer') endPull(source.peer);
     const accepted = decodeAccepted(value, digestText);
-    // Failure: a damaged or half-written body would be in force here and
-    // nowhere else. Its digest covers all of the configuration.
+    // The digest covers the whole configuration, so that a damaged or partially
+    // written body is not adopted.
     if (accepted === undefined) {
-      if (source.kind === 'peer') peerGenerations.delete(source.peer);
+      if (source.kind === 'peer') seen.delete(source.peer);
       return new Err({kind: 'notGenuine'});
     }
-    // Failure: messages arrive late and crossed; an older configuration would
-    // revert an accepted one. Generations never go down here.
+    // Messages may arrive late and out of order. The generation of a process
+    // never decreases, so that an old configuration can't revert an accepted
+    // one.
     if (accepted.generation <= current.generation) {
-      if (source.kind === 'peer') {
-        peerGenerations.set(source.peer, accepted.generation);
-      }
+      if (source.kind === 'peer') seen.set(source.peer, accepted.generation);
       return new Err({kind: 'notHigher', current: current.generation});
     }
     current = accepted;
     head = Math.max(head, accepted.generation);
-    if (source.kind === 'peer') {
-      peerGenerations.set(source.peer, accepted.generation);
-    }
+    if (source.kind === 'peer') seen.set(source.peer, accepted.generation);
     return new Ok([
       {kind: 'adopted', accepted},
       ...announce(),
@@ -122,9 +125,7 @@
 
   function announce(): readonly GenerationManagerEffect[] {
     const {generation} = current;
-    const behind = peers.filter(
-      peer => (peerGenerations.get(peer) ?? 0) < generation,
-    );
+    const behind = peers.filter(peer => (seen.get(peer) ?? 0) < generation);
     const subject = `${instance}/${generation}`;
     const chosen = rendezvousOrder(subject, behind).slice(0, bounds.fanOut);
     if (chosen.length === 0) return [];
@@ -136,7 +137,7 @@
     generation: Generation,
     now: MonotonicInstant,
   ): readonly GenerationManagerEffect[] {
-    peerGenerations.set(peer, generation);
+    seen.set(peer, generation);
     return catchUp(now);
   }
 
@@ -146,10 +147,9 @@
   ): readonly GenerationManagerEffect[] {
     head = Math.max(head, generation);
     if (head <= current.generation) return [];
-    const holders = [...peerGenerations.values()].filter(
-      known => known >= head,
-    );
-    // A peer that has it spares the table a read of the whole body.
+    const holders = [...seen.values()].filter(known => known >= head);
+    // Pulling from a peer that holds the generation saves reading the whole
+    // body from the table.
     if (holders.length > 0 && pull === undefined) return catchUp(now);
     return [{kind: 'readBody', generation: head}];
   }
@@ -159,7 +159,7 @@
       return [];
     }
     const tried = pull?.peer;
-    const ahead = [...peerGenerations]
+    const ahead = [...seen]
       .filter(([peer, known]) => known > current.generation && peer !== tried)
       .sort(([, left], [, right]) => right - left);
     const [best] = ahead;
@@ -187,7 +187,7 @@
     now: MonotonicInstant,
   ): readonly GenerationManagerEffect[] {
     endPull(peer);
-    peerGenerations.delete(peer);
+    seen.delete(peer);
     return catchUp(now);
   }
 
@@ -200,18 +200,16 @@
   ): readonly GenerationManagerEffect[] {
     peers = next.peers;
     const known = new Set(peers);
-    for (const peer of peerGenerations.keys()) {
-      if (!known.has(peer)) peerGenerations.delete(peer);
-    }
+    for (const peer of seen.keys()) if (!known.has(peer)) seen.delete(peer);
     return [...catchUp(next.now), ...pollHead(next)];
   }
 
   function pollHead(
     next: GenerationManagerTick,
   ): readonly GenerationManagerEffect[] {
-    // Failure: hundreds of processes that poll at a fixed period use up the
-    // table's reads, which the older system and claims need as well. The
-    // period grows with the number of processes, so that the total is fixed.
+    // The period grows with the number of processes, so that the total read
+    // rate is fixed. Hundreds of processes with a fixed period would use up the
+    // table's reads, which the older system and claims need as well.
     const shared = (next.liveProcesses / bounds.headReadsPerSecond) * 1_000;
     const period = Math.max(bounds.minPollPeriod, shared);
     nextPollAt ??= options.startedAt + period * pollPhase(instance);
@@ -231,13 +229,16 @@
       generation: current.generation,
       digest: current.digest,
       planId: current.planId,
-      highestHeard: Math.max(head, ...peerGenerations.values()),
+      highestHeard: Math.max(head, ...seen.values()),
       pullingFrom: pull?.peer,
     }),
   };
 }
 
-/** Where in the first period an instance polls, in [0, 1): spread evenly. */
+/**
+ * Phase of an instance's first poll within the period, in [0, 1), spread evenly
+ * over instances.
+ */
 function pollPhase(instance: InstanceName): number {
   return hash32(instance) / 2 ** 32;
 }
--- a/packages/core/src/configuration/commands/generation_manager_bounds.ts
+++ b/packages/core/src/configuration/commands/generation_manager_bounds.ts
@@ -1,14 +1,18 @@
 import type {GenerationManagerBounds} from '../types';
 
-/** Bounds that hold on sites of up to several hundred processes. */
+/** Defaults for sites of up to several hundred processes. */
 export const DEFAULT_GENERATION_MANAGER_BOUNDS: GenerationManagerBounds = {
-  // The table gives 2,000 reads a second to everybody; this is 1 percent.
+  // 1% of the 2,000 reads per second that the table allows all its users
+  // together.
   headReadsPerSecond: 20,
-  // On a small site more polling would find nothing sooner than heartbeats do.
+  // On a small site, heartbeats report a change sooner than more frequent
+  // polling would.
   minPollPeriod: 1_000,
-  // With 6 peers each, a few rounds of announcements reach several hundred.
+  // With 6 peers each, a few rounds of announcements reach several hundred
+  // processes.
   fanOut: 6,
-  // A pull within the site takes a few milliseconds; a frozen peer takes for
-  // ever, and its pull must leave time for others within the 4 s to be in force.
+  // A pull within the site takes a few milliseconds. A frozen peer never
+  // answers, and time for pulls from other peers must remain within the 4 s in
+  // which a configuration must be in force.
   pullTimeout: 400,
 };
--- a/packages/core/src/configuration/commands/learn_generation.ts
+++ b/packages/core/src/configuration/commands/learn_generation.ts
@@ -12,31 +12,37 @@
 import {bodyKey, decodeAccepted, decodeHead, HEAD_KEY} from '../queries/rows';
 import type {PeerAnswer, StartEffect, StartFlow, StartReply} from '../types';
 
-/** Most peers that one starting process asks: bounds the load of a restart. */
+/**
+ * Maximum number of peers that a starting process queries, which bounds the
+ * load of a restart.
+ */
 const MAX_QUERIED_PEERS = 64;
 
-/** Pause before the platform and the peers are asked again. */
+/** Pause before the platform and the peers are queried again. */
 const RETRY_DELAY: Milliseconds = 500;
 
-/** What a starting process needs to know of itself. */
+/** Options of {@link learnGeneration}. */
 export interface LearnGenerationOptions {
   readonly instance: InstanceName;
   readonly digestText: DigestText;
 }
 
 /**
- * Learns the generation in force; a process is not ready before it returns.
- * The platform's word is final. While it does not answer, the highest
- * generation of the peers counts, once more than half of those asked are
- * ready and have answered. Asks again for as long as neither is to be had.
+ * Determines the generation in force. A process is not ready before this
+ * returns.
+ *
+ * The platform's answer is authoritative. While the platform does not answer,
+ * the highest generation of the peers is used, once more than half of the
+ * queried peers are ready and have answered. Retries until either source
+ * answers.
  */
 export function* learnGeneration(options: LearnGenerationOptions): StartFlow {
   let lowest: Generation = 0;
   for (;;) {
     const platform = yield* queryPlatform(options.digestText);
     if (platform.kind === 'known') return platform.accepted;
-    // Failure: the head is read, then the platform goes down, and peers that
-    // lag behind it answer. What the platform has said once is not forgotten.
+    // Keeps the head's generation as a minimum. The platform may go down after
+    // the head was read, and peers that lag behind it may answer.
     lowest = Math.max(lowest, platform.lowest);
     const fromPeers = yield* queryPeers(options, lowest);
     if (fromPeers !== undefined) return fromPeers;
@@ -87,9 +93,10 @@
   const reply = yield {kind: 'askPeers', peers: queried};
   if (reply.kind !== 'peerAnswers') throw new Error('driver: expected answers');
   const ready = reply.answers.filter(isReady);
-  // Failure: a process is replaced during an outage, asks one lagging peer and
-  // takes up an older configuration than its predecessor had. With more than
-  // half of those asked, a generation that half of them hold is always seen.
+  // Requires answers from more than half of the queried peers, so that a
+  // generation held by half of them is always seen. Otherwise a process that is
+  // replaced during an outage could query one lagging peer and adopt an older
+  // configuration than its predecessor had.
   if (ready.length * 2 <= queried.length) return undefined;
   const highest = Math.max(lowest, ...ready.map(answer => answer.generation));
   const holders = ready.filter(answer => answer.generation >= highest);
--- a/packages/core/src/configuration/commands/read_state.ts
+++ b/packages/core/src/configuration/commands/read_state.ts
@@ -4,13 +4,13 @@
 import type {HeadRow, PlanCommitFault, PlanRow, TableFlow} from '../types';
 import {describePlatformError, readRow, retryAfter} from './table_steps';
 
-/** A row's value with the version to make a write conditional on. */
+/** A row's value with its version, for conditional writes. */
 export interface Versioned<Value> {
   readonly value: Value;
   readonly version: number;
 }
 
-/** Reads the head; undefined on a site that has accepted nothing yet. */
+/** Reads the head row; undefined on a site without any accepted change. */
 export function* readHead(): TableFlow<
   Result<Versioned<HeadRow> | undefined, PlanCommitFault>
 > {
@@ -37,7 +37,7 @@
   return new Ok({value, version: row.val.version});
 }
 
-/** Reads a row; a platform error becomes the operator's. */
+/** Reads a row; a platform error becomes a fault for the operator. */
 export function* readRowOrFault(
   key: TableKey,
 ): TableFlow<Result<TableRow | undefined, PlanCommitFault>> {
--- a/packages/core/src/configuration/commands/store_plan.ts
+++ b/packages/core/src/configuration/commands/store_plan.ts
@@ -9,7 +9,7 @@
   retryAfter,
 } from './table_steps';
 
-/** Keeps a plan, so that any entry can confirm it. Changes nothing else. */
+/** Stores a plan, so that any entry can confirm it. Changes nothing else. */
 export function* storePlan(
   plan: Plan,
 ): TableFlow<Result<Plan, PlanCommitFault>> {
--- a/packages/core/src/configuration/commands/table_steps.ts
+++ b/packages/core/src/configuration/commands/table_steps.ts
@@ -9,19 +9,22 @@
 } from '../../types';
 import type {TableFlow} from '../types';
 
-/** Tries of one transaction whose replies are lost, before giving up. */
+/** Maximum number of attempts for a transaction whose replies are lost. */
 const MAX_ATTEMPTS = 4;
 
-/** Pause between tries: a platform that drops replies needs no more load. */
+/**
+ * Pause between attempts, which limits the load on a platform that drops
+ * replies.
+ */
 const RETRY_PAUSE: Milliseconds = 250;
 
-/** Time after which an operator may ask again, if the platform names none. */
+/** Time after which an operator may retry, if the platform names none. */
 const DEFAULT_RETRY_AFTER: Milliseconds = 5_000;
 
-/** What is known of a transaction after all tries. */
+/** What is known of a transaction after all attempts. */
 export type CommitStatus =
   | {readonly kind: 'committed'}
-  /** Some condition failed, perhaps because an earlier try took effect. */
+  /** A condition failed, perhaps because an earlier attempt took effect. */
   | {readonly kind: 'conditionFailed'}
   | {readonly kind: 'notApplied'; readonly error: PlatformError}
   | {readonly kind: 'unknown'};
@@ -52,8 +55,8 @@
 
 /**
  * Commits a transaction that can take effect only once, because its own writes
- * break its conditions. A lost reply is answered by trying again: the second
- * try then fails on the conditions that the first one broke.
+ * break its conditions. A lost reply is followed by a retry, which fails on the
+ * conditions if the first attempt took effect.
  */
 export function* commitWithRetries(
   transaction: TableTransaction,
@@ -63,21 +66,21 @@
     if (attempts > 0) yield* pause(RETRY_PAUSE);
     const result = yield* commitOnce(transaction);
     if (result.ok) return {kind: result.val.kind};
-    // Failure: "platform unavailable, nothing changed" after a try whose reply
-    // was lost tells an operator that an accepted change was not made. Only
-    // while no reply has been lost does an error prove that nothing happened.
+    // An error proves that nothing changed only if no reply has been lost
+    // before. After a lost reply, reporting "platform unavailable, nothing
+    // changed" could hide an accepted change.
     if (result.val.kind === 'replyLost') mayBeApplied = true;
     if (!mayBeApplied) return {kind: 'notApplied', error: result.val};
   }
   return {kind: 'unknown'};
 }
 
-/** When to come back after a platform error. */
+/** Time to wait before a retry after a platform error. */
 export function retryAfter(error: PlatformError): Milliseconds {
   return error.kind === 'rateLimited' ? error.retryAfter : DEFAULT_RETRY_AFTER;
 }
 
-/** A platform error in words. */
+/** Formats a platform error for an operator. */
 export function describePlatformError(error: PlatformError): string {
   return error.kind === 'rateLimited' ? 'rate limited' : error.detail;
 }
--- a/packages/core/src/configuration/queries/apply_change.ts
+++ b/packages/core/src/configuration/queries/apply_change.ts
@@ -21,7 +21,7 @@
 } from './draft';
 import {lookUp} from './lookup';
 
-/** A workspace that no intent has described yet. */
+/** Defaults of a workspace that no intent has described yet. */
 export const DEFAULT_WORKSPACE: WorkspaceConfiguration = {
   owner: 'hibiscusbeam',
   open: true,
@@ -30,7 +30,7 @@
   requestsPerSecond: 100,
 };
 
-/** Applies one change to the draft, or says why it can't be. */
+/** Applies one change to the draft, or returns the reasons against it. */
 export function applyChange(
   draft: Draft,
   change: IntentChange,
--- a/packages/core/src/configuration/queries/apply_move.ts
+++ b/packages/core/src/configuration/queries/apply_move.ts
@@ -10,8 +10,8 @@
 import {lookUp} from './lookup';
 
 /**
- * Closes what an `own` change moves. Both sides read the closed state as "not
- * mine to serve"; the move flow opens it on the new side in a later generation.
+ * Closes the items that an `own` change moves. Neither side serves a closed
+ * item; the move flow opens it on the new side in a later generation.
  */
 export function applyMove(
   draft: Draft,
--- a/packages/core/src/configuration/queries/choose_targets.ts
+++ b/packages/core/src/configuration/queries/choose_targets.ts
@@ -5,13 +5,13 @@
 import {planFault} from './draft';
 import {lookUp} from './lookup';
 
-/** The targets of a `serve` change, or why they can't be had. */
+/** The targets of a `serve` change, or the reasons why there are none. */
 export interface ChosenTargets {
   readonly targets: readonly TargetName[];
   readonly faults: readonly PlanFault[];
 }
 
-/** Resolves a choice by instances, zone or count to target names, sorted. */
+/** Resolves a choice by instances, zone or count to sorted target names. */
 export function chooseTargets(
   change: ServeChange,
   configuration: SiteConfiguration,
@@ -96,7 +96,10 @@
   return choice.zone === undefined || choice.zone === zone;
 }
 
-/** Those that serve the model first, then live ones, then the least used. */
+/**
+ * Orders by: serving the model already, live, number of models served
+ * (ascending).
+ */
 function orderByPreference(
   change: ServeChange,
   candidates: readonly TargetName[],
--- a/packages/core/src/configuration/queries/configuration_digest.ts
+++ b/packages/core/src/configuration/queries/configuration_digest.ts
@@ -7,7 +7,9 @@
 } from '../../types';
 import {canonicalJson} from '../../utils/canonical_json';
 
-/** Digest of a configuration as the plan with `planId` brings it. */
+/**
+ * Digest of a configuration together with the id of the plan that creates it.
+ */
 export function digestConfiguration(
   digestText: DigestText,
   planId: PlanId,
@@ -18,7 +20,7 @@
   );
 }
 
-/** Whether the configuration is the one that its digest names. */
+/** Whether the digest of an accepted configuration matches its content. */
 export function hasValidDigest(
   digestText: DigestText,
   accepted: AcceptedConfiguration,
--- a/packages/core/src/configuration/queries/describe_changes.ts
+++ b/packages/core/src/configuration/queries/describe_changes.ts
@@ -13,7 +13,9 @@
 
 const ABSENT = 'absent';
 
-/** Every difference between two configurations, in words for an operator. */
+/**
+ * Lists all differences between two configurations, in words for an operator.
+ */
 export function describeChanges(
   before: SiteConfiguration,
   after: SiteConfiguration,
--- a/packages/core/src/configuration/queries/draft.ts
+++ b/packages/core/src/configuration/queries/draft.ts
@@ -6,19 +6,19 @@
 } from '../../types';
 import type {MoveItem, PlanFault, PlanFaultReason} from '../types';
 
-/** A plan in the making: the configuration so far and what is to move. */
+/** An unfinished plan: the configuration so far and the items to move. */
 export interface Draft {
   readonly configuration: SiteConfiguration;
   readonly moved: readonly MoveItem[];
 }
 
-/** What one change makes of a draft; with faults the draft stays as it was. */
+/** Result of one change. If there are faults, the draft is unchanged. */
 export interface ChangedDraft {
   readonly draft: Draft;
   readonly faults: readonly PlanFault[];
 }
 
-/** A fault about the change at `path`. */
+/** Creates a fault of the change at `path`. */
 export function planFault(
   kind: PlanFaultReason,
   path: string,
@@ -27,7 +27,7 @@
   return {kind, path, detail};
 }
 
-/** The draft with one target added or replaced. */
+/** Returns the draft with one target added or replaced. */
 export function withTarget(
   draft: Draft,
   name: string,
@@ -38,7 +38,7 @@
   return {...draft, configuration: {...configuration, targets}};
 }
 
-/** The draft with one model added or replaced. */
+/** Returns the draft with one model added or replaced. */
 export function withModel(
   draft: Draft,
   name: string,
@@ -49,7 +49,7 @@
   return {...draft, configuration: {...configuration, models}};
 }
 
-/** The draft with one workspace added or replaced. */
+/** Returns the draft with one workspace added or replaced. */
 export function withWorkspace(
   draft: Draft,
   name: string,
@@ -60,7 +60,7 @@
   return {...draft, configuration: {...configuration, workspaces}};
 }
 
-/** The draft with `target` taken off every model that it serves. */
+/** Returns the draft with `target` removed from every model that it serves. */
 export function withoutServing(draft: Draft, target: string): Draft {
   const models = Object.entries(draft.configuration.models);
   return models.reduce((changed, [name, model]) => {
--- a/packages/core/src/configuration/queries/estimate_transfers.ts
+++ b/packages/core/src/configuration/queries/estimate_transfers.ts
@@ -2,7 +2,7 @@
 import type {PlanCapacity, PlanFacts, PlanWarning} from '../types';
 import {lookUp} from './lookup';
 
-/** What moving weights takes at the least. */
+/** Lower bounds for the transfer of weights. */
 export interface TransferEstimate {
   readonly originBytes: Bytes;
   /** Lower bound from the rates of the links; see {@link estimateMinSeconds}. */
@@ -15,7 +15,10 @@
   readonly fromOrigin: boolean;
 }
 
-/** Bytes from the origin, and the least time, to go from `before` to `after`. */
+/**
+ * Estimates the bytes from the origin and the minimum time for the change from
+ * `before` to `after`.
+ */
 export function estimateTransfers(
   before: SiteConfiguration,
   after: SiteConfiguration,
@@ -54,8 +57,9 @@
 }
 
 /**
- * max(one copy over the origin's rate, the largest version over an instance's
- * link, all copies over all that the origin and the receivers can send).
+ * The maximum of: one copy at the origin's rate, the largest version at the
+ * rate of an instance's link, and all copies at the total send rate of the
+ * origin and the receivers.
  */
 function estimateMinSeconds(
   transfers: readonly ModelTransfer[],
@@ -82,7 +86,10 @@
   );
 }
 
-/** How many targets serve each changed model while the plan runs. */
+/**
+ * Counts the targets that serve each changed model while the plan is carried
+ * out.
+ */
 export function estimateCapacity(
   before: SiteConfiguration,
   after: SiteConfiguration,
@@ -105,7 +112,7 @@
   return capacities;
 }
 
-/** What an operator should know before confirming. */
+/** Finds warnings that an operator should see before confirming. */
 export function findWarnings(
   before: SiteConfiguration,
   after: SiteConfiguration,
--- a/packages/core/src/configuration/queries/generation_status.ts
+++ b/packages/core/src/configuration/queries/generation_status.ts
@@ -2,10 +2,13 @@
 import type {GenerationStatus, ProcessGeneration} from '../types';
 import {decodePlanRow} from './rows';
 
-/** Generations behind the head after which nobody looks at a plan any more. */
+/** Number of generations behind the head after which a plan row is deleted. */
 const PLAN_HISTORY = 64;
 
-/** Whether a generation is in force everywhere, and who lags if not. */
+/**
+ * Whether a generation is in force at all processes, and which processes lag if
+ * not.
+ */
 export function getGenerationStatus(
   generation: Generation,
   processes: readonly ProcessGeneration[],
@@ -17,9 +20,9 @@
 }
 
 /**
- * Transactions that delete plan rows from long ago. A plan whose base is
- * behind the head can't be confirmed any more, so no outcome changes: only
- * the answer becomes `unknownPlan`.
+ * Builds transactions that delete old plan rows. A plan whose base is behind
+ * the head can't be confirmed any more, so no outcome changes; only the answer
+ * becomes `unknownPlan`.
  */
 export function trimPlans(
   rows: readonly TableRow[],
--- a/packages/core/src/configuration/queries/initial_configuration.ts
+++ b/packages/core/src/configuration/queries/initial_configuration.ts
@@ -5,7 +5,7 @@
 } from '../../types';
 import {digestConfiguration} from './configuration_digest';
 
-/** Plan id of generation 0, which no operator made. */
+/** Plan id of generation 0, which has no operator's plan. */
 export const INITIAL_PLAN_ID = 'initial';
 
 const EMPTY_CONFIGURATION: SiteConfiguration = {
@@ -16,7 +16,7 @@
   olderSystemSwitchedOff: false,
 };
 
-/** Generation 0: what holds on a site whose table has no head row. */
+/** Generation 0: the configuration of a site whose table has no head row. */
 export function initialConfiguration(
   digestText: DigestText,
 ): AcceptedConfiguration {
--- a/packages/core/src/configuration/queries/intent_schema.ts
+++ b/packages/core/src/configuration/queries/intent_schema.ts
@@ -1,12 +1,12 @@
 import * as z from 'zod';
 
-/** Most changes in one intent: a plan must stay readable. */
+/** Maximum number of changes in one intent, so that its plan stays readable. */
 const MAX_CHANGES = 200;
 
-/** Most names in one list: more than the largest site has. */
+/** Maximum number of names in one list; more than the largest site has. */
 const MAX_NAMES = 2_000;
 
-/** Longest name or text that an operator may give. */
+/** Maximum length of a name or text in an intent, in characters. */
 const MAX_NAME_LENGTH = 200;
 
 const NAME_CHARACTERS = /^[A-Za-z0-9][A-Za-z0-9._:-]*$/;
@@ -100,7 +100,7 @@
 
 const switchOffSchema = z.strictObject({kind: z.literal('switch-off')});
 
-/** An intent as operators write it, already parsed from YAML or JSON. */
+/** Schema of an intent that was parsed from YAML or JSON. */
 export const intentSchema = z.strictObject({
   summary: z.string().max(MAX_NAME_LENGTH).default(''),
   changes: z
--- a/packages/core/src/configuration/queries/lookup.ts
+++ b/packages/core/src/configuration/queries/lookup.ts
@@ -1,6 +1,6 @@
 /**
- * The entry that `record` itself holds. Names come from operators: a plain
- * index would answer `constructor` with a function of every object.
+ * Returns an own property of `record`. Names come from operators: a plain index
+ * access to `constructor` would return a function inherited by every object.
  */
 export function lookUp<Value>(
   record: {readonly [name: string]: Value},
--- a/packages/core/src/configuration/queries/parse_intent.ts
+++ b/packages/core/src/configuration/queries/parse_intent.ts
@@ -4,9 +4,10 @@
 import {intentSchema} from './intent_schema';
 
 /**
- * Checks an intent that was parsed from YAML or JSON. Defaults: `capacityFloor`
- * 0, `prefer` time, `summary` made from the changes; what else is left out is
- * filled in by planning. On failure returns every fault with the path of its field.
+ * Validates an intent that was parsed from YAML or JSON. Defaults:
+ * `capacityFloor` 0, `prefer` time, `summary` generated from the changes.
+ * Planning fills in the other omitted fields. On failure, returns all faults
+ * with the paths of their fields.
  */
 export function parseIntent(input: unknown): Result<Intent, IntentFault[]> {
   const parsed = intentSchema.safeParse(input);
--- a/packages/core/src/configuration/queries/plan_intent.ts
+++ b/packages/core/src/configuration/queries/plan_intent.ts
@@ -34,19 +34,19 @@
   subjectOfItem,
 } from './subjects';
 
-/** What a plan is made from. */
+/** Inputs of planning. */
 export interface PlanRequest {
   readonly intent: Intent;
   readonly base: AcceptedConfiguration;
   readonly facts: PlanFacts;
   readonly planId: PlanId;
   readonly operator: string;
-  /** Wall-clock time, in milliseconds since 1970; only shown to people. */
+  /** Wall-clock time, in milliseconds since 1970; for display only. */
   readonly now: number;
   readonly digestText: DigestText;
 }
 
-/** The models and versions whose facts the plan of `intent` needs. */
+/** Lists the models and versions whose facts are needed to plan `intent`. */
 export function requiredVersions(
   intent: Intent,
 ): readonly {readonly model: string; readonly version: string}[] {
@@ -55,7 +55,7 @@
     .map(({model, version}) => ({model, version}));
 }
 
-/** Plans an intent on top of `base`, or lists every reason against it. */
+/** Plans an intent on top of `base`, or returns all reasons against it. */
 export function planIntent(request: PlanRequest): Result<Plan, PlanFault[]> {
   const {intent, base, facts, planId} = request;
   const faults = [
@@ -124,7 +124,10 @@
   );
 }
 
-/** Targets that leave or move must not take a model below its floor. */
+/**
+ * Finds models that would be left without a target or below their floor by
+ * targets that leave or move.
+ */
 function findUnderservedModels(
   before: SiteConfiguration,
   after: SiteConfiguration,
@@ -144,7 +147,10 @@
   return faults;
 }
 
-/** The differences, with the second step of what moves. */
+/**
+ * Lists the differences. For items that move, the second step of the move is
+ * included.
+ */
 function describePlan(
   before: SiteConfiguration,
   draft: Draft,
--- a/packages/core/src/configuration/queries/rows.ts
+++ b/packages/core/src/configuration/queries/rows.ts
@@ -14,16 +14,19 @@
 /** Key of the row that names the generation in force. */
 export const HEAD_KEY: TableKey = 'configuration/head';
 
-/** Start of the keys of all plan rows. */
+/** Key prefix of all plan rows. */
 export const PLAN_PREFIX: TableKey = 'plans/';
 
-/** Start of the keys of all move rows. */
+/** Key prefix of all move rows. */
 export const MOVE_PREFIX: TableKey = 'moves/';
 
-/** Digits that keep bodies in order of generation when scanned. */
+/**
+ * Digits to which generations are padded, so that a scan returns bodies in
+ * order.
+ */
 const GENERATION_DIGITS = 12;
 
-/** Marks the plan id of the generation that opens what a plan moved. */
+/** Suffix of the plan id of the generation that opens what a plan moved. */
 const OPENING_SUFFIX = '+open';
 
 /** Key of one generation's immutable body. */
@@ -47,7 +50,10 @@
   return `${planId}${OPENING_SUFFIX}`;
 }
 
-/** The operator's plan behind a generation's plan id. */
+/**
+ * Returns the id of the operator's plan from which a generation's plan id
+ * derives.
+ */
 export function operatorPlanId(planId: PlanId): PlanId {
   return planId.endsWith(OPENING_SUFFIX)
     ? planId.slice(0, -OPENING_SUFFIX.length)
@@ -104,31 +110,31 @@
   }),
 });
 
-/** A value as it is stored: absent fields are left out. */
+/** Converts a value to its stored form, without absent fields. */
 export function toJson(value: unknown): JsonValue {
   return JSON.parse(JSON.stringify(value)) as JsonValue;
 }
 
-/** The head row's value, or undefined if it can't be read as one. */
+/** Decodes a head row; undefined if it is malformed. */
 export function decodeHead(row: TableRow): HeadRow | undefined {
   return headSchema.safeParse(row.value).data;
 }
 
-/** A plan row's value, or undefined if it can't be read as one. */
+/** Decodes a plan row; undefined if it is malformed. */
 export function decodePlanRow(row: TableRow): PlanRow | undefined {
   const parsed = planRowSchema.safeParse(row.value);
   return parsed.success ? (row.value as unknown as PlanRow) : undefined;
 }
 
-/** A move row's value, or undefined if it can't be read as one. */
+/** Decodes a move row; undefined if it is malformed. */
 export function decodeMoveRow(row: TableRow): MoveRow | undefined {
   const parsed = moveRowSchema.safeParse(row.value);
   return parsed.success ? (row.value as unknown as MoveRow) : undefined;
 }
 
 /**
- * An accepted configuration from a body row or from a peer's bytes; undefined
- * if it is not one or its digest does not fit.
+ * Decodes an accepted configuration from a body row or a peer's message;
+ * undefined if it is malformed or its digest does not match.
  */
 export function decodeAccepted(
   value: unknown,
--- a/packages/core/src/configuration/queries/subjects.ts
+++ b/packages/core/src/configuration/queries/subjects.ts
@@ -1,15 +1,15 @@
 import {unreachable} from '../../kernel/flow';
 import type {IntentChange, MoveItem, Plan, PlanSubject} from '../types';
 
-/** The site itself as a subject: whether the older system is off. */
+/** The site as a subject: whether the older system is switched off. */
 export const SITE_SUBJECT: PlanSubject = {kind: 'site', name: 'older-system'};
 
-/** A text that is equal for equal subjects only. */
+/** Key of a subject; equal only for equal subjects. */
 export function subjectKey(subject: PlanSubject): string {
   return `${subject.kind}/${subject.name}`;
 }
 
-/** The subjects that both lists hold. */
+/** Returns the subjects of `left` that are also in `right`. */
 export function sharedSubjects(
   left: readonly PlanSubject[],
   right: readonly PlanSubject[],
@@ -18,12 +18,12 @@
   return left.filter(subject => keys.has(subjectKey(subject)));
 }
 
-/** The subject that an item of a move is. */
+/** Returns the subject of an item of a move. */
 export function subjectOfItem(item: MoveItem): PlanSubject {
   return {kind: item.kind, name: item.name};
 }
 
-/** What an intent's change states something about. */
+/** Lists the subjects of a change of an intent. */
 export function statedSubjects(change: IntentChange): readonly PlanSubject[] {
   switch (change.kind) {
     case 'serve':
@@ -47,7 +47,9 @@
   }
 }
 
-/** Everything that a plan changes, at once or at the end of its move. */
+/**
+ * Lists everything that a plan changes, immediately or at the end of its move.
+ */
 export function planSubjects(plan: Plan): readonly PlanSubject[] {
   return plan.changes.map(change => change.subject);
 }
--- a/packages/core/src/configuration/types/effects.ts
+++ b/packages/core/src/configuration/types/effects.ts
@@ -7,7 +7,10 @@
   ReadRowEffect,
 } from '../../types';
 
-/** Asks the driver to go on after a pause. Replied to with {@link WaitReply}. */
+/**
+ * Asks the driver to resume the flow after a pause. Replied to with
+ * {@link WaitReply}.
+ */
 export interface WaitEffect {
   readonly kind: 'wait';
   readonly duration: Milliseconds;
@@ -18,11 +21,11 @@
   readonly kind: 'waited';
 }
 
-/** What a flow over the table asks of its driver. */
+/** Effects that a flow over the table requests from its driver. */
 export type TableFlowEffect = ReadRowEffect | CommitEffect | WaitEffect;
 
-/** What the driver of a flow over the table answers. */
+/** Replies of the driver of a flow over the table. */
 export type TableFlowReply = ReadReply | CommitReply | WaitReply;
 
-/** A flow that needs only the table and pauses. */
+/** A flow that uses only the table and pauses. */
 export type TableFlow<Outcome> = Flow<TableFlowEffect, TableFlowReply, Outcome>;
--- a/packages/core/src/configuration/types/intent.ts
+++ b/packages/core/src/configuration/types/intent.ts
@@ -15,16 +15,19 @@
   readonly instances: readonly InstanceName[];
 }
 
-/** Targets chosen by zone, by count, or both; without count, all of the zone. */
+/**
+ * Targets chosen by zone, by count, or both. Without a count, all targets of
+ * the zone are chosen.
+ */
 export interface ZoneChoice {
   readonly zone?: ZoneName | undefined;
   readonly count?: number | undefined;
 }
 
-/** How an intent names the targets it is about. */
+/** How an intent selects its targets. */
 export type TargetChoice = InstanceChoice | ZoneChoice;
 
-/** One model at one version on the chosen targets. */
+/** Serves one version of a model on the chosen targets. */
 export interface ServeChange {
   readonly kind: 'serve';
   readonly model: ModelName;
@@ -35,23 +38,23 @@
   readonly prefer: RolloutPreference;
 }
 
-/** Targets that begin to take part. */
+/** Adds targets to the site. */
 export interface JoinChange {
   readonly kind: 'join';
   readonly targets: readonly TargetName[];
-  /** Only for targets that the configuration does not hold yet. */
+  /** Only for targets that are not in the configuration yet. */
   readonly owner?: Owner | undefined;
-  /** Replaces what the target's own settings say. */
+  /** Overrides the target's own settings. */
   readonly fencing?: FencingSupport | undefined;
 }
 
-/** Targets that get no new work. */
+/** Takes targets out of service: they get no new work. */
 export interface LeaveChange {
   readonly kind: 'leave';
   readonly targets: readonly TargetName[];
 }
 
-/** A workspace's precedence and limits; what is absent stays as it is. */
+/** Sets a workspace's priority and limits. Absent fields keep their value. */
 export interface WorkspaceChange {
   readonly kind: 'workspace';
   readonly workspace: WorkspaceName;
@@ -59,11 +62,11 @@
   readonly weight?: number | undefined;
   readonly requestsPerSecond?: number | undefined;
   readonly open?: boolean | undefined;
-  /** Only for a workspace that the configuration does not hold yet. */
+  /** Only for a workspace that is not in the configuration yet. */
   readonly owner?: Owner | undefined;
 }
 
-/** Which operations of a service must run at most once. */
+/** Sets which operations of a service must run at most once. */
 export interface ServiceChange {
   readonly kind: 'service';
   readonly service: ServiceName;
@@ -78,12 +81,12 @@
   readonly workspaces: readonly WorkspaceName[];
 }
 
-/** The older system is off for good. */
+/** Records that the older system is switched off permanently. */
 export interface SwitchOffChange {
   readonly kind: 'switch-off';
 }
 
-/** One thing that an operator wants. */
+/** One change that an operator requests. */
 export type IntentChange =
   | ServeChange
   | JoinChange
@@ -93,15 +96,21 @@
   | OwnerChange
   | SwitchOffChange;
 
-/** What an operator states; nothing changes until its plan is confirmed. */
+/**
+ * The changes that an operator requests. Nothing changes until the plan made
+ * from them is confirmed.
+ */
 export interface Intent {
   readonly summary: string;
   readonly changes: readonly IntentChange[];
 }
 
-/** One fault of an intent's text. */
+/** One validation error of an intent. */
 export interface IntentFault {
-  /** Where it is, for example `changes[0].capacityFloor`; empty for the whole. */
+  /**
+   * Path of the field, for example `changes[0].capacityFloor`; empty for the
+   * whole intent.
+   */
   readonly path: string;
   readonly detail: string;
 }
--- a/packages/core/src/configuration/types/plan.ts
+++ b/packages/core/src/configuration/types/plan.ts
@@ -15,7 +15,7 @@
   ZoneName,
 } from '../../types';
 
-/** A target that the site knows of, from its agent and the instance list. */
+/** A target known to the site from its agent and the instance list. */
 export interface KnownTarget {
   readonly target: TargetName;
   readonly instance: InstanceName;
@@ -26,12 +26,12 @@
   readonly live: boolean;
 }
 
-/** What the origin says of one model and version. */
+/** The origin's answer about one version of a model. */
 export type VersionFact =
   | {
       readonly kind: 'resolved';
       readonly model: ModelName;
-      /** As the intent names it: a label or a digest. */
+      /** As written in the intent: a label or a digest. */
       readonly version: string;
       readonly versionDigest: VersionDigest;
       readonly label: string;
@@ -44,26 +44,26 @@
       readonly detail: string;
     };
 
-/** All that a plan rests on besides the intent and the configuration. */
+/** Inputs of planning besides the intent and the configuration. */
 export interface PlanFacts {
   readonly versions: readonly VersionFact[];
   readonly targets: readonly KnownTarget[];
-  /** Our share of the origin's link. */
+  /** Share of the origin's link that transfers may use. */
   readonly originRate: BytesPerSecond;
-  /** One instance's link, in each direction. */
+  /** Rate of one instance's link, in each direction. */
   readonly instanceRate: BytesPerSecond;
-  /** Moves between the systems that are not finished. */
+  /** Unfinished moves between the two systems. */
   readonly moves: readonly PlannedMove[];
 }
 
-/** One line of a plan: something that becomes different. */
+/** One difference that a plan makes. */
 export interface PlanChange {
   readonly subject: PlanSubject;
   readonly before: string;
   readonly after: string;
 }
 
-/** What a change is about. Two plans touch if they share a subject. */
+/** What a change affects. Two plans conflict if they share a subject. */
 export type PlanSubject =
   | {readonly kind: 'target'; readonly name: TargetName}
   | {readonly kind: 'model'; readonly name: ModelName}
@@ -71,53 +71,61 @@
   | {readonly kind: 'workspace'; readonly name: WorkspaceName}
   | {readonly kind: 'site'; readonly name: 'older-system'};
 
-/** A model's serving targets while the plan runs. */
+/** Number of targets that serve a model while the plan is carried out. */
 export interface PlanCapacity {
   readonly model: ModelName;
   readonly before: number;
-  /** Never fewer than so many serve at any time while versions swap. */
+  /** Minimum number of serving targets at any time while versions swap. */
   readonly lowest: number;
   readonly after: number;
 }
 
-/** Who owns a target or a workspace, and who will. */
+/** Current and future owner of a target or a workspace. */
 export interface PlanOwner {
   readonly subject: PlanSubject;
   readonly before: Owner | 'nobody';
   readonly after: Owner;
 }
 
-/** Something an operator should know before confirming; not a refusal. */
+/**
+ * A problem that an operator should know of before confirming. It does not
+ * prevent the plan.
+ */
 export interface PlanWarning {
   readonly kind: 'targetNotLive' | 'noRoomToSwap' | 'servesSeveralModels';
   readonly subject: PlanSubject;
   readonly detail: string;
 }
 
-/** One item of a move, with how it shall be on the new side. */
+/** One item of a move, with its state on the new side. */
 export interface MoveItem {
   readonly kind: 'target' | 'workspace';
   readonly name: string;
   /** The new owner. */
   readonly owner: Owner;
-  /** A workspace that was open, or a target that was joined, is so again. */
+  /**
+   * Whether the workspace is open, or the target joined, after the move, as it
+   * was before.
+   */
   readonly openAfter: boolean;
 }
 
-/** The move that begins once the plan is confirmed. */
+/** The move that starts once the plan is confirmed. */
 export interface PlannedMove {
   readonly items: readonly MoveItem[];
 }
 
-/** What an intent would do. Nothing moves until it is confirmed. */
+/** The effects of an intent. Nothing changes until the plan is confirmed. */
 export interface Plan {
   readonly planId: PlanId;
   readonly summary: string;
   readonly operator: string;
-  /** Wall-clock time of planning, in milliseconds since 1970; for people. */
+  /**
+   * Wall-clock time of planning, in milliseconds since 1970; for display only.
+   */
   readonly plannedAt: number;
   readonly base: Generation;
-  /** Digest that the accepted configuration will carry. */
+  /** Digest of the resulting configuration. */
   readonly digest: string;
   readonly configuration: SiteConfiguration;
   readonly changes: readonly PlanChange[];
@@ -150,10 +158,12 @@
   | 'statedTwice'
   | 'nothingToChange';
 
-/** One reason for which a plan is refused. */
+/** One reason why a plan is refused. */
 export interface PlanFault {
   readonly kind: PlanFaultReason;
-  /** The change it is about, for example `changes[2]`; empty for the whole. */
+  /**
+   * The change at fault, for example `changes[2]`; empty for the whole intent.
+   */
   readonly path: string;
   readonly detail: string;
 }
--- a/packages/core/src/configuration/types/propagation.ts
+++ b/packages/core/src/configuration/types/propagation.ts
@@ -8,56 +8,70 @@
 } from '../../types';
 import type {TableFlowEffect, TableFlowReply} from './effects';
 
-/** Bounds of spreading; the defaults are in `commands/keeper_bounds.ts`. */
+/**
+ * Limits of propagation. The defaults are in
+ * `commands/generation_manager_bounds.ts`.
+ */
 export interface GenerationManagerBounds {
   /** Head reads per second that all processes of the site share. */
   readonly headReadsPerSecond: number;
-  /** Shortest time between two head reads of one process. */
+  /** Minimum time between two head reads of one process. */
   readonly minPollPeriod: Milliseconds;
-  /** Peers told at once of a newly adopted generation. */
+  /**
+   * Number of peers to which a newly adopted generation is announced at once.
+   */
   readonly fanOut: number;
-  /** A pull without answer for so long goes to another peer. */
+  /** Time without an answer after which a pull is sent to another peer. */
   readonly pullTimeout: Milliseconds;
 }
 
-/** What a generation keeper asks of its daemon. */
+/** Effects that a generation manager requests from its daemon. */
 export type GenerationManagerEffect =
-  /** The daemon starts to use this configuration. */
+  /** Use this configuration from now on. */
   | {readonly kind: 'adopted'; readonly accepted: AcceptedConfiguration}
-  /** Send these peers a heartbeat now, so that they pull. */
+  /** Send these peers a heartbeat now, so that they pull the configuration. */
   | {
       readonly kind: 'announceGeneration';
       readonly generation: Generation;
       readonly peers: readonly InstanceName[];
     }
-  /** Ask the peer for its configuration; answer by `offer` or `pullFailed`. */
+  /**
+   * Request the peer's configuration; report the result with `offer` or
+   * `recordPullFailure`.
+   */
   | {
       readonly kind: 'pullConfiguration';
       readonly peer: InstanceName;
       readonly knownGeneration: Generation;
     }
-  /** Read the head row; answer by `hearHead`, or nothing if it fails. */
+  /**
+   * Read the head row; report it with `receiveHead`, or report nothing if the
+   * read fails.
+   */
   | {readonly kind: 'readHead'}
-  /** Read a body row; answer by `offer`, or nothing if it fails. */
+  /**
+   * Read a body row; report it with `offer`, or report nothing if the read
+   * fails.
+   */
   | {readonly kind: 'readBody'; readonly generation: Generation};
 
 /** Why an offered configuration was not adopted. */
 export type OfferFault =
   | {readonly kind: 'notHigher'; readonly current: Generation}
-  /** It is no configuration, or its digest does not fit. */
+  /** The value is not a configuration, or its digest does not match. */
   | {readonly kind: 'notGenuine'};
 
-/** Who offers a configuration. */
+/** Source of an offered configuration. */
 export type OfferSource =
   | {readonly kind: 'platform'}
   | {readonly kind: 'peer'; readonly peer: InstanceName};
 
-/** What a keeper is told at each tick. */
+/** Input of a generation manager at each tick. */
 export interface GenerationManagerTick {
   readonly now: MonotonicInstant;
-  /** Peers that this process has a session with. */
+  /** Peers with which this process has a session. */
   readonly peers: readonly InstanceName[];
-  /** Live processes of the whole site, this one included. */
+  /** Live processes of the whole site, including this one. */
   readonly liveProcesses: number;
 }
 
@@ -68,39 +82,39 @@
       readonly peer: InstanceName;
       readonly generation: Generation;
     }
-  /** It does not know the generation either. */
+  /** The peer does not know the generation either. */
   | {readonly kind: 'starting'; readonly peer: InstanceName};
 
-/** What a starting process asks of its driver. */
+/** Effects that a starting process requests from its driver. */
 export type StartEffect =
   | TableFlowEffect
-  /** Name all processes of the site that are known, ready or not. */
+  /** List all known processes of the site, ready or not. */
   | {readonly kind: 'listPeers'}
-  /** Ask each of these peers for its generation, all at once. */
+  /** Query the generation of each of these peers concurrently. */
   | {readonly kind: 'askPeers'; readonly peers: readonly InstanceName[]}
   | {readonly kind: 'pullFromPeer'; readonly peer: InstanceName};
 
-/** What its driver answers. */
+/** Replies of the driver of a starting process. */
 export type StartReply =
   | TableFlowReply
   | {readonly kind: 'peers'; readonly peers: readonly InstanceName[]}
   | {readonly kind: 'peerAnswers'; readonly answers: readonly PeerAnswer[]}
-  /** The configuration as the peer sent it; undefined if it did not. */
+  /** The configuration as sent by the peer; undefined if it sent none. */
   | {readonly kind: 'pulled'; readonly value: unknown};
 
-/** A process on its way to knowing the generation. */
+/** Flow of a starting process that determines the generation in force. */
 export type StartFlow = Flow<StartEffect, StartReply, AcceptedConfiguration>;
 
-/** One process as seen by whoever follows an intent. */
+/** The generation that one process has reported. */
 export interface ProcessGeneration {
   readonly instance: InstanceName;
-  /** Undefined if it did not say. */
+  /** Undefined if the process did not report it. */
   readonly generation: Generation | undefined;
 }
 
-/** How far a generation has come. */
+/** Whether a generation is in force at all processes. */
 export interface GenerationStatus {
   readonly isInForce: boolean;
-  /** Processes that are behind or silent. */
+  /** Processes that have an older generation or are silent. */
   readonly lagging: readonly ProcessGeneration[];
 }
--- a/packages/core/src/configuration/types/stored.ts
+++ b/packages/core/src/configuration/types/stored.ts
@@ -1,42 +1,42 @@
 import type {Generation, Milliseconds, PlanId} from '../../types';
 import type {Plan, PlannedMove, PlanSubject} from './plan';
 
-/** The row that says which generation is in force. */
+/** The row that names the generation in force. */
 export interface HeadRow {
   readonly generation: Generation;
   readonly digest: string;
   readonly planId: PlanId;
-  /** Moves between the systems that are not finished. */
+  /** Unfinished moves between the two systems. */
   readonly moves: readonly PlanId[];
 }
 
-/** What became of a plan. Only a planned one may still change. */
+/** State of a plan. Only a planned one can still change. */
 export type PlanState =
   | {readonly kind: 'planned'}
   | {readonly kind: 'abandoned'}
   | {readonly kind: 'confirmed'; readonly generation: Generation};
 
-/** A plan as stored, with what became of it. */
+/** A stored plan with its state. */
 export interface PlanRow {
   readonly plan: Plan;
   readonly state: PlanState;
 }
 
-/** A move between the systems as stored. */
+/** A stored move between the two systems. */
 export interface MoveRow {
   readonly planId: PlanId;
   readonly move: PlannedMove;
-  /** Generation in which both sides are closed. */
+  /** Generation in which the items are closed on both sides. */
   readonly closedAt: Generation;
   readonly state:
     | {readonly kind: 'closed'}
     /** Opened on the new side. */
     | {readonly kind: 'opened'; readonly generation: Generation}
-    /** Opened again on the side that it was on. */
+    /** Reopened on the original side. */
     | {readonly kind: 'cancelled'; readonly generation: Generation};
 }
 
-/** A change that was accepted after a plan's base. */
+/** A change accepted after a plan's base generation. */
 export interface InterveningChange {
   readonly generation: Generation;
   readonly planId: PlanId;
@@ -57,32 +57,34 @@
       readonly generation: Generation;
     }
   | {
-      /** Another change came first. Nothing of this plan was applied. */
+      /**
+       * Another change was accepted first. Nothing of this plan was applied.
+       */
       readonly kind: 'overtaken';
       readonly planId: PlanId;
       readonly base: Generation;
       readonly head: Generation;
-      /** The newest of the changes that came first, oldest first. */
+      /** The most recent of the changes accepted first, in ascending order. */
       readonly others: readonly InterveningChange[];
       readonly relation: 'sameThings' | 'unrelated' | 'unknown';
-      /** What the operator should do, in one line. */
+      /** One-line instruction for the operator. */
       readonly advice: string;
     }
   | {
-      /** Something that the plan changes is moving between the systems. */
+      /** A subject of the plan is moving between the two systems. */
       readonly kind: 'moving';
       readonly planId: PlanId;
       readonly moveId: PlanId;
       readonly shared: readonly PlanSubject[];
     }
   | {
-      /** The platform did not answer before anything was tried. */
+      /** The platform did not answer, and no write was attempted. */
       readonly kind: 'platformUnavailable';
       readonly detail: string;
       readonly retryAfter: Milliseconds;
     }
   | {
-      /** The reply was lost and could not be read back. */
+      /** The reply was lost, and the outcome could not be read back. */
       readonly kind: 'outcomeUnknown';
       readonly planId: PlanId;
       readonly advice: string;
--- a/test/configuration/commit.test.ts
+++ b/test/configuration/commit.test.ts
@@ -21,14 +21,14 @@
   check,
   isFinalRefusal,
   stepwise,
-  site,
+  createSite,
   generationOf,
 } from './commit_races';
 
-describe('operators that race', () => {
-  // A user sees a change that was accepted disappear: two operators confirm
-  // almost at once, or one is frozen between reading the head and committing,
-  // and the second commit is built on a configuration without the first.
+describe('operators that confirm plans concurrently', () => {
+  // Two operators confirm almost at once, or one is frozen between reading the
+  // head and committing. If the second commit is based on a configuration
+  // without the first, an accepted change disappears.
   test('accepted generations form one line and none is lost', () => {
     check(({line}) => {
       line.forEach((accepted, position) => {
@@ -43,8 +43,8 @@
     });
   });
 
-  // An operator's reply is lost and they confirm again, or two confirm the
-  // same plan: it must be one change, and both are told its generation.
+  // An operator retries after a lost reply, or two operators confirm the same
+  // plan. It must be one change, and both get its generation.
   test('a confirmed plan is applied at most once', () => {
     check(({line, answers}) => {
       const applied = line.map(accepted => accepted.planId);
@@ -56,8 +56,8 @@
     });
   });
 
-  // An operator abandons a plan, or is told that another change came first;
-  // then a late commit of the same plan arrives at the table.
+  // A late commit of a plan arrives at the table after an operator has
+  // abandoned the plan, or was told that another change came first.
   test('a refused or abandoned plan never comes into force', () => {
     check(({line, answers}) => {
       const applied = new Set(line.map(accepted => accepted.planId));
@@ -67,7 +67,7 @@
     });
   });
 
-  test('the table keeps a bounded history', () => {
+  test('keeps a bounded number of bodies in the table', () => {
     check(({faulty}) => {
       const bodies = faulty.table
         .keys()
@@ -78,21 +78,21 @@
 });
 
 describe('confirming one plan', () => {
-  // The commit takes effect, its reply is lost, then the platform is down. An
-  // operator told "nothing changed" would plan the same change a second time.
-  test('never says that nothing changed when something did', () => {
+  // The commit takes effect, its reply is lost, and then the platform is down.
+  // An operator who is told "nothing changed" would plan the same change again.
+  test('never reports that nothing changed after a commit that took effect', () => {
     fc.assert(
       fc.property(fc.array(tableFault, {maxLength: 12}), faults => {
-        const {faulty, go, keep} = site(0);
-        keep('plan-1');
-        const result = go(confirmPlan('plan-1', OPTIONS), faults);
+        const {faulty, runFlow, storeNewPlan} = createSite(0);
+        storeNewPlan('plan-1');
+        const result = runFlow(confirmPlan('plan-1', OPTIONS), faults);
         if (result.ok) expect(generationOf(faulty.table)).toBe(1);
         if (result.err && result.val.kind !== 'outcomeUnknown') {
           expect(generationOf(faulty.table)).toBe(0);
           expect(faulty.lateCount()).toBe(0);
         }
         while (faulty.lateCount() > 0) faulty.applyLate();
-        const again = go(confirmPlan('plan-1', OPTIONS)).unwrap();
+        const again = runFlow(confirmPlan('plan-1', OPTIONS)).unwrap();
         expect(again.accepted.generation).toBe(1);
         expect(generationOf(faulty.table)).toBe(1);
       }),
@@ -100,14 +100,14 @@
     );
   });
 
-  // One operator abandons a plan at the moment at which another confirms it,
-  // and both are told that they had their way.
-  test('and abandoning it exclude one another', () => {
+  // One operator abandons a plan while another confirms it. They must not both
+  // be told that they succeeded.
+  test('never succeeds together with abandoning it', () => {
     const turn = fc.tuple(fc.boolean(), tableFault);
     fc.assert(
       fc.property(fc.array(turn, {maxLength: 24}), turns => {
-        const {faulty, keep} = site(0);
-        keep('plan-1');
+        const {faulty, storeNewPlan} = createSite(0);
+        storeNewPlan('plan-1');
         const confirming = stepwise(confirmPlan('plan-1', OPTIONS), faulty);
         const abandoning = stepwise(abandonPlan('plan-1'), faulty);
         for (const [isFirst, fault] of turns) {
@@ -122,36 +122,36 @@
     );
   });
 
-  test('twice is one change, with the same answer', () => {
-    const {faulty, go, keep} = site(3);
-    keep('plan-x');
-    const first = go(confirmPlan('plan-x', OPTIONS)).unwrap();
-    keep('plan-y');
-    go(confirmPlan('plan-y', OPTIONS)).unwrap();
-    const second = go(confirmPlan('plan-x', OPTIONS)).unwrap();
+  test('returns the same answer again when a plan is confirmed twice', () => {
+    const {faulty, runFlow, storeNewPlan} = createSite(3);
+    storeNewPlan('plan-x');
+    const first = runFlow(confirmPlan('plan-x', OPTIONS)).unwrap();
+    storeNewPlan('plan-y');
+    runFlow(confirmPlan('plan-y', OPTIONS)).unwrap();
+    const second = runFlow(confirmPlan('plan-x', OPTIONS)).unwrap();
     expect(first.wasConfirmed).toBe(false);
     expect(second).toEqual({...first, wasConfirmed: true});
     expect(generationOf(faulty.table)).toBe(5);
   });
 
-  test('says clearly that the outcome is unknown, and how to ask', () => {
-    const {go, keep} = site(0);
-    keep('plan-1');
+  test('reports an unknown outcome with the command to retry', () => {
+    const {runFlow, storeNewPlan} = createSite(0);
+    storeNewPlan('plan-1');
     const down = Array.from({length: 8}, () => 'unavailable' as const);
     const faults = ['none', 'none', 'lostAfter', ...down] as const;
-    const result = go(confirmPlan('plan-1', OPTIONS), faults);
+    const result = runFlow(confirmPlan('plan-1', OPTIONS), faults);
     expect(result.err && result.val).toMatchObject({
       kind: 'outcomeUnknown',
       advice: expect.stringContaining('intent confirm plan-1') as string,
     });
   });
 
-  test('names the change that came first and touches the same', () => {
-    const {go, keep} = site(1);
-    keep('plan-a', 'w', 1);
-    keep('plan-b', 'w', 2);
-    go(confirmPlan('plan-a', OPTIONS)).unwrap();
-    const result = go(confirmPlan('plan-b', OPTIONS));
+  test('names the accepted change that conflicts with the plan', () => {
+    const {runFlow, storeNewPlan} = createSite(1);
+    storeNewPlan('plan-a', 'w', 1);
+    storeNewPlan('plan-b', 'w', 2);
+    runFlow(confirmPlan('plan-a', OPTIONS)).unwrap();
+    const result = runFlow(confirmPlan('plan-b', OPTIONS));
     expect(result.err && result.val).toMatchObject({
       kind: 'overtaken',
       relation: 'sameThings',
@@ -168,12 +168,12 @@
     });
   });
 
-  test('tells an unrelated plan to plan again in one command', () => {
-    const {go, keep} = site(0);
-    keep('plan-a', 'v');
-    keep('plan-b', 'w');
-    go(confirmPlan('plan-a', OPTIONS)).unwrap();
-    const result = go(confirmPlan('plan-b', OPTIONS));
+  test('names the command to plan again after an unrelated change', () => {
+    const {runFlow, storeNewPlan} = createSite(0);
+    storeNewPlan('plan-a', 'v');
+    storeNewPlan('plan-b', 'w');
+    runFlow(confirmPlan('plan-a', OPTIONS)).unwrap();
+    const result = runFlow(confirmPlan('plan-b', OPTIONS));
     expect(result.err && result.val).toMatchObject({
       kind: 'overtaken',
       relation: 'unrelated',
@@ -181,43 +181,44 @@
     });
   });
 
-  // A plan lies about for days. All bodies since its base have been trimmed,
-  // so "the next body must not exist" alone would let it become the head.
-  test('a plan from before the history is refused', () => {
-    const {faulty, go, keep} = site(0);
-    keep('plan-old', 'w');
+  // A plan is confirmed days later, when all bodies since its base have been
+  // trimmed. The condition that the next body does not exist would not prevent
+  // it from becoming the head.
+  test('refuses a plan whose base is older than the kept history', () => {
+    const {faulty, runFlow, storeNewPlan} = createSite(0);
+    storeNewPlan('plan-old', 'w');
     for (let number = 0; number <= BODIES_KEPT + 1; number += 1) {
-      keep(`plan-${number}`);
-      go(confirmPlan(`plan-${number}`, OPTIONS)).unwrap();
+      storeNewPlan(`plan-${number}`);
+      runFlow(confirmPlan(`plan-${number}`, OPTIONS)).unwrap();
     }
     const head = generationOf(faulty.table);
-    expect(go(confirmPlan('plan-old', OPTIONS)).err).toBe(true);
+    expect(runFlow(confirmPlan('plan-old', OPTIONS)).err).toBe(true);
     expect(generationOf(faulty.table)).toBe(head);
   });
 
   test('a stored plan that was damaged is not applied', () => {
-    const {faulty, go, keep} = site(0);
-    const plan = keep('plan-1');
+    const {faulty, runFlow, storeNewPlan} = createSite(0);
+    const plan = storeNewPlan('plan-1');
     const key = 'plans/plan-1';
     const configuration = {...plan.configuration, olderSystemSwitchedOff: true};
     const damaged = {plan: {...plan, configuration}, state: {kind: 'planned'}};
     const value = JSON.parse(JSON.stringify(damaged)) as null;
     faulty.table.commit({conditions: [], writes: [{kind: 'put', key, value}]});
-    const result = go(confirmPlan('plan-1', OPTIONS));
+    const result = runFlow(confirmPlan('plan-1', OPTIONS));
     expect(result.err && result.val.kind).toBe('malformedRow');
     expect(generationOf(faulty.table)).toBe(0);
   });
 
-  // A workspace is closed for its move. Another operator, whose plan was made
-  // without knowing of the move, opens it: then both sides serve it.
-  test('a plan that touches what is moving is refused', () => {
-    const {faulty, go, keep} = site(0);
-    keep('plan-1', 'w');
-    go(confirmPlan('plan-1', OPTIONS)).unwrap();
+  // A workspace is closed for its move. If another operator, whose plan does
+  // not know of the move, could open it, both systems would serve it.
+  test('refuses a plan that changes an item of an unfinished move', () => {
+    const {faulty, runFlow, storeNewPlan} = createSite(0);
+    storeNewPlan('plan-1', 'w');
+    runFlow(confirmPlan('plan-1', OPTIONS)).unwrap();
     const own = {kind: 'own', owner: 'older-system', workspaces: ['w']};
     const base = readAccepted(faulty.table);
-    go(storePlan(planOf(intentOf(own), base, 'plan-2').unwrap())).unwrap();
-    go(confirmPlan('plan-2', OPTIONS)).unwrap();
+    runFlow(storePlan(planOf(intentOf(own), base, 'plan-2').unwrap())).unwrap();
+    runFlow(confirmPlan('plan-2', OPTIONS)).unwrap();
     const row = faulty.table.read(moveKey('plan-2'))!;
     expect(decodeMoveRow(row)).toMatchObject({closedAt: 2});
     const closed = readAccepted(faulty.table);
@@ -228,24 +229,24 @@
     for (const [number, change] of changes.entries()) {
       const planId = `plan-${number + 3}`;
       const plan = planOf(intentOf(change), closed, planId).unwrap();
-      go(storePlan(plan)).unwrap();
-      const result = go(confirmPlan(planId, OPTIONS));
+      runFlow(storePlan(plan)).unwrap();
+      const result = runFlow(confirmPlan(planId, OPTIONS));
       const expected = {kind: 'moving', moveId: 'plan-2'};
       expect(result.err && result.val).toMatchObject(expected);
     }
   });
 
-  test('an abandoned plan stays abandoned, a confirmed one confirmed', () => {
-    const {go, keep} = site(0);
-    keep('plan-1');
-    expect(go(abandonPlan('plan-1')).ok).toBe(true);
-    expect(go(abandonPlan('plan-1')).ok).toBe(true);
-    expect(go(confirmPlan('plan-1', OPTIONS)).val).toMatchObject({
+  test('keeps an abandoned plan abandoned and a confirmed one confirmed', () => {
+    const {runFlow, storeNewPlan} = createSite(0);
+    storeNewPlan('plan-1');
+    expect(runFlow(abandonPlan('plan-1')).ok).toBe(true);
+    expect(runFlow(abandonPlan('plan-1')).ok).toBe(true);
+    expect(runFlow(confirmPlan('plan-1', OPTIONS)).val).toMatchObject({
       kind: 'planAbandoned',
     });
-    keep('plan-2');
-    go(confirmPlan('plan-2', OPTIONS)).unwrap();
-    expect(go(abandonPlan('plan-2')).val).toMatchObject({
+    storeNewPlan('plan-2');
+    runFlow(confirmPlan('plan-2', OPTIONS)).unwrap();
+    expect(runFlow(abandonPlan('plan-2')).val).toMatchObject({
       kind: 'planAlreadyConfirmed',
       generation: 1,
     });
--- a/test/configuration/commit_races.ts
+++ b/test/configuration/commit_races.ts
@@ -15,7 +15,7 @@
   readAccepted,
 } from '../fixtures/racing_operators';
 
-/** What confirming needs besides a table. */
+/** Options for confirming a plan. */
 export const OPTIONS = {digestText: sha256Text};
 
 const raceStep = fc.oneof(
@@ -28,7 +28,7 @@
     }),
   },
   {
-    // One operator goes far ahead while the others are frozen.
+    // One operator makes many steps while the others are frozen.
     weight: 3,
     arbitrary: fc.record({
       kind: fc.constant('burst' as const),
@@ -48,7 +48,7 @@
 
 type RaceStep = typeof raceStep extends fc.Arbitrary<infer Step> ? Step : never;
 
-/** Runs a race as arbitrary steps say, then without faults to calm down. */
+/** Runs the given steps, then delivers all late writes. */
 function runRace(steps: readonly RaceStep[]) {
   const race = createOperatorRace(4);
   for (const step of steps) {
@@ -65,17 +65,20 @@
   for (let steps = 0; steps < length; steps += 1) race.step(operator, 'none');
 }
 
-/** Asserts a verdict on races of any steps. */
-export function check(verdict: (race: OperatorRace) => void, runs = 110): void {
+/** Checks an assertion on races with arbitrary steps. */
+export function check(
+  assertion: (race: OperatorRace) => void,
+  runs = 110,
+): void {
   fc.assert(
     fc.property(fc.array(raceStep, {minLength: 20, maxLength: 70}), steps =>
-      verdict(runRace(steps)),
+      assertion(runRace(steps)),
     ),
     propertySettings(runs),
   );
 }
 
-/** What an operator was told for certain never comes into force. */
+/** Whether an answer states that the plan will never be applied. */
 export function isFinalRefusal(answer: Answer): boolean {
   if (answer.kind === 'abandoned') return true;
   if (answer.kind === 'confirmed') return false;
@@ -98,7 +101,7 @@
   return next.value;
 }
 
-/** A flow that a test takes further one effect at a time. */
+/** Runs a flow one effect at a time. */
 export function stepwise<Outcome>(
   flow: TableFlow<Outcome>,
   {answer}: ReturnType<typeof createFaultyTable>,
@@ -112,26 +115,26 @@
   };
 }
 
-/** A table with some accepted generations and one plan on top. */
-export function site(generations: number) {
+/** Creates a table with some accepted generations. */
+export function createSite(generations: number) {
   const faulty = createFaultyTable(() => {});
-  const go = <Outcome>(
+  const runFlow = <Outcome>(
     flow: TableFlow<Outcome>,
     faults: readonly TableFault[] = [],
   ) => run(flow, faulty.answer, faults);
-  const keep = (planId: string, workspace = planId, priority = 1) => {
+  const storeNewPlan = (planId: string, workspace = planId, priority = 1) => {
     const intent = intentOf({kind: 'workspace', workspace, priority});
     const plan = planOf(intent, readAccepted(faulty.table), planId).unwrap();
-    return go(storePlan(plan)).unwrap();
+    return runFlow(storePlan(plan)).unwrap();
   };
   for (let number = 1; number <= generations; number += 1) {
-    keep(`earlier-${number}`);
-    go(confirmPlan(`earlier-${number}`, OPTIONS)).unwrap();
+    storeNewPlan(`earlier-${number}`);
+    runFlow(confirmPlan(`earlier-${number}`, OPTIONS)).unwrap();
   }
-  return {faulty, go, keep};
+  return {faulty, runFlow, storeNewPlan};
 }
 
-/** The generation that a table holds as accepted. */
+/** Returns the accepted generation of a table. */
 export function generationOf(table: MemoryTable): number {
   return readAccepted(table).generation;
 }
--- a/test/configuration/operator_docs.test.ts
+++ b/test/configuration/operator_docs.test.ts
@@ -12,8 +12,8 @@
   return [...text.matchAll(YAML_BLOCK)].map(([, yaml]) => parse(yaml ?? ''));
 }
 
-describe('the pages for operators', () => {
-  test.each(PAGES)('show only intents that parse: %s', page => {
+describe('the documentation for operators', () => {
+  test.each(PAGES)('contains only intents that parse: %s', page => {
     const examples = examplesOf(page);
     expect(examples.length).toBeGreaterThan(0);
     for (const example of examples) {
@@ -21,7 +21,7 @@
     }
   });
 
-  test('show each kind of change', () => {
+  test('contains an example of each kind of change', () => {
     const intents = PAGES.flatMap(examplesOf).map(example =>
       parseIntent(example).unwrap(),
     );
--- a/test/configuration/planning.test.ts
+++ b/test/configuration/planning.test.ts
@@ -45,7 +45,7 @@
     expect(targets).toHaveLength(3);
     expect(targets.every(name => name.includes('oviedo-hall'))).toBe(true);
     expect(plan.originBytes).toBe(4_000_000);
-    // One instance's link takes 8 s for one copy, the origin's 4 s.
+    // One copy takes 8 s over an instance's link, and 4 s over the origin's.
     expect(plan.expectedSeconds).toBe(8);
     expect(plan.capacity).toEqual([
       {model: 'repair-notes', before: 0, lowest: 0, after: 3},
@@ -65,7 +65,7 @@
     expect(now).toEqual(expect.arrayContaining([...old]));
   });
 
-  test('keeps the floor while versions swap, and warns without room', () => {
+  test('keeps the floor while versions swap, and warns if no target can swap', () => {
     const base = after(EMPTY, JOIN_ALL, serve('1', {targets: {count: 3}}));
     const swap = serve('2', {targets: {count: 3}, capacityFloor: 3});
     const plan = planOf(intentOf(swap), base, 'plan-2').unwrap();
@@ -73,7 +73,7 @@
     expect(plan.warnings.map(item => item.kind)).toEqual(['noRoomToSwap']);
   });
 
-  test('refuses what can not be, with every reason', () => {
+  test('refuses impossible changes with all reasons', () => {
     const joined = after(EMPTY, JOIN_ALL);
     const older = after(EMPTY, {...JOIN_ALL, owner: 'older-system'});
     const one = {targets: {instances: ['instance-oviedo-hall-1']}};
@@ -106,7 +106,7 @@
     ]);
   });
 
-  test('takes a leaving target off its models, down to the floor', () => {
+  test('removes a leaving target from its models, but not the last one', () => {
     const change = serve('1', {targets: {count: 2}, capacityFloor: 1});
     const base = after(EMPTY, JOIN_ALL, change);
     const [first, second] = base.configuration.models['repair-notes']!.targets;
@@ -119,7 +119,7 @@
     expect(refusals(base, leave(first, second))).toContain('stillServes');
   });
 
-  test('closes what moves, and shows both owners', () => {
+  test('closes moving items and shows both owners', () => {
     const workspace = {
       kind: 'workspace',
       workspace: 'w',
@@ -144,7 +144,7 @@
     ]);
   });
 
-  test('reads no property of every object as a name', () => {
+  test('does not resolve the name of an inherited property', () => {
     const join = intentOf({kind: 'join', targets: ['constructor']});
     expect(refusals(EMPTY, join)).toEqual(['unknownTarget']);
     const leave = intentOf({kind: 'leave', targets: ['constructor']});
--- a/test/configuration/propagation.test.ts
+++ b/test/configuration/propagation.test.ts
@@ -21,7 +21,7 @@
 
 type Step = (site: SpreadingSite) => void;
 
-/** One thing that happens, with a name for counterexamples. */
+/** One step, with a name for counterexamples. */
 const step: fc.Arbitrary<{readonly name: string; readonly run: Step}> =
   fc.oneof(
     {weight: 4, arbitrary: named('deliver', position, deliver)},
@@ -61,10 +61,13 @@
   site.deliver(value, false);
 }
 
-/** One process tells all, and what they pull from it is damaged on its way. */
+/**
+ * One process announces to all others, and what they pull from it is corrupted
+ * in transit.
+ */
 function damage(site: SpreadingSite, value: number): void {
   for (let to = 0; to < PROCESSES; to += 1) site.heartbeat(value, to);
-  for (let most = 40; site.queue.length > 0 && most > 0; most -= 1) {
+  for (let left = 40; site.queue.length > 0 && left > 0; left -= 1) {
     site.deliver(0, true);
   }
 }
@@ -77,7 +80,7 @@
   site.heartbeat(from, to);
 }
 
-/** Cuts the processes whose bit is set from those whose bit is not. */
+/** Disconnects the processes whose bit is set from those whose bit is not. */
 function setPartitions(site: SpreadingSite, mask: number): void {
   const isIn = (number: number) => (mask >> number) % 2 === 1;
   for (let left = 0; left < PROCESSES; left += 1) {
@@ -87,13 +90,16 @@
   }
 }
 
-/** Heartbeats and their consequences, as far as the network lets them. */
+/**
+ * Sends all heartbeats and delivers the resulting messages, as far as the
+ * network permits.
+ */
 function round(site: SpreadingSite): void {
   const numbers = site.slots.map((_, number) => number);
   for (const from of numbers) {
     for (const to of numbers) if (to !== from) site.heartbeat(from, to);
   }
-  for (let most = 300; site.queue.length > 0 && most > 0; most -= 1) {
+  for (let left = 300; site.queue.length > 0 && left > 0; left -= 1) {
     site.deliver(0, false);
   }
 }
@@ -115,7 +121,7 @@
   for (let steps = 0; steps < 4; steps += 1) site.startStep(number);
 }
 
-/** Everything works again, but the platform stays as it is. */
+/** Repairs everything except the platform. */
 function settle(site: SpreadingSite): void {
   site.healAll();
   const numbers = site.slots.map((_, number) => number);
@@ -126,33 +132,34 @@
       site.tick(number);
       for (const to of numbers) if (to !== number) site.heartbeat(number, to);
     }
-    for (let most = 2_000; site.queue.length > 0 && most > 0; most -= 1) {
+    for (let left = 2_000; site.queue.length > 0 && left > 0; left -= 1) {
       site.deliver(0, false);
     }
   }
 }
 
-function check(runs: number, verdict: (site: SpreadingSite) => void): void {
+function check(runs: number, assertion: (site: SpreadingSite) => void): void {
   const steps = fc.array(step, {minLength: 30, maxLength: 120});
   fc.assert(
     fc.property(steps, taken => {
       const site = createSpreadingSite(PROCESSES);
       for (const {run} of taken) run(site);
-      verdict(site);
+      assertion(site);
     }),
     propertySettings(runs),
   );
 }
 
-describe('spreading a generation', () => {
-  // A user sees an accepted change disappear again: a late copy of an older
-  // configuration arrives after the newer one, or a process is replaced during
-  // an outage and asks peers that lag behind its predecessor.
+describe('propagation of a generation', () => {
+  // An accepted change disappears if a late copy of an older configuration
+  // arrives after the newer one, or if a process is replaced during an outage
+  // and queries peers that lag behind its predecessor.
   test('the generation of a process never goes down, nor its replacement', () => {
     check(1_000, site => expect(site.falls).toEqual([]));
   });
 
-  // A configuration is damaged on its way, or half of it is from an older one.
+  // A configuration is corrupted in transit, or half of it is from an older
+  // one.
   test('only accepted configurations come into force, whole', () => {
     check(300, site => {
       for (const {life} of site.slots) {
@@ -163,8 +170,8 @@
     });
   });
 
-  // An operator sees a process lag for ever: the one message that told it of
-  // the change was lost, or the peer that it asked was frozen.
+  // A process would lag permanently if the one message that announced the
+  // change was lost, or if the peer it pulled from was frozen.
   test('every reachable process reaches the head', () => {
     check(200, site => {
       settle(site);
@@ -178,13 +185,13 @@
     });
   });
 
-  // With no change in sight, hundreds of processes poll the head, and the
-  // table's reads are used up.
+  // Hundreds of processes that poll the head without any change would use up
+  // the table's reads.
   test('all processes together read the head at a fixed rate', () => {
     fc.assert(
       fc.property(fc.integer({min: 1, max: 600}), count => {
         const start = initialConfiguration(sha256Text);
-        const keepers = Array.from({length: count}, (_, number) =>
+        const managers = Array.from({length: count}, (_, number) =>
           createGenerationManager({
             instance: `process-${number}`,
             digestText: sha256Text,
@@ -195,8 +202,8 @@
         let reads = 0;
         const seconds = 60;
         for (let now = 0; now < seconds * 1_000; now += 250) {
-          for (const keeper of keepers) {
-            reads += keeper.tick({
+          for (const manager of managers) {
+            reads += manager.tick({
               now,
               peers: [],
               liveProcesses: count,
@@ -204,14 +211,14 @@
           }
         }
         const {headReadsPerSecond} = DEFAULT_GENERATION_MANAGER_BOUNDS;
-        // One read each more than the rate gives: the first period is cut.
+        // The first period is shortened, so each process may read once more.
         expect(reads).toBeLessThanOrEqual(headReadsPerSecond * seconds + count);
       }),
       propertySettings(10),
     );
   });
 
-  test('names the processes that lag', () => {
+  test('lists the processes that lag behind a generation', () => {
     const processes = [
       {instance: 'a', generation: 3},
       {instance: 'b', generation: 2},
