--- a/packages/core/src/freshness/confirmation.ts
+++ b/packages/core/src/freshness/confirmation.ts
@@ -5,27 +5,30 @@
   type StoreExchange,
 } from './store_clock';
 
-/** An answer that another process has got and passed on. */
+/** A store's answer that another process received and relayed. */
 export interface RelayedReply {
-  /** When it came here. */
+  /** When it arrived at this process. */
   readonly receivedAt: MonotonicInstant;
-  /** The store's own steady clock when it answered. */
+  /** The store's monotonic clock when it answered. */
   readonly storeTime: Milliseconds;
 }
 
-/** Knows until when the held configuration is surely the newest. */
+/** Tracks until when the held configuration is known to be the newest. */
 export interface Confirmation {
   readonly record: (exchange: StoreExchange) => void;
-  /** Takes an answer to another process; tells nothing before a first own one. */
+  /**
+   * Records an answer to another process; has no effect before the first own
+   * exchange.
+   */
   readonly recordRelayed: (reply: RelayedReply) => void;
-  /** Takes over what another process has confirmed at `at`. */
+  /** Records that another process has confirmed the configuration at `at`. */
   readonly recordAt: (at: MonotonicInstant) => void;
-  /** The latest moment at which the configuration was surely in force. */
+  /** Latest time at which the configuration is known to have been in force. */
   readonly confirmedAt: () => MonotonicInstant | undefined;
   readonly isFresh: (now: MonotonicInstant, bound: Milliseconds) => boolean;
 }
 
-/** Creates the memory of confirmations, by the store's clock. */
+/** Creates a tracker of confirmations, based on the store's clock. */
 export function createConfirmation(
   storeClock: StoreClock = createStoreClock(),
 ): Confirmation {
--- a/packages/core/src/freshness/reading_use.ts
+++ b/packages/core/src/freshness/reading_use.ts
@@ -1,24 +1,29 @@
 import type {Milliseconds} from '../types';
 
-/** What a reading of one of the store's tables is good for. */
+/** How a reading of one of the store's tables may be used. */
 export type ReadingUse =
-  /** What it misses is not in force yet. */
+  /** Changes that it misses are not in force yet. */
   | 'current'
-  /** Too old, but the store was seen not to serve, so nothing newer is known. */
+  /**
+   * Too old, but the store was found unavailable, so nothing newer is known.
+   */
   | 'lastKnown'
-  /** Too old, and changes may be in force that it misses. */
+  /** Too old: changes that it misses may be in force. */
   | 'outdated';
 
-/** How old a reading is, and how old it may be. */
+/** Age of a reading and its limit. */
 export interface AgedReading {
-  /** Since the store surely looked. */
+  /** Time since the store is known to have read the table. */
   readonly age: Milliseconds;
   /** Time after which a change must be in force. */
   readonly bound: Milliseconds;
   readonly isStoreUnavailable: boolean;
 }
 
-/** Judges a reading; what has passed its bound may be used in an outage only. */
+/**
+ * Evaluates a reading. Past its bound, it may be used only while the store is
+ * unavailable.
+ */
 export function evaluateReading(reading: AgedReading): ReadingUse {
   if (reading.age < reading.bound) return 'current';
   return reading.isStoreUnavailable ? 'lastKnown' : 'outdated';
--- a/packages/core/src/freshness/store_availability.ts
+++ b/packages/core/src/freshness/store_availability.ts
@@ -1,32 +1,37 @@
 import type {MonotonicInstant} from '../types';
 
-/** How a question to the store ended. */
+/** Outcome of a request to the store. */
 export type StoreCallOutcome =
   | 'answered'
-  /** It says that it does nothing, or ends the connection. */
+  /**
+   * The store refused the request without doing anything, or closed the
+   * connection.
+   */
   | 'turnedAway'
-  /** It takes the connection and sends nothing. */
+  /** The store accepted the connection and sent nothing. */
   | 'silent'
-  /** Its answer has begun, or may have, and did not come in time. */
+  /** The answer has begun, or may have, but was not complete in time. */
   | 'underWay'
-  /** No connection in time. */
+  /** No connection was established in time. */
   | 'notReached';
 
-/** Knows whether the store itself has stopped to serve this process. */
+/** Tracks whether the store itself has stopped serving this process. */
 export interface StoreAvailability {
-  /** Notes how a question ended that left at `askedAt`. */
+  /** Records the outcome of a request sent at `requestedAt`. */
   readonly record: (
     requestedAt: MonotonicInstant,
     outcome: StoreCallOutcome,
   ) => void;
   /**
-   * Whether the newest question, asked after `readAt`, showed that the store does
-   * not serve. A late answer or a full link doesn't show that.
+   * Whether the newest request, sent after `readAt`, showed that the store does
+   * not serve. A late answer or a saturated link does not show that.
    */
   readonly isUnavailableSince: (readAt: MonotonicInstant) => boolean;
 }
 
-/** Creates the memory of the newest question; `onAnswer` is told of each answer. */
+/**
+ * Creates a tracker of the newest request; `onAnswer` is called on each answer.
+ */
 export function createStoreAvailability(
   onAnswer: () => void = () => undefined,
 ): StoreAvailability {
--- a/packages/core/src/freshness/store_clock.ts
+++ b/packages/core/src/freshness/store_clock.ts
@@ -1,46 +1,48 @@
 import type {Milliseconds, MonotonicInstant} from '../types';
 
-/** A question to the store and its answer's time by the store's clock. */
+/** A request to the store, with the time of its answer by the store's clock. */
 export interface StoreExchange {
-  /** When the question left here. */
+  /** When the request was sent, by the local clock. */
   readonly askedAt: MonotonicInstant;
-  /** When the answer came. */
+  /** When the answer arrived, by the local clock. */
   readonly answeredAt: MonotonicInstant;
-  /** The store's own steady clock when it answered. */
+  /** The store's monotonic clock when it answered. */
   readonly storeTime: Milliseconds;
 }
 
-/** Tells when the store's clock surely showed a time, by the clock here. */
+/** Converts times between the store's clock and the local one. */
 export interface StoreClock {
   readonly record: (exchange: StoreExchange) => void;
   /**
-   * The latest moment here that was surely not after the store's clock showed
+   * Latest local time that is known not to be after the store's clock showed
    * `storeTime`; undefined before anything was recorded.
    */
   readonly localTimeLowerBound: (
     storeTime: Milliseconds,
   ) => MonotonicInstant | undefined;
-  /** The store time of which `notAfter` gives `at`. */
+  /** Store time for which `localTimeLowerBound` returns `at`. */
   readonly storeTimeAt: (at: MonotonicInstant) => Milliseconds | undefined;
 }
 
 /**
- * Creates the clock.
+ * Creates a clock without any recorded exchange.
  *
- * A long poll is answered long after it was asked, an answer may be held up on
- * its way, and may come through another process: none of these says when the
- * store looked. The store's clock does: a past exchange whose question left here
- * at `a` and was answered at store time `s` shows that store time `s` was not
- * before `a`. So what the store answered at `t` was so at `a + (t - s)` or later.
+ * The time at which an answer arrives does not show when the store read its
+ * data: a long poll is answered long after it was sent, and an answer may be
+ * delayed or relayed by another process. The store's clock does show it. If a
+ * past request was sent here at `a` and answered at store time `s`, then store
+ * time `s` was not before `a`. So what the store answered at `t` was true at `a
+ * + (t - s)` or later.
  */
 export function createStoreClock(): StoreClock {
   let clockOffset: MonotonicInstant | undefined;
   let newest: StoreExchange | undefined;
 
   /**
-   * Failure: a store that restarted its clock would make old anchors claim a
-   * moment that has not come. Such a clock goes back from an answer to a question
-   * that was asked after it; questions that overlap are answered in any order.
+   * Detects that the store has restarted its clock, which would make old
+   * offsets yield times in the future. A restarted clock goes back from an
+   * answer to a request that was sent after that answer; overlapping requests
+   * may be answered in any order.
    */
   function hasRestarted({askedAt, storeTime}: StoreExchange): boolean {
     if (newest === undefined || storeTime >= newest.storeTime) return false;
--- a/packages/core/src/freshness/store_distance.ts
+++ b/packages/core/src/freshness/store_distance.ts
@@ -1,20 +1,21 @@
 import type {Milliseconds} from '../types';
 
 /**
- * Calls by which the distance is judged: enough that one of them met no queue, few
- * enough that a link which has become slower shows within some seconds.
+ * Number of calls that determine the distance: enough that one of them met no
+ * queue, few enough that a link which has become slower is noticed within a few
+ * seconds.
  */
 const SAMPLE_COUNT = 8;
 
-/** How far the store is, by short calls of this process. */
+/** Round-trip time to the store, from short calls of this process. */
 export interface StoreDistance {
-  /** Notes how long a call took that the store answers at once. */
+  /** Records the duration of a call that the store answers at once. */
   readonly record: (roundTrip: Milliseconds) => void;
-  /** The shortest of the last calls; undefined before the first. */
+  /** Minimum of the last calls; undefined before the first. */
   readonly min: () => Milliseconds | undefined;
 }
 
-/** Creates the memory of short calls. */
+/** Creates a tracker of short calls. */
 export function createStoreDistance(): StoreDistance {
   let roundTrips: readonly Milliseconds[] = [];
 
--- a/test/freshness/confirmation.test.ts
+++ b/test/freshness/confirmation.test.ts
@@ -3,13 +3,16 @@
 import {expect, test} from 'vitest';
 import {propertyRuns} from '../forwarding/property_runs';
 
-/** One question as it really went: when it left, was looked at, came back. */
+/**
+ * Actual timing of one request: pause before it, transit, wait at the store,
+ * transit back.
+ */
 const exchanges = fc.array(
   fc.record({
     pause: fc.integer({min: 0, max: 2_000}),
-    way: fc.integer({min: 0, max: 500}),
+    transit: fc.integer({min: 0, max: 500}),
     wait: fc.integer({min: 0, max: 2_000}),
-    wayBack: fc.integer({min: 0, max: 5_000}),
+    transitBack: fc.integer({min: 0, max: 5_000}),
   }),
   {minLength: 1, maxLength: 12},
 );
@@ -19,21 +22,21 @@
     fc.property(
       exchanges,
       fc.integer({min: -10_000, max: 10_000}),
-      (played, storeZero) => {
+      (timings, storeOffset) => {
         const confirmation = createConfirmation();
         let now = 0;
-        let lookedAt = -Infinity;
-        for (const {pause, way, wait, wayBack} of played) {
+        let latestReadAt = -Infinity;
+        for (const {pause, transit, wait, transitBack} of timings) {
           const askedAt = now + pause;
-          const looked = askedAt + way + wait;
-          lookedAt = Math.max(lookedAt, looked);
-          now = looked + wayBack;
+          const readAt = askedAt + transit + wait;
+          latestReadAt = Math.max(latestReadAt, readAt);
+          now = readAt + transitBack;
           confirmation.record({
             askedAt,
             answeredAt: now,
-            storeTime: looked + storeZero,
+            storeTime: readAt + storeOffset,
           });
-          expect(confirmation.confirmedAt()).toBeLessThanOrEqual(lookedAt);
+          expect(confirmation.confirmedAt()).toBeLessThanOrEqual(latestReadAt);
         }
       },
     ),
@@ -41,9 +44,9 @@
   );
 });
 
-// A question waits 1.5 s for a change, and its answer is held up for 4 s by a
-// bad link. The configuration is 4 s old when it comes, and must count as such.
-test('an answer that was held up is as old as the look behind it', () => {
+// A request waits 1.5 s for a change, and a bad link delays its answer by 4 s.
+// The configuration is 4 s old when it arrives, and must be treated so.
+test('a delayed answer is as old as the read by the store', () => {
   const confirmation = createConfirmation();
   confirmation.record({askedAt: 0, answeredAt: 4, storeTime: 102});
   confirmation.record({askedAt: 10, answeredAt: 5_510, storeTime: 1_612});
@@ -52,7 +55,7 @@
   expect(confirmation.isFresh(6_300, 4_700)).toBe(false);
 });
 
-test('a store whose clock starts anew is not believed by its old clock', () => {
+test('an offset to the store clock from before its restart is not used', () => {
   const confirmation = createConfirmation();
   confirmation.record({askedAt: 0, answeredAt: 10, storeTime: 900_000});
   confirmation.record({askedAt: 2_000, answeredAt: 9_000, storeTime: 5});
--- a/test/freshness/machine_clock.test.ts
+++ b/test/freshness/machine_clock.test.ts
@@ -18,8 +18,9 @@
   };
 }
 
-// A machine is suspended for 6 s. Its steady clock does not count them; a key
-// that was taken away meanwhile would be served for 5 s more.
+// A machine is suspended for 6 s, which its monotonic clock does not include.
+// Without this, a key that was revoked meanwhile would be accepted for 5 s
+// more.
 test('counts a suspension that the steady clock leaves out', () => {
   const {clock, pass, setTimeOfDay} = startClock();
   pass(100);
@@ -38,7 +39,7 @@
   expect(clock() - before).toBe(10);
 });
 
-test('a small drift between the clocks counts for nothing', () => {
+test('ignores a small drift between the clocks', () => {
   const {clock, pass, setTimeOfDay} = startClock();
   for (let count = 0; count < 100; count += 1) {
     pass(10);
--- a/test/freshness/reading_use.test.ts
+++ b/test/freshness/reading_use.test.ts
@@ -7,7 +7,7 @@
 import {expect, test} from 'vitest';
 import {propertyRuns} from '../forwarding/property_runs';
 
-const signs = fc.constantFrom<StoreCallOutcome>(
+const outcomes = fc.constantFrom<StoreCallOutcome>(
   'answered',
   'turnedAway',
   'silent',
@@ -18,38 +18,38 @@
 test('a late reading is acted on only while the store was seen not to serve', () => {
   fc.assert(
     fc.property(
-      fc.array(fc.record({askedAt: fc.nat(20), sign: signs}), {maxLength: 20}),
+      fc.array(fc.record({at: fc.nat(20), outcome: outcomes}), {
+        maxLength: 20,
+      }),
       fc.nat(20),
       fc.nat(40),
       fc.integer({min: 1, max: 30}),
-      (questions, readAt, age, bound) => {
+      (requests, readAt, age, bound) => {
         const availability = createStoreAvailability();
-        for (const {askedAt, sign} of questions) {
-          availability.record(askedAt, sign);
-        }
-        const newest = Math.max(...questions.map(({askedAt}) => askedAt));
-        const last = questions.findLast(({askedAt}) => askedAt === newest);
-        const isAway =
+        for (const {at, outcome} of requests) availability.record(at, outcome);
+        const newest = Math.max(...requests.map(({at}) => at));
+        const last = requests.findLast(({at}) => at === newest);
+        const isExpectedUnavailable =
           newest >= readAt &&
-          (last?.sign === 'turnedAway' || last?.sign === 'silent');
+          (last?.outcome === 'turnedAway' || last?.outcome === 'silent');
         const isStoreUnavailable = availability.isUnavailableSince(readAt);
         const use = evaluateReading({age, bound, isStoreUnavailable});
         if (age < bound) expect(use).toBe('current');
-        else expect(use).toBe(isAway ? 'lastKnown' : 'outdated');
+        else expect(use).toBe(isExpectedUnavailable ? 'lastKnown' : 'outdated');
       },
     ),
     propertyRuns,
   );
 });
 
-test('a question answered late does not overrule a newer one', () => {
+test('a late answer does not override a newer outcome', () => {
   const availability = createStoreAvailability();
   availability.record(2_000, 'silent');
   availability.record(1_000, 'answered');
   expect(availability.isUnavailableSince(0)).toBe(true);
 });
 
-test('what was seen before a reading says nothing of the time after it', () => {
+test('an outcome from before a reading does not make the store unavailable after it', () => {
   const availability = createStoreAvailability();
   availability.record(1_000, 'silent');
   expect(availability.isUnavailableSince(1_000)).toBe(true);
