--- a/packages/core/src/relays/entry_states.ts
+++ b/packages/core/src/relays/entry_states.ts
@@ -1,45 +1,49 @@
 import type {InstanceName, Milliseconds, MonotonicInstant} from '../types';
 
 /**
- * How long an entry counts as it was last heard of. News of another zone take up
- * to a second each from it to its relay, to the own relay, and on; changes are
- * passed on at once, so this is for those that nobody hears of any more.
+ * How long the last known state of an entry is used. Changes are relayed at
+ * once; an unchanged state of another zone takes up to a second for each hop:
+ * to its relay, to the own relay, and from there. So this limit affects only
+ * entries that are no longer reported by anyone.
  */
 const STATE_TTL: Milliseconds = 5_000;
 
 /**
- * How long a new member counts as ready before anything was heard of it: longer
- * than its first words take through two relays.
+ * How long a new member counts as ready before its first report; longer than
+ * that report takes through two relays.
  */
 const NEW_MEMBER_GRACE: Milliseconds = 2_500;
 
-/** An entry as it was known to be. */
+/** State of an entry at a known time. */
 export interface KnownState {
   readonly instance: InstanceName;
-  /** Whether callers may be sent there. */
+  /** Whether callers may be sent to the entry. */
   readonly ready: boolean;
-  /** When it was surely so. */
+  /** When the entry is known to have had this state. */
   readonly observedAt: MonotonicInstant;
 }
 
-/** A member of the site, in one of its lives. */
+/** One incarnation of a member of the site. */
 export interface EntryIncarnation {
   readonly instance: InstanceName;
   readonly life: string;
 }
 
-/** What is known of the other entries, at first hand or through relays. */
+/** States of the other entries, received directly or through relays. */
 export interface EntryStates {
-  /** Replaces the members; a new life has not been heard of. */
+  /** Replaces the members; a new incarnation has no known state. */
   readonly setMembers: (
     members: readonly EntryIncarnation[],
     now: MonotonicInstant,
   ) => void;
-  /** Takes a word that is newer than what is known; returns whether it changes. */
+  /**
+   * Records a state that is newer than the known one; returns whether readiness
+   * changed.
+   */
   readonly record: (state: KnownState) => boolean;
   /** Whether callers may be sent to a member. */
   readonly isUsable: (instance: InstanceName, now: MonotonicInstant) => boolean;
-  /** What was heard and is not too old, to be passed on. */
+  /** Known states that have not expired, to be relayed. */
   readonly recentStates: (now: MonotonicInstant) => readonly KnownState[];
 }
 
@@ -49,7 +53,7 @@
   state: KnownState | undefined;
 }
 
-/** Creates the states of the other entries. */
+/** Creates the states of the other entries, without any member. */
 export function createEntryStates(): EntryStates {
   let members = new Map<InstanceName, Member>();
 
--- a/packages/core/src/relays/relay_choice.ts
+++ b/packages/core/src/relays/relay_choice.ts
@@ -1,28 +1,29 @@
 import type {InstanceName, ZoneName} from '../types';
 import {hash32} from '../utils/hash';
 
-/** An entry that may pass news on to the others of its zone. */
+/** An entry that may relay updates to the others of its zone. */
 export interface RelayCandidate {
   readonly instance: InstanceName;
   readonly zone: ZoneName;
 }
 
 /**
- * Entries of its zone that an agent reports to. With one, a relay's loss would
- * leave the zone without reports until the agents have noticed.
+ * Number of entries of its zone to which an agent reports. With one, the loss
+ * of the relay would leave the zone without reports until the agents have
+ * noticed it.
  */
 const RECEIVERS_PER_ZONE = 2;
 
 /**
- * Most entries of a zone that its agents report to all of. A report that comes
- * straight is 50 ms younger in the mean than one that is passed on.
+ * Maximum number of entries of a zone whose agents report to all of them. A
+ * direct report is 50 ms younger on average than a relayed one.
  */
 const SMALL_ZONE_MAX_ENTRIES = 3;
 
 /**
- * A zone's entries in the order in which they serve as its relay: the first one
- * that answers does. All processes that know the same entries agree on it
- * without a message.
+ * The entries of a zone in order of precedence as its relay: the first one that
+ * answers is the relay. All processes that know the same entries agree on it
+ * without messages.
  */
 export function relayOrder<Candidate extends RelayCandidate>(
   entries: readonly Candidate[],
@@ -39,7 +40,7 @@
     .map(({entry}) => entry);
 }
 
-/** The relay of a zone; undefined if none of its entries answers. */
+/** Returns the relay of a zone; undefined if none of its entries answers. */
 export function chooseRelay<Candidate extends RelayCandidate>(
   entries: readonly Candidate[],
   zone: ZoneName,
@@ -48,22 +49,25 @@
   return relayOrder(entries, zone).find(entry => !isSilent(entry));
 }
 
-/** An entry that an agent reports to. */
+/** An entry to which an agent reports. */
 export interface ReportReceiver<Candidate> {
   readonly entry: Candidate;
-  /** Whether it gets each report, or only what it needs to take over. */
+  /**
+   * Whether it gets each report, or only what it needs to take over as the
+   * first receiver.
+   */
   readonly getsAll: boolean;
 }
 
 /**
- * The entries that an agent of `zone` reports to; their relay passes reports on
- * to other zones.
+ * Returns the entries to which an agent of `zone` reports. The relay among them
+ * forwards the reports to other zones.
  *
- * Failure: each agent reports to two entries of each zone, changed or not. At 98
- * entries and three zones it writes 33 messages a second, which takes 4% of a core,
- * and each relay reads all of them. Guard: entries of the own zone only. Failure: no
- * entry of the zone answers, and other zones place requests by old reports. Guard:
- * then entries of all zones get them.
+ * Reporting to two entries of each zone costs too much: with 98 entries and
+ * three zones, an agent would write 33 messages a second, which takes 4% of a
+ * core, and each relay would read all of them. If no entry of the own zone
+ * answers, the entries of all zones get reports, since other zones would
+ * otherwise place requests by outdated ones.
  */
 export function reportReceivers<Candidate extends RelayCandidate>(
   entries: readonly Candidate[],
@@ -93,7 +97,9 @@
     .map((entry, index) => ({entry, getsAll: index === 0}));
 }
 
-/** Whether agents report to all entries of a zone with so many of them. */
+/**
+ * Whether agents report to all entries of a zone with this number of entries.
+ */
 export function isSmallZone(entries: number): boolean {
   return entries <= SMALL_ZONE_MAX_ENTRIES;
 }
--- a/packages/core/src/relays/report_due.ts
+++ b/packages/core/src/relays/report_due.ts
@@ -1,29 +1,35 @@
 import type {HeldModel, IncarnationStamp} from '../placement';
 import type {Milliseconds, MonotonicInstant} from '../types';
 
-/** Period of signs of life while a report says nothing new. */
+/**
+ * Period of reports that contain nothing new, which show that the sender is
+ * alive.
+ */
 const HEARTBEAT_PERIOD: Milliseconds = 500;
 
 /**
- * The same while an engine runs requests. As many may run as before because one
- * ended and one began: an entry that has used its part of the free slots waits for
- * the next report.
+ * The same while an engine runs requests. The number of running requests may be
+ * unchanged because one ended and one began, and an entry that has used its
+ * part of the free slots waits for the next report.
  */
 const RUNNING_HEARTBEAT_PERIOD: Milliseconds = 200;
 
-/** How much earlier a sign of life may go, for looks that come early. */
+/**
+ * How much before the end of its period a report may be sent, since polls may
+ * run early.
+ */
 const PERIOD_TOLERANCE: Milliseconds = 5;
 
-/** Changes of pace up to this are no news; placing goes by tenths of it. */
+/** Changes of pace up to this are not reported; placement uses steps of 0.1. */
 const PACE_TOLERANCE = 0.05;
 
 /** The same for the share of memory in use. */
 const MEMORY_TOLERANCE = 0.05;
 
-/** How far the moment of a load may move before it is news. */
+/** Changes of a load's start time up to this are not reported. */
 const LOAD_TIME_TOLERANCE: Milliseconds = 60;
 
-/** What entries decide by of a report. */
+/** The parts of a report on which entries base decisions. */
 export interface ReportedState extends IncarnationStamp {
   readonly held: readonly HeldModel[];
   readonly ordering: boolean;
@@ -31,19 +37,19 @@
   readonly waiting: number;
   readonly pace: number;
   readonly memoryShare: number | undefined;
-  /** When the engine is to load a version; undefined if it is not. */
+  /** When the engine is to load a version; undefined if no load is planned. */
   readonly loadsAt: MonotonicInstant | undefined;
 }
 
 /** How a report differs from the one before it. */
 export type ReportChange =
   | 'none'
-  /** In how much the engine has to do. */
+  /** The engine's load has changed. */
   | 'load'
-  /** In what the engine serves. */
+  /** What the engine serves has changed. */
   | 'state';
 
-/** How `next` differs from what a receiver was told before, if anything. */
+/** Compares `next` with the last report sent to a receiver, if any. */
 export function reportChange(
   before: ReportedState | undefined,
   next: ReportedState,
@@ -58,7 +64,7 @@
   return isSameLoad ? 'none' : 'load';
 }
 
-/** Whether an engine serves the same as before. */
+/** Whether an engine serves the same in both states. */
 export function isSameState(
   one: Pick<ReportedState, 'held' | 'ordering' | 'born'>,
   other: Pick<ReportedState, 'held' | 'ordering' | 'born'>,
@@ -83,22 +89,22 @@
   return Math.abs(one - other) <= tolerance;
 }
 
-/** What a receiver was told, and what it could be told now. */
+/** The last report sent to a receiver, and the one that could be sent now. */
 export interface ReportCandidate {
-  /** Whether the receiver gets each report that is news. */
+  /** Whether the receiver gets each report with a change. */
   readonly getsAll: boolean;
   readonly before: ReportedState | undefined;
   readonly next: ReportedState;
-  /** Since the report before. */
+  /** Time since the last report. */
   readonly since: Milliseconds;
 }
 
 /**
- * Whether a report must be written.
+ * Whether a report must be sent.
  *
- * Failure: the receiver of all reports freezes, and the next one in order takes
- * its place with nothing to tell. Guard: the second one gets what an engine serves
- * at once, and a whole report with each sign of life.
+ * The second receiver gets changes in what an engine serves at once, and a
+ * whole report in each heartbeat period. If the first one freezes, the second
+ * takes its place and must have something to relay.
  */
 export function isReportDue(candidate: ReportCandidate): boolean {
   const change = reportChange(candidate.before, candidate.next);
--- a/packages/core/src/relays/silent_peers.ts
+++ b/packages/core/src/relays/silent_peers.ts
@@ -1,18 +1,22 @@
 import type {Milliseconds, MonotonicInstant} from '../types';
 
 /**
- * How long a process that fell silent is passed over. Shorter, and each look at a
- * lost machine costs its asker a silence; a frozen one wakes within seconds.
+ * How long a process that fell silent is skipped. With a shorter time, each
+ * check of a lost machine would cost its caller a timeout; a frozen machine
+ * resumes within seconds.
  */
 const SKIP_DURATION: Milliseconds = 5_000;
 
-/** Remembers which processes have lately not answered, by their lives. */
+/** Tracks which processes have recently not answered, by incarnation. */
 export interface SilentPeers {
   readonly record: (life: string, now: MonotonicInstant) => void;
   readonly isSilent: (life: string, now: MonotonicInstant) => boolean;
 }
 
-/** Creates the memory; what a process says again it says to whoever asks it. */
+/**
+ * Creates a tracker. Nothing reports that a process answers again: it is
+ * queried again once the time has passed.
+ */
 export function createSilentPeers(): SilentPeers {
   const silentSince = new Map<string, MonotonicInstant>();
 
--- a/packages/core/src/relays/stale_report_filter.ts
+++ b/packages/core/src/relays/stale_report_filter.ts
@@ -1,11 +1,14 @@
 import type {Milliseconds, MonotonicInstant} from '../types';
 
-/** Age of the newest report after which an older sequence counts again. */
+/** Age of the newest report after which a lower sequence is accepted again. */
 const SEQUENCE_TTL: Milliseconds = 2_000;
 
-/** Tells reports that are news from those that came another way before. */
+/** Drops reports that are older than one received on another path. */
 export interface StaleReportFilter {
-  /** Whether a report is newer than all before of its engine; notes it if so. */
+  /**
+   * Whether a report is newer than all previous ones of its engine; records it
+   * if so.
+   */
   readonly accepts: (
     engineAddress: string,
     sequence: number,
@@ -14,12 +17,12 @@
 }
 
 /**
- * Creates the order of reports.
+ * Creates a filter.
  *
- * Failure: two entries take themselves for the relay, and both pass an engine's
- * reports on. The later way brings an old one last, and requests go by it. Guard:
- * only a report with a higher sequence counts. An agent that starts anew with a
- * clock set back is heard again after 2 s.
+ * Two entries may both consider themselves the relay and forward an engine's
+ * reports. The slower path delivers an old report last, and requests would be
+ * placed by it. So only a report with a higher sequence is accepted. An agent
+ * that restarts with a clock set back is accepted again after 2 s.
  */
 export function createStaleReportFilter(): StaleReportFilter {
   const newest = new Map<string, {sequence: number; at: MonotonicInstant}>();
--- a/test/relays/entry_states.test.ts
+++ b/test/relays/entry_states.test.ts
@@ -6,7 +6,7 @@
   {instance: 'two', life: 'two-1'},
 ];
 
-test('the newest word of an entry counts, whoever passes it on', () => {
+test('the newest state of an entry is used, whoever relays it', () => {
   const states = createEntryStates();
   states.setMembers(members, 0);
   expect(states.record({instance: 'one', ready: false, observedAt: 200})).toBe(
@@ -22,8 +22,8 @@
   expect(states.isUsable('one', 300)).toBe(true);
 });
 
-// A zone loses all of its relays at once. What the others last said of its
-// entries would be passed on for good, and callers sent to lost machines.
+// A zone loses all of its relays at once. The last states of its entries must
+// not be relayed permanently, or callers would be sent to lost machines.
 test('an entry that nobody hears of any more is not usable', () => {
   const states = createEntryStates();
   states.setMembers(members, 0);
@@ -33,16 +33,16 @@
   expect(states.recentStates(6_000)).toEqual([]);
 });
 
-test('a new member counts as ready until its first word is due', () => {
+test('a new member counts as ready until its first report is due', () => {
   const states = createEntryStates();
   states.setMembers(members, 0);
   expect(states.isUsable('two', 2_499)).toBe(true);
   expect(states.isUsable('two', 2_500)).toBe(false);
 });
 
-// An entry is killed and starts again. What was heard of its former life says
-// nothing of the new one.
-test('a new life starts unheard', () => {
+// An entry is killed and restarts. What is known of its previous incarnation
+// does not apply to the new one.
+test('a new incarnation has no known state', () => {
   const states = createEntryStates();
   states.setMembers(members, 0);
   states.record({instance: 'one', ready: false, observedAt: 1_000});
--- a/test/relays/relay_choice.test.ts
+++ b/test/relays/relay_choice.test.ts
@@ -12,7 +12,7 @@
   readonly zone: string;
 }
 
-/** As many entries in each of five zones. */
+/** The given number of entries in each of five zones. */
 function entriesOf(inZone: number): readonly Entry[] {
   return ['north', 'south', 'east', 'west', 'middle'].flatMap(zone =>
     Array.from({length: inZone}, (_, index) => ({
@@ -35,8 +35,8 @@
   );
 });
 
-// The relay of a zone loses power. Its line stays in the members' table, so it
-// must be passed over by those who hear nothing of it.
+// The relay of a zone loses power. Its row stays in the members' table, so
+// processes that get no answer from it must skip it.
 test('the next entry in order takes the place of a silent relay', () => {
   const entries = entriesOf(8);
   const [first, second] = relayOrder(entries, 'north');
@@ -48,7 +48,7 @@
   expect(chooseRelay(entriesOf(8), 'north', () => true)).toBeUndefined();
 });
 
-test('agents report to two entries of a large zone, all to the first', () => {
+test('agents report to two entries of a large zone, and each report to the first', () => {
   for (const inZone of [8, 78]) {
     const receivers = reportReceivers(entriesOf(inZone), 'east', none);
     expect(receivers.map(({getsAll}) => getsAll)).toEqual([true, false]);
@@ -56,15 +56,15 @@
   }
 });
 
-test('agents report all to each entry of a small zone', () => {
+test('agents send each report to all entries of a small zone', () => {
   const receivers = reportReceivers(entriesOf(3), 'east', none);
   expect(receivers.map(({getsAll}) => getsAll)).toEqual([true, true, true]);
 });
 
-// All entries of a zone have stopped. Its engines still run, and entries of other
-// zones place requests there by what the agents tell.
+// All entries of a zone have stopped. Its engines still run, and entries of
+// other zones place requests there by the agents' reports.
 test.each([3, 8])(
-  'a zone without an entry that answers reports to all zones (%i entries each)',
+  'agents of a zone without a responsive entry report to all zones (%i entries each)',
   inZone => {
     const isSilent = ({zone}: Entry) => zone === 'east';
     const receivers = reportReceivers(entriesOf(inZone), 'east', isSilent);
@@ -92,7 +92,7 @@
   );
 });
 
-test('a process that fell silent is asked again after five seconds', () => {
+test('a process that fell silent is queried again after five seconds', () => {
   const silent = createSilentPeers();
   silent.record('life', 1_000);
   expect(silent.isSilent('life', 5_999)).toBe(true);
--- a/test/relays/report_due.test.ts
+++ b/test/relays/report_due.test.ts
@@ -29,10 +29,13 @@
   {held: []},
   {held: [{model: 'model', version: 2}]},
   {born: 8},
-])('what an engine serves is told to both receivers at once (%j)', changes => {
-  expect(reportChange(IDLE, {...IDLE, ...changes})).toBe('state');
-  expect([isDue(true, changes), isDue(false, changes)]).toEqual([true, true]);
-});
+])(
+  'a change in what an engine serves is sent to both receivers at once (%j)',
+  changes => {
+    expect(reportChange(IDLE, {...IDLE, ...changes})).toBe('state');
+    expect([isDue(true, changes), isDue(false, changes)]).toEqual([true, true]);
+  },
+);
 
 test.each<Partial<ReportedState>>([
   {running: 1},
@@ -42,7 +45,7 @@
   {memoryShare: undefined},
   {loadsAt: 1_061},
   {loadsAt: undefined},
-])('how much an engine runs is told to the first receiver (%j)', changes => {
+])('a change of the load is sent to the first receiver only (%j)', changes => {
   expect(reportChange(IDLE, {...IDLE, ...changes})).toBe('load');
   expect([isDue(true, changes), isDue(false, changes)]).toEqual([true, false]);
 });
@@ -52,13 +55,16 @@
   {pace: 1.04},
   {memoryShare: 0.54},
   {loadsAt: 1_060},
-])('what no entry decides by is told with signs of life only (%j)', changes => {
-  expect(isDue(true, changes, 490)).toBe(false);
-  expect(isDue(true, changes, 500)).toBe(true);
-  expect(isDue(false, changes, 500)).toBe(true);
-});
+])(
+  'an insignificant change is sent with the next heartbeat only (%j)',
+  changes => {
+    expect(isDue(true, changes, 490)).toBe(false);
+    expect(isDue(true, changes, 500)).toBe(true);
+    expect(isDue(false, changes, 500)).toBe(true);
+  },
+);
 
-// One request ended and one began between two looks. An entry that has used its
+// One request ended and one began between two polls. An entry that has used its
 // part of the free slots waits for the next report.
 test('a report of an engine that runs the same is repeated after 200 ms', () => {
   const before = {...IDLE, running: 3};
@@ -67,14 +73,14 @@
   expect(isDue(false, before, 200, before)).toBe(false);
 });
 
-test('a receiver that was told nothing is told all', () => {
+test('a receiver without a previous report gets a whole one', () => {
   const next = IDLE;
   expect(isReportDue({getsAll: false, before: undefined, next, since: 0})).toBe(
     true,
   );
 });
 
-test('of two relays that pass on the same engine, the older report is dropped', () => {
+test('the older of two reports from different relays is dropped', () => {
   const order = createStaleReportFilter();
   expect(order.accepts('one', 5, 0)).toBe(true);
   expect(order.accepts('one', 5, 10)).toBe(false);
@@ -83,7 +89,7 @@
   expect(order.accepts('one', 6, 20)).toBe(true);
 });
 
-test('an agent that starts anew with a lower sequence is heard after 2 s', () => {
+test('a restarted agent with a lower sequence is accepted after 2 s', () => {
   const order = createStaleReportFilter();
   order.accepts('one', 500, 0);
   expect(order.accepts('one', 1, 1_999)).toBe(false);
--- a/test/relays/table_reader.test.ts
+++ b/test/relays/table_reader.test.ts
@@ -11,8 +11,8 @@
   {minLength: 2, maxLength: 5, selector: ({instance}) => instance},
 );
 
-// Two relays of which each trusts the other to read the operator's table: no
-// configuration would come into force until one of them asks by itself.
+// If each of two relays left reading the operator's table to the other, no
+// configuration would come into force until one of them requests it by itself.
 test('of any two relays somebody reads the table', () => {
   fc.assert(
     fc.property(relays, ([one, other]) => {
@@ -24,7 +24,7 @@
   );
 });
 
-test('the nearest relay reads, and of equally near ones the first by name', () => {
+test('the nearest relay reads the table; among equally near ones, the first by name', () => {
   const near: TableReader = {instance: 'z', storeDistance: 4.3};
   const alsoNear: TableReader = {instance: 'y', storeDistance: 4.6};
   const far: TableReader = {instance: 'a', storeDistance: 6.3};
