--- a/packages/fleet/src/link/answer_timer.ts
+++ b/packages/fleet/src/link/answer_timer.ts
@@ -1,16 +1,17 @@
 import type {Milliseconds} from '@hibiscusbeam/core';
 
-/** The end of the time, in which what has come is surely read. */
+/** Last part of the timeout, in which data that has already arrived is read. */
 const READ_GRACE: Milliseconds = 100;
 
-/** The time that an answer may take. */
+/** Timeout of an answer. */
 export interface AnswerTimer {
   readonly stop: () => void;
 }
 
 /**
- * Starts the time for an answer. Timers run before sockets are read, so that an
- * answer which came while this process stood still would count as missing.
+ * Starts the timeout of an answer. Timers run before sockets are read, so that
+ * with a plain timer, an answer which arrived while the event loop was blocked
+ * would count as missing.
  */
 export function startAnswerTimer(
   time: Milliseconds,
--- a/packages/fleet/src/link/channels.ts
+++ b/packages/fleet/src/link/channels.ts
@@ -1,7 +1,7 @@
 import {credentials} from '@grpc/grpc-js';
 import {FleetAgentClient, FleetEntryClient} from '@hibiscusbeam/wire';
 
-/** Largest message between our processes, in bytes. */
+/** Maximum size of a message between processes of the site. */
 const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 
 const CHANNEL_OPTIONS = {
@@ -11,17 +11,17 @@
   'grpc.max_reconnect_backoff_ms': 500,
 };
 
-/** A closable client of one of our processes. */
+/** A gRPC client that can be closed. */
 interface Closable {
   readonly close: () => void;
 }
 
-/** One client for each address, opened on first use. */
+/** One gRPC client for each address, opened on first use. */
 export interface Channels<Client> {
   readonly at: (address: string) => Client;
   /** Closes the client of an address; the next use opens a new one. */
   readonly drop: (address: string) => void;
-  /** Closes the clients of all addresses but these. */
+  /** Closes the clients of all other addresses. */
   readonly retain: (addresses: ReadonlySet<string>) => void;
   readonly close: () => void;
 }
@@ -54,7 +54,7 @@
   };
 }
 
-/** Channels to entries. */
+/** Creates channels to entries. */
 export function createEntryChannels(): Channels<FleetEntryClient> {
   return createChannels(
     address =>
@@ -66,7 +66,7 @@
   );
 }
 
-/** Channels to agents. */
+/** Creates channels to agents. */
 export function createAgentChannels(): Channels<FleetAgentClient> {
   return createChannels(
     address =>
--- a/packages/fleet/src/link/configuration_copies.ts
+++ b/packages/fleet/src/link/configuration_copies.ts
@@ -7,50 +7,55 @@
 import {isSimilar} from './text_similarity';
 
 /**
- * Configurations that are kept as bases of differences. A follower tells within a
- * second which one it holds, and no more than four are read in that time.
+ * Number of configurations that are kept as bases of deltas. A follower reports
+ * within a second which one it holds, and at most four are read in that time.
  */
 const MAX_BASE_DOCUMENTS = 5;
 
 /**
- * Largest text of a configuration, in bytes: sixteen times one of 1,650 routes. It
- * bounds what a faulty copy may unfold to.
+ * Maximum size of a configuration's text: sixteen times that of one with 1,650
+ * routes. It bounds the decompressed size of a corrupted copy.
  */
 const MAX_TEXT_BYTES = 8 * 1024 * 1024;
 
-/** Texts below this size, in bytes, are told by what differs in any case. */
+/**
+ * Texts below this size are always sent as a delta, without a similarity check.
+ */
 const MIN_COMPARED_BYTES = 64 * 1024;
 
 /** Why a copy can't be read. */
 export type CopyError =
-  /** The configuration that it differs from is not held here. */
+  /** The base of the delta is not held here. */
   | {readonly kind: 'baseMissing'; readonly baseRevision: Revision}
-  /** Its text is not what the sender had. */
-  | {readonly kind: 'spoilt'; readonly detail: string};
+  /** The resulting text differs from the sender's. */
+  | {readonly kind: 'corrupted'; readonly detail: string};
 
-/** The newest configurations, and their copies for other entries. */
+/** The newest configurations, and their encoded copies for other entries. */
 export interface ConfigurationCopies {
   readonly add: (document: ConfigurationDocument) => void;
-  /** Keeps the newest one as that of a later revision. */
+  /** Adds the newest configuration again, under a later revision. */
   readonly addUnchanged: (revision: Revision) => void;
-  /** Revision of the newest configuration that is held; 0 for none. */
+  /** Revision of the newest configuration held; 0 if there is none. */
   readonly newestRevision: () => Revision;
-  /** The newest configuration for an entry that holds that of `base`. */
+  /**
+   * Encodes the newest configuration for an entry that holds the one of
+   * revision `base`.
+   */
   readonly write: (base: Revision) => ConfigurationCopy | undefined;
-  /** The configuration of a copy; it is not kept yet. */
+  /** Decodes the configuration of a copy, without adding it. */
   readonly read: (
     copy: ConfigurationCopy,
   ) => Result<ConfigurationDocument, CopyError>;
 }
 
 /**
- * Creates the memory of copies.
+ * Creates an empty set of configurations.
  *
- * Failure: a configuration of 1,650 routes has 0.35 MB, and each entry reads it
- * from the store for itself. A change each 0.4 s fills links of 2 MB a second
- * between regions, and requests and reports wait behind copies of the same text.
- * Guard: a copy tells what differs from a configuration that the receiver holds:
- * 0.1 KB for a change of one route, 25 KB where it holds none.
+ * A configuration of 1,650 routes has 0.35 MB. If each entry read it from the
+ * store, a change every 0.4 s would saturate links of 2 MB a second between
+ * regions, and requests and reports would be delayed. A copy contains only the
+ * delta to a configuration that the receiver holds: 0.1 KB for a change of one
+ * route, 25 KB if it holds none.
  */
 export function createConfigurationCopies(): ConfigurationCopies {
   let documents: readonly ConfigurationDocument[] = [];
@@ -75,7 +80,10 @@
     if (document !== undefined) add({...document, revision});
   }
 
-  /** Working out what differs in every route would hold the loop for long. */
+  /**
+   * Skips bases with little in common: a delta between texts that differ in
+   * every route would block the event loop for long.
+   */
   function baseFor(
     {text}: ConfigurationDocument,
     revision: Revision,
@@ -110,7 +118,7 @@
     if (digestOf(text.val).equals(copy.digest)) {
       return Ok({revision, text: text.val});
     }
-    return Err({kind: 'spoilt', detail: 'its digest is another'});
+    return Err({kind: 'corrupted', detail: 'digest mismatch'});
   }
 
   return {
@@ -147,9 +155,9 @@
     if (base === undefined) return Ok(inflated);
     return Ok(Buffer.from(applyDelta<Uint8Array>(base.text, inflated)));
   } catch (error) {
-    // Both libraries throw on bytes that are not theirs.
+    // Both libraries throw on invalid input.
     const detail = error instanceof Error ? error.message : String(error);
-    return Err({kind: 'spoilt', detail});
+    return Err({kind: 'corrupted', detail});
   }
 }
 
--- a/packages/fleet/src/link/crash_records.ts
+++ b/packages/fleet/src/link/crash_records.ts
@@ -6,13 +6,18 @@
 } from '@hibiscusbeam/core';
 import type {CrashRecord as CrashRecordMessage} from '@hibiscusbeam/wire';
 
-/** Records in one message; the others follow in the next ones. */
+/**
+ * Maximum number of records in one message; the others follow in later ones.
+ */
 const MAX_RECORDS_PER_MESSAGE = 100;
 
-/** Largest age that the wire's field holds, in milliseconds. */
+/** Maximum value of the age field on the wire. */
 const MAX_AGE: Milliseconds = 2 ** 32 - 1;
 
-/** Writes to one stream what was not written to it yet. */
+/**
+ * Creates a writer for one stream, which returns the records not yet written to
+ * it.
+ */
 export function createCrashRecordWriter(
   quarantine: Quarantine,
 ): (now: MonotonicInstant) => CrashRecordMessage[] {
@@ -42,7 +47,7 @@
   };
 }
 
-/** Reads a record; ages count from its arrival. */
+/** Reads a record. Ages are relative to its arrival. */
 export function readCrashRecord(
   message: CrashRecordMessage,
   now: MonotonicInstant,
--- a/packages/fleet/src/link/demand_messages.ts
+++ b/packages/fleet/src/link/demand_messages.ts
@@ -5,10 +5,13 @@
 } from '@hibiscusbeam/core';
 import type {FollowerGreeting, RelayNews} from '@hibiscusbeam/wire';
 
-/** Most rows of a message that are read: far more than services times priorities. */
+/**
+ * Maximum number of rows read from a message; far more than services times
+ * priorities.
+ */
 const MAX_ROWS = 1_000;
 
-/** Reads demands; rows that no meter can have written are left out. */
+/** Reads demands and skips invalid rows. */
 export function readDemands(
   rows: FollowerGreeting['demands'],
 ): readonly ServiceDemand[] {
@@ -17,7 +20,7 @@
     .filter(({places}) => Number.isFinite(places) && places >= 0);
 }
 
-/** Reads the sums by zone that a relay has told. */
+/** Reads the sums by zone that a relay has sent. */
 export function readZoneDemands(
   rows: RelayNews['demands'],
   now: MonotonicInstant,
@@ -41,7 +44,7 @@
   }));
 }
 
-/** Places that are asked for in all zones. */
+/** Sums the slots requested in all zones. */
 export function countRequestedSlots(zones: readonly ZoneDemand[]): number {
   return zones
     .flatMap(({demands}) => demands)
--- a/packages/fleet/src/link/era_log.ts
+++ b/packages/fleet/src/link/era_log.ts
@@ -1,7 +1,10 @@
 import type {Log} from '@hibiscusbeam/daemon';
 import type {StoreReading} from '../ports';
 
-/** Creates the log of the store's restores, as the readings of a table show them. */
+/**
+ * Creates a logger of the store's restores, which are detected by the readings
+ * of a table.
+ */
 export function createEraLog(
   table: string,
   log: Log,
--- a/packages/fleet/src/link/failure_pause.ts
+++ b/packages/fleet/src/link/failure_pause.ts
@@ -1,31 +1,34 @@
 import type {Milliseconds} from '@hibiscusbeam/core';
 import {createWakeablePause} from './wakeable_pause';
 
-/** Pause after a first failure, and the shortest after any other. */
+/** Pause after the first failure, and minimum of any later one. */
 const MIN_PAUSE: Milliseconds = 400;
 
-/** Longest pause after failures in a row. */
+/** Maximum pause after consecutive failures. */
 const MAX_PAUSE: Milliseconds = 4_000;
 
-/** Share of a pause by which it is shortened, by process. */
+/** Maximum share by which a process shortens its pauses. */
 const MAX_JITTER = 0.25;
 
-/** Pauses after failed questions to the store, for tables that may come late. */
+/**
+ * Pauses after failed requests to the store, for tables that need not be read
+ * in time.
+ */
 export interface FailurePause {
-  /** Waits after so many failures in a row. */
+  /** Waits after the given number of consecutive failures. */
   readonly wait: (failures: number, signal: AbortSignal) => Promise<void>;
-  /** Notes a sign that the store answers: all pauses end. */
+  /** Records that the store answers, which ends all pauses. */
   readonly recordAnswer: () => void;
 }
 
 /**
- * Creates the pauses of a process; `spread` is a number in [0, 1) that differs by
- * process.
+ * Creates the pauses of a process; `jitter` is a number in [0, 1) that differs
+ * between processes.
  *
- * Failure: the store is away for 8 s, and 80 processes ask it for members and
- * quarantined requests each 400 ms: 2,100 calls in vain, and as many at once when it
- * is back. Guard: pauses grow, and end early once another question of this process,
- * or its relay's, is answered.
+ * With fixed pauses of 400 ms, 80 processes would send 2,100 requests for
+ * members and quarantined requests in vain while the store is unavailable for 8
+ * s, and as many at once when it is back. So pauses grow, and end early once
+ * another request of this process, or of its relay, is answered.
  */
 export function createFailurePause(jitter: number): FailurePause {
   const remainingPause = createWakeablePause();
@@ -35,7 +38,8 @@
     wait: async (failures, signal) => {
       const grown = MIN_PAUSE * 2 ** Math.max(0, failures - 1);
       const pause = Math.min(MAX_PAUSE, grown) * (1 - MAX_JITTER * jitter);
-      // A table that is refused while others are answered is asked for no sooner.
+      // Answers for other tables must not shorten this part: a table that is
+      // refused while others are answered is not requested more often.
       await minPause.sleep(MIN_PAUSE, signal);
       const left = pause - MIN_PAUSE;
       if (left > 0 && !signal.aborted) await remainingPause.sleep(left, signal);
--- a/packages/fleet/src/link/feed_loop.ts
+++ b/packages/fleet/src/link/feed_loop.ts
@@ -6,35 +6,36 @@
 
 /** What a reading covers. */
 export type ReadingScope =
-  /** All rows, as of one moment. */
+  /** All rows, as of one point in time. */
   | 'all'
-  /** The rows that have changed since the reading before. */
+  /** The rows that have changed since the previous reading. */
   | 'changes';
 
-/** How a table is read and followed. */
+/** Options of {@link runFeedLoop}. */
 export interface FeedLoopOptions<Reading extends StoreReading> {
-  /** Names the table in log lines. */
+  /** Name of the table in log lines. */
   readonly name: string;
   readonly readAll: () => Promise<Result<Reading, HostError>>;
   readonly follow: (after: Revision) => Promise<Result<Reading, HostError>>;
-  /** Takes a reading; the next question is asked once it is done. */
+  /** Handles a reading; the next request is sent once it has finished. */
   readonly onReading: (
     reading: Reading,
     scope: ReadingScope,
   ) => void | Promise<void>;
-  /** Waits after so many questions in a row without an answer. */
+  /** Waits after the given number of consecutive requests without an answer. */
   readonly pause: (failures: number, signal: AbortSignal) => Promise<void>;
   readonly log: Log;
 }
 
 /**
- * Reads a table whole, then what changes, until the signal aborts. It is read
- * whole again only if the store no longer knows what has changed.
+ * Reads a whole table, then its changes, until the signal aborts. The whole
+ * table is read again only if the store no longer knows what has changed.
  *
- * Failure: a link is narrow, and a question is given up before its answer is
- * through. A table of 0.4 MB that is then asked for whole, though nothing in it is
- * new, fills the link for the others too, and none of them gets its answer. Guard:
- * after a failure, the changes since the last reading are asked for again.
+ * A request over a narrow link may time out before its answer is complete.
+ * After a failure, the changes since the last reading are requested again:
+ * requesting a whole table of 0.4 MB instead, though nothing in it is new,
+ * would saturate the link for the others too, so that none of them gets its
+ * answer.
  */
 export async function runFeedLoop<Reading extends StoreReading>(
   options: FeedLoopOptions<Reading>,
@@ -45,7 +46,7 @@
   let revision: Revision | undefined;
   const recordEra = createEraLog(name, log);
   let failures = 0;
-  /** Questions for changes in a row that the store no longer knows. */
+  /** Consecutive requests for changes that the store no longer knows. */
   let historyLosses = 0;
   while (!signal.aborted) {
     const scope = revision === undefined ? 'all' : 'changes';
@@ -65,7 +66,8 @@
     if (reply.val.kind === 'historyLost') {
       revision = undefined;
       log.info(`${name} is read whole`, {reason: reply.val.kind});
-      // A store that knows no changes at all would be asked without a pause.
+      // Without this pause, a store that knows no changes at all would be
+      // queried in a tight loop.
       if (historyLosses > 0) await options.pause(historyLosses, signal);
       historyLosses += 1;
       continue;
--- a/packages/fleet/src/link/hedged_request.ts
+++ b/packages/fleet/src/link/hedged_request.ts
@@ -2,19 +2,19 @@
 import type {Result} from 'ts-results';
 import {startAnswerTimer} from './answer_timer';
 
-/** A question and the one that is asked beside it if its answer is late. */
+/** A request, and the hedge that is sent in addition if its answer is late. */
 export interface HedgedRequest<Answer, Failure> {
   readonly first: () => Promise<Result<Answer, Failure>>;
   readonly hedge: () => Promise<Result<Answer, Failure>>;
-  /** Time after which the first one's answer is late. */
+  /** Time after which the answer of the first request is late. */
   readonly hedgeDelay: Milliseconds;
-  /** Whether the backup is worth its call, asked when the answer is late. */
+  /** Whether the hedge is worth its call; evaluated when the answer is late. */
   readonly isHedgeWanted: () => boolean;
 }
 
 /**
- * Asks a question, and the backup once its answer is late. The first answer
- * counts; it fails when all that was asked has failed.
+ * Sends a request, and the hedge once its answer is late. The first successful
+ * answer wins; fails when all requests sent so far have failed.
  */
 export function requestWithHedge<Answer, Failure>(
   request: HedgedRequest<Answer, Failure>,
--- a/packages/fleet/src/link/http_calls.ts
+++ b/packages/fleet/src/link/http_calls.ts
@@ -4,26 +4,26 @@
 import {startAnswerTimer} from './answer_timer';
 import {openSingleConnection, type SingleConnection} from './single_connection';
 
-/** An answer, read whole. */
+/** A complete answer. */
 export interface HttpReply {
   readonly status: number;
-  /** The first value of a header line, by its lower-case name. */
+  /** First value of a header, by its lower-case name. */
   readonly header: (name: string) => string | undefined;
   readonly body: Buffer;
 }
 
-/** How far a call came that brought no answer. */
+/** How far a call without an answer got. */
 export type CallProgress =
-  /** No connection in time: nobody is there, or the link is full. */
+  /** No connection in time: nothing listens there, or the link is saturated. */
   | 'notConnected'
-  /** The connection was refused, or ended by the other side. */
+  /** The connection was refused, or closed by the other side. */
   | 'broken'
-  /** Connected, and nothing came for many times what connecting took. */
+  /** Connected, but nothing arrived within a multiple of the connect time. */
   | 'silent'
-  /** An answer has begun, or may be on its way. */
+  /** An answer has begun, or may be in transit. */
   | 'underWay';
 
-/** Why there is none. */
+/** Why a call got no answer. */
 export interface NoReply {
   readonly detail: string;
   readonly progress: CallProgress;
@@ -34,46 +34,48 @@
   /** `IP:port`. */
   readonly address: string;
   readonly method: 'GET' | 'POST' | 'PUT' | 'DELETE';
-  /** With its query. */
+  /** Path, with the query. */
   readonly path: string;
   readonly body?: Buffer | string;
   readonly contentType?: string;
-  /** Time for the answer; with `longest`, for its next bytes. */
+  /** Timeout of the answer; with `longest`, of its next bytes. */
   readonly timeout: Milliseconds;
-  /** Longest time in all for an answer whose bytes keep coming. */
+  /** Maximum total time of an answer whose bytes keep arriving. */
   readonly longest?: Milliseconds;
-  /** How long the server may hold its answer back, as a long poll does. */
+  /** How long the server may delay its answer, as for a long poll. */
   readonly heldFor?: Milliseconds;
   readonly signal?: AbortSignal;
   /** Default `single`. */
   readonly connection?: HttpConnection;
 }
 
-/** How a call's connection is opened and left. */
+/** How a call's connection is opened and closed. */
 export type HttpConnection =
-  /** For this call alone. */
+  /** Used for this call only. */
   | 'single'
-  /** The same, to a machine whose link may be full for seconds. */
+  /** The same, to a machine whose link may be saturated for seconds. */
   | 'singleOverFullLink'
-  /** It may be used again; a time-out ends it. */
+  /** May be reused; a timeout closes it. */
   | 'kept';
 
-/** Longest time to open a connection. */
+/** Timeout for opening a connection. */
 const CONNECT_TIMEOUT: Milliseconds = 500;
 
 /**
- * Longest time to open a connection over a full link. After an outage of the
- * origin 41 agents ask it for a chunk each, which takes its link 1.8 s; given up
- * sooner, a third of them asked again and again, and counted it as lost.
+ * Timeout for opening a connection over a saturated link. After an outage of
+ * the origin, 41 agents request a chunk each, which occupies its link for 1.8
+ * s. With a shorter timeout, a third of them retried again and again, and
+ * considered the origin lost.
  */
 const FULL_LINK_CONNECT_TIMEOUT: Milliseconds = 2_000;
 
-/** Idle time of kept connections; below that of the engines. */
+/** Idle timeout of kept connections; below that of the engines. */
 const KEEP_ALIVE_TIMEOUT: Milliseconds = 1_000;
 
 /**
- * Connections for the many small calls to the engine on the own machine. A new
- * one for each look was 5,000 of the site's 11,400 new connections in 46 s.
+ * Connections for the many small calls to the engine on the same machine.
+ * Opening a connection for each poll caused 5,000 of the site's 11,400 new
+ * connections in 46 s.
  */
 const keepAliveAgent = new Agent({
   connect: {timeout: CONNECT_TIMEOUT},
@@ -82,7 +84,7 @@
   keepAliveMaxTimeout: KEEP_ALIVE_TIMEOUT,
 });
 
-/** Makes a call and reads the whole answer within the timeout. */
+/** Sends a request and reads the whole answer within the timeout. */
 export async function callHttp(
   call: HttpCall,
 ): Promise<Result<HttpReply, NoReply>> {
@@ -97,7 +99,7 @@
   try {
     const reply = await send(call, connection, controller.signal);
     hasBegun = true;
-    const body = await readBody(reply.body, timer.noteBytes);
+    const body = await readBody(reply.body, timer.recordBytes);
     const {statusCode: status, headers} = reply;
     return Ok({status, header: name => firstValue(headers[name]), body});
   } catch (error) {
@@ -112,7 +114,9 @@
   }
 }
 
-/** Counts the time of a call, anew with each part of a long answer. */
+/**
+ * Starts the timeout of a call, which restarts with each part of a long answer.
+ */
 function startCallTimer({timeout, longest}: HttpCall, onExpired: () => void) {
   const endsAt = longest && performance.now() + longest;
   let timer = startAnswerTimer(timeout, onExpired);
@@ -125,7 +129,7 @@
     timer = startAnswerTimer(Math.min(timeout, left), onExpired);
   }
 
-  return {noteBytes: recordBytes, stop: () => timer.stop()};
+  return {recordBytes, stop: () => timer.stop()};
 }
 
 async function readBody(
@@ -141,8 +145,8 @@
 }
 
 /**
- * A connection for this call alone: an open one may fall silent for good, which a
- * kept one shows only by a time-out in a later call.
+ * Opens a connection for this call only: an open connection may fall silent
+ * permanently, which shows only by a timeout if a later call reuses it.
  */
 function openConnection(call: HttpCall): SingleConnection | undefined {
   const kind = call.connection ?? 'single';
@@ -191,7 +195,7 @@
   return Array.isArray(value) ? value[0] : value;
 }
 
-/** Parses a body as JSON; undefined if it is none. */
+/** Parses a body as JSON; undefined if it is invalid. */
 export function parseJson(body: Buffer): unknown {
   try {
     return JSON.parse(body.toString('utf8')) as unknown;
--- a/packages/fleet/src/link/member_follower.ts
+++ b/packages/fleet/src/link/member_follower.ts
@@ -4,19 +4,19 @@
 import type {FailurePause} from './failure_pause';
 import {runFeedLoop, type ReadingScope} from './feed_loop';
 
-/** How long one question waits for a change; each question costs a call. */
+/** How long one request waits for a change; each request costs a call. */
 const LONG_POLL_WAIT: Milliseconds = 25_000;
 
-/** Time beyond the wait after which a question counts as lost. */
+/** Time beyond the wait after which a request counts as lost. */
 const ANSWER_SLACK: Milliseconds = 1_000;
 
 /**
- * Pause after a change, for each member that is known, and its bounds. When a
- * whole site starts or grows, each process would otherwise be told of every other
- * one by a call of its own: 98 entries and 111 agents made 28 calls each in 34 s
- * while 46 of them joined, and 22 processes 20 each while five were replaced. Who
- * joins is met without its line: it follows its relay and reports to entries by
- * itself.
+ * Pause after a change for each known member, with its minimum and maximum.
+ * Without it, when a whole site starts or grows, each process would learn of
+ * every other one by a separate call: 98 entries and 111 agents made 28 calls
+ * each in 34 s while 46 of them joined, and 22 processes made 20 each while
+ * five were replaced. A joining process is reachable before its row is read: it
+ * follows its relay and reports to entries by itself.
  */
 const PAUSE_PER_MEMBER: Milliseconds = 15;
 const MIN_PAUSE: Milliseconds = 1_000;
@@ -26,12 +26,12 @@
 const PAUSE_AFTER_FAILURE: Milliseconds = 400;
 
 /**
- * How long members count whose lines a restored store has lost: until each has
- * had an answer that shows the restore, and has written its line again.
+ * How long members are kept whose rows a restored store has lost: until each of
+ * them has had an answer that shows the restore, and has written its row again.
  */
 const REREGISTRATION_TIMEOUT: Milliseconds = LONG_POLL_WAIT + 2 * ANSWER_SLACK;
 
-/** Longest time for writing the own line. */
+/** Timeout for writing the own row. */
 const WRITE_TIMEOUT: Milliseconds = 800;
 
 function pauseAfterChange(members: number): Milliseconds {
@@ -39,35 +39,35 @@
   return Math.min(MAX_PAUSE, Math.max(MIN_PAUSE, pause));
 }
 
-/** What a follower of the members needs. */
+/** Options of {@link createMemberFollower}. */
 export interface MemberFollowerOptions {
   readonly self: MemberDescription;
   readonly table: MemberTable;
   readonly clock: Clock;
   readonly log: Log;
   readonly failurePause: FailurePause;
-  /** Told of all members but this process. */
+  /** Called with all members except this process. */
   readonly onChange: (members: readonly MemberDescription[]) => void;
 }
 
-/** Keeps this process among the members, and knows the others. */
+/** Keeps this process registered as a member, and tracks the others. */
 export interface MemberFollower {
   readonly start: (signal: AbortSignal) => void;
-  /** Whether the members have been read at all. */
+  /** Whether the members have been read at least once. */
   readonly isKnown: () => boolean;
-  /** All members but this process. */
+  /** All members except this process. */
   readonly others: () => readonly MemberDescription[];
-  /** Takes this process out, for good. */
+  /** Removes this process from the members permanently. */
   readonly leave: () => Promise<void>;
 }
 
-/** Creates the follower of the members' table. */
+/** Creates a follower of the table of members. */
 export function createMemberFollower(
   options: MemberFollowerOptions,
 ): MemberFollower {
   const {self, table, clock, log} = options;
   const known = new Map<string, MemberDescription>();
-  /** Members whose lines a restored store has lost. */
+  /** Members whose rows a restored store has lost. */
   const lost = new Set<string>();
   let lostUntil: MonotonicInstant = -Infinity;
   let era: number | undefined;
@@ -100,7 +100,10 @@
     await sleep(pauseAfterChange(known.size), signal);
   }
 
-  /** Forgets all members, unless it is a restore that has lost their lines. */
+  /**
+   * Forgets all members, except after a restore, which may have lost their
+   * rows.
+   */
   function resetMembers(reading: MemberReading): void {
     const isRestored = era !== undefined && reading.era > era;
     era = reading.era;
@@ -112,7 +115,7 @@
     lostUntil = clock() + REREGISTRATION_TIMEOUT;
   }
 
-  /** Drops members that have not written their lines again in time. */
+  /** Drops members that have not written their rows again in time. */
   function dropLost(): boolean {
     if (lost.size === 0 || clock() < lostUntil) return false;
     for (const instance of lost) known.delete(instance);
@@ -126,7 +129,7 @@
     while (!leaving && !signal.aborted) {
       const written = await table.put(self, WRITE_TIMEOUT);
       if (written.ok) break;
-      log.warn('not registered yet', {error: written.val});
+      log.warn('could not register; retrying', {error: written.val});
       await sleep(PAUSE_AFTER_FAILURE, signal);
     }
     isRegistering = false;
@@ -151,7 +154,7 @@
     leave: async () => {
       leaving = true;
       const removed = await table.remove(self.instance, WRITE_TIMEOUT);
-      if (removed.err) log.warn('line not removed', {error: removed.val});
+      if (removed.err) log.warn('could not unregister', {error: removed.val});
     },
   };
 }
--- a/packages/fleet/src/link/naming_exchange.ts
+++ b/packages/fleet/src/link/naming_exchange.ts
@@ -8,24 +8,27 @@
 import type {VersionNaming} from '@hibiscusbeam/wire';
 
 /**
- * Tells other processes since when versions are named.
+ * Exchanges with other processes since when versions are named.
  *
- * Failure: an entry that starts anew counts a version's bound from its own first
- * look, and sends requests to engines with the older one for seconds after it.
- * Guard: entries tell one another, and agents tell entries when all of those
- * start anew at the same time.
+ * An entry that restarts would count a version's bound from the time at which
+ * it first reads the name, and would send requests to engines with the older
+ * version for seconds after the bound. So entries inform one another, and
+ * agents inform entries in case all of those restart at the same time.
  */
 export interface NamingExchange {
   readonly list: () => VersionNaming[];
   readonly merge: (namings: readonly VersionNaming[]) => void;
 }
 
-/** Longest time under way that is believed; the store may have restarted its clock. */
+/**
+ * Maximum plausible transit time of a message; a longer one means that the
+ * store may have restarted its clock.
+ */
 const MAX_TRANSIT_TIME: Milliseconds = 10_000;
 
 /**
- * Creates the exchange. Ages are told, since clocks of machines differ; the store's
- * time shows how long a naming was under way.
+ * Creates the exchange. Messages carry ages, since the clocks of machines
+ * differ; the store's time shows how long a message was in transit.
  */
 export function createNamingExchange(
   versions: NamedVersions,
--- a/packages/fleet/src/link/numbered_rows.ts
+++ b/packages/fleet/src/link/numbered_rows.ts
@@ -1,20 +1,23 @@
-/** A row that is told whole once, and by its number from then on. */
+/** A row that is sent whole once, and referred to by its number afterwards. */
 export interface NumberedRow<Row> {
   readonly number: number;
-  /** Grows when the row has to be told whole again. */
+  /** Incremented when the row must be sent whole again. */
   readonly edition: number;
   readonly row: Row;
 }
 
-/** Gives numbers to rows, for all who are told of them. */
+/** Assigns numbers to rows, shared by all receivers. */
 export interface RowNumbers<Row> {
-  /** The row as it is to be told; the one before it if that is still the same. */
+  /** Returns the row to send; the previous one if it is still the same. */
   readonly assign: (key: string, row: Row) => NumberedRow<Row>;
-  /** Forgets the rows of all other keys; their numbers are not used again. */
+  /** Forgets the rows of all other keys; their numbers are not reused. */
   readonly retain: (keys: ReadonlySet<string>) => void;
 }
 
-/** Creates the numbers; `isSame` is whether a row need not be told whole again. */
+/**
+ * Creates the numbers; `isSame` returns whether a row need not be sent whole
+ * again.
+ */
 export function createRowNumbers<Row>(
   isSame: (before: Row, next: Row) => boolean,
 ): RowNumbers<Row> {
@@ -39,15 +42,21 @@
   };
 }
 
-/** What one receiver has been told whole. */
+/** Rows that were sent whole to one receiver. */
 export interface SentRows {
-  /** Whether a row must be told whole; it counts as told from then on. */
+  /** Whether a row must be sent whole; counts as sent afterwards. */
   readonly mustSendWhole: (row: NumberedRow<unknown>) => boolean;
-  /** Numbers that were told and are not among these; they count as untold. */
+  /**
+   * Returns the sent numbers that are not among these; they count as not sent
+   * afterwards.
+   */
   readonly dropOthers: (numbers: ReadonlySet<number>) => readonly number[];
 }
 
-/** Creates the memory for one stream, whose messages all arrive or none after. */
+/**
+ * Creates the state of one stream, on which no message arrives after a lost
+ * one.
+ */
 export function createSentRows(): SentRows {
   const sentEditions = new Map<number, number>();
 
--- a/packages/fleet/src/link/peer_server.ts
+++ b/packages/fleet/src/link/peer_server.ts
@@ -2,17 +2,17 @@
 import {FleetAgentService, FleetEntryService} from '@hibiscusbeam/wire';
 import type {FleetAgentServer, FleetEntryServer} from '@hibiscusbeam/wire';
 
-/** The gRPC face of a process. */
+/** gRPC server of a process. */
 export interface PeerServer {
   readonly close: () => void;
 }
 
-/** What a process answers to the others. */
+/** Handlers for calls of other processes. */
 export type PeerHandlers =
   | {readonly role: 'entry'; readonly handlers: FleetEntryServer}
   | {readonly role: 'agent'; readonly handlers: FleetAgentServer};
 
-/** Opens the gRPC face at `address` (`IP:port`). */
+/** Opens the gRPC server at `address` (`IP:port`). */
 export function openPeerServer(
   address: string,
   peer: PeerHandlers,
--- a/packages/fleet/src/link/report_batches.ts
+++ b/packages/fleet/src/link/report_batches.ts
@@ -10,47 +10,48 @@
   type SentRows,
 } from './numbered_rows';
 
-/** Differences of pace up to this are not told; placing goes by tenths of it. */
+/** Changes of pace up to this are not sent; placement uses steps of 0.1. */
 const PACE_TOLERANCE = 0.05;
 
-/** How far the announced moment of a load may move before it is told again. */
+/** Changes of a load's start time up to this are not sent. */
 const LOAD_TIME_TOLERANCE: Milliseconds = 60;
 
-/** A report with the moment of a load by the clock here. */
+/** A report with the start time of a load by the local clock. */
 interface TimedReport {
   readonly report: EngineReport;
   readonly loadsAt: MonotonicInstant | undefined;
 }
 
-/** A report to be passed on, with the one that was told whole. */
+/** A report to be relayed, with the one that was sent whole. */
 export interface RelayedReport {
   readonly baseRow: NumberedRow<TimedReport>;
   readonly report: EngineReport;
-  /** Whether the engine serves something else than at the report before. */
+  /** Whether the engine serves something else than in the previous report. */
   readonly changesState: boolean;
 }
 
-/** Takes reports to be passed on. */
+/** Numbers a report that is to be relayed. */
 export type NumberReport = (
   report: EngineReport,
   now: MonotonicInstant,
 ) => RelayedReport;
 
 /**
- * Creates the taker of reports that go on to others.
+ * Creates a function that numbers reports to be relayed.
  *
- * Failure: a relay passes each report on whole to each follower, ten times a
- * second. With 45 engines in its zone, 90 in others and 54 followers that is 1.8
- * MB a second, its link is full, and all that it passes on comes late. Guard: of a
- * report whose engine only runs more or fewer requests, 4 bytes in place of 65 go
- * on.
+ * A relay that sends each whole report to each follower ten times a second
+ * saturates its link: with 45 engines in its zone, 90 in others and 54
+ * followers that is 1.8 MB a second, and everything it relays is late. If an
+ * engine only runs more or fewer requests than before, 4 bytes are sent instead
+ * of 65.
  */
 export function createReportNumbers(): NumberReport {
   const numbers = createRowNumbers<TimedReport>(differsOnlyInRunning);
   const newest = new Map<string, EngineReport>();
 
   return (received, now) => {
-    // Names go on with the states of entries, with their age at that moment.
+    // Names of versions are relayed with the states of entries, with their age
+    // at that time.
     const report = {...received, namings: []};
     const {loadsInMilliseconds: loadsIn} = report;
     const loadsAt = loadsIn === undefined ? undefined : now + loadsIn;
@@ -104,8 +105,8 @@
   };
   for (const {baseRow: row, report} of reports) {
     const {number} = row;
-    // What was told whole lies back; the steps are counted from there, so that
-    // reports that were not passed on in between don't matter.
+    // Sequence steps are relative to the report that was sent whole, so that
+    // reports which were not relayed in between don't matter.
     if (sentRows.mustSendWhole(row)) {
       batch.whole.push({number, report: withTimeUntilLoad(row.row, now)});
     }
@@ -140,7 +141,7 @@
   now: MonotonicInstant,
 ) => readonly EngineReport[];
 
-/** Creates the reader of one stream. */
+/** Creates a reader for one stream. */
 export function createReportReader(): ReadReports {
   const rows = new Map<number, TimedReport>();
 
--- a/packages/fleet/src/link/services_digest.ts
+++ b/packages/fleet/src/link/services_digest.ts
@@ -1,6 +1,9 @@
 import {hash32, type ServiceDescription} from '@hibiscusbeam/core';
 
-/** Digest of configured services; the same in each process that has read them. */
+/**
+ * Digest of the configured services; the same in each process that has read
+ * them.
+ */
 export function servicesDigest(
   services: readonly ServiceDescription[],
 ): number {
--- a/packages/fleet/src/link/single_connection.ts
+++ b/packages/fleet/src/link/single_connection.ts
@@ -2,7 +2,10 @@
 import {monotonicClock} from '@hibiscusbeam/daemon';
 import {buildConnector, Client, errors, type Dispatcher} from 'undici';
 
-/** Times that opening took after which silence is not due to a full link. */
+/**
+ * Multiple of the connect time after which silence is not due to a saturated
+ * link.
+ */
 const SILENCE_FACTOR = 10;
 
 /** A connection for one call. */
@@ -11,12 +14,18 @@
   readonly isOpen: () => boolean;
   /** Whether it could not be opened in time. */
   readonly hasTimedOut: () => boolean;
-  /** Whether an answer that was held for `heldFor` should have come by now. */
+  /**
+   * Whether an answer that the server may delay for `heldFor` should have
+   * arrived by now.
+   */
   readonly isSilent: (heldFor: Milliseconds) => boolean;
   readonly close: () => void;
 }
 
-/** Opens a connection to `address` (`IP:port`) with the first call over it. */
+/**
+ * Creates a connection to `address` (`IP:port`), which is opened by the first
+ * call over it.
+ */
 export function openSingleConnection(
   address: string,
   timeout: Milliseconds,
--- a/packages/fleet/src/link/site_records.ts
+++ b/packages/fleet/src/link/site_records.ts
@@ -6,7 +6,7 @@
 import type {CrashRecord, RateLimitRecord} from '@hibiscusbeam/wire';
 import {createCrashRecordWriter, readCrashRecord} from './crash_records';
 
-/** Limits in one message; the others follow in the next ones. */
+/** Maximum number of limits in one message; the others follow in later ones. */
 const MAX_LIMITS_PER_MESSAGE = 100;
 
 /** Records in one message. */
@@ -15,20 +15,20 @@
   readonly rateLimits: RateLimitRecord[];
 }
 
-/** Writes to one stream what was not written to it yet. */
+/** Returns the records not yet written to one stream. */
 export type SiteRecordsWriter = (now: MonotonicInstant) => SiteRecordsMessage;
 
-/** What all entries are to know, wherever it was seen. */
+/** Records that are exchanged between all entries. */
 export interface SiteRecords {
   readonly createWriter: () => SiteRecordsWriter;
-  /** Takes what another entry knows; returns whether any of it is new. */
+  /** Merges another entry's records; returns whether any of them is new. */
   readonly merge: (
     message: SiteRecordsMessage,
     now: MonotonicInstant,
   ) => boolean;
 }
 
-/** Creates the exchange of what an entry knows. */
+/** Creates the exchange of an entry's records. */
 export function createSiteRecords(
   quarantine: Quarantine,
   limits: RateLimits,
@@ -56,7 +56,7 @@
   };
 }
 
-/** Whether a message has nothing to say. */
+/** Whether a message contains no records. */
 export function hasNoRecords(message: SiteRecordsMessage): boolean {
   return message.crashRecords.length + message.rateLimits.length === 0;
 }
--- a/packages/fleet/src/link/state_batches.ts
+++ b/packages/fleet/src/link/state_batches.ts
@@ -5,15 +5,15 @@
   type SentRows,
 } from './numbered_rows';
 
-/** An entry's state to be passed on, with the one that was told whole. */
+/** An entry's state to be relayed, with the one that was sent whole. */
 export interface RelayedState {
   readonly baseRow: NumberedRow<EntryState>;
   readonly ageMilliseconds: number;
 }
 
 /**
- * Creates the taker of states that go on to others: an entry that stands as before
- * is told of by 3 bytes in place of 30, each second to each follower.
+ * Creates a function that numbers states to be relayed: an unchanged entry
+ * takes 3 bytes instead of 30, each second for each follower.
  */
 export function createStateNumbers(): (state: EntryState) => RelayedState {
   const numbers = createRowNumbers<EntryState>(
@@ -40,7 +40,7 @@
   return batch;
 }
 
-/** Creates the reader of one stream's states. */
+/** Creates a reader for the states of one stream. */
 export function createStateReader(): (
   batch: StateBatch,
 ) => readonly EntryState[] {
--- a/packages/fleet/src/link/store_call_outcome.ts
+++ b/packages/fleet/src/link/store_call_outcome.ts
@@ -3,7 +3,7 @@
 import type {HostError} from '../ports';
 import type {CallProgress} from './http_calls';
 
-/** What the end of a question says of the store. */
+/** Maps the result of a request to an outcome for the store. */
 export function storeCallOutcome(
   reply: Result<unknown, HostError>,
 ): StoreCallOutcome {
@@ -39,8 +39,8 @@
 }
 
 /**
- * Whether a question shows that the store is away, so that nothing was written
- * until then; not merely that its answer or the way to it is slow.
+ * Whether an outcome shows that the store is unavailable, so that nothing was
+ * written until then; false if only its answer or the path to it is slow.
  */
 export function showsStoreUnavailable(outcome: StoreCallOutcome): boolean {
   switch (outcome) {
--- a/packages/fleet/src/link/target_changes.ts
+++ b/packages/fleet/src/link/target_changes.ts
@@ -10,12 +10,12 @@
   type SentRows,
 } from './numbered_rows';
 
-/** Targets to be passed on. */
+/** Targets to be relayed. */
 export type NumberedTargets = readonly NumberedRow<ListedTarget>[];
 
 /**
- * Creates the taker of lists that go on to others. Of a list in which one of 135
- * targets has changed, 0.1 KB go to each follower in place of 11 KB.
+ * Creates a function that numbers the targets of lists to be relayed. If one of
+ * 135 targets has changed, 0.1 KB is sent to each follower instead of 11 KB.
  */
 export function createTargetNumbers(): (
   targets: readonly ListedTarget[],
@@ -28,7 +28,7 @@
   };
 }
 
-/** Writes what of a list has changed for one receiver. */
+/** Writes the changes of a list for one receiver. */
 export function writeTargetChanges(
   targets: NumberedTargets,
   sentRows: SentRows,
@@ -42,7 +42,7 @@
   return {changed, removed: [...removed]};
 }
 
-/** Creates the reader of one stream's lists; it returns all targets. */
+/** Creates a reader for the lists of one stream, which returns all targets. */
 export function createTargetReader(): (
   changes: Pick<TargetListingMessage, 'changed' | 'removed'>,
 ) => readonly ListedTarget[] {
--- a/packages/fleet/src/link/text_similarity.ts
+++ b/packages/fleet/src/link/text_similarity.ts
@@ -1,19 +1,22 @@
-/** Places at which two texts are compared. */
+/** Number of positions at which two texts are compared. */
 const SAMPLE_COUNT = 64;
 
-/** Bytes that are compared at each place. */
+/** Bytes compared at each position. */
 const SAMPLE_BYTES = 32;
 
-/** Most stretches in which texts that are similar differ. */
+/** Maximum number of ranges in which similar texts differ. */
 const MAX_CHANGED_RANGES = 6;
 
-/** Most places at which they differ. */
+/** Maximum number of positions at which similar texts differ. */
 const MAX_MISSING_SAMPLES = SAMPLE_COUNT / 2;
 
-/** How far a sample may have moved, in bytes, beside what the texts have grown. */
+/**
+ * How far a sample may have moved, in addition to the difference in length of
+ * the texts.
+ */
 const MAX_SHIFT_BYTES = 16 * 1024;
 
-/** Whether `text` differs from `base` in few stretches, judged by samples. */
+/** Whether `text` differs from `base` in few ranges, estimated by samples. */
 export function isSimilar(text: Buffer, base: Buffer): boolean {
   const shift = MAX_SHIFT_BYTES + Math.abs(text.length - base.length);
   const step = Math.max(1, Math.floor(text.length / SAMPLE_COUNT));
--- a/packages/fleet/src/link/unusable_row_log.ts
+++ b/packages/fleet/src/link/unusable_row_log.ts
@@ -1,15 +1,21 @@
 import type {Log} from '@hibiscusbeam/daemon';
 import type {Revision, UnusableRow} from '../ports';
 
-/** Says in the log which rows of a table can't be used. */
+/** Logs the rows of a table that can't be used. */
 export interface UnusableRowLog {
   readonly record: (rows: readonly UnusableRow[]) => void;
 }
 
-/** Rows that are remembered; a table of them must not fill the memory. */
+/**
+ * Maximum number of remembered rows, which bounds memory for a table full of
+ * unusable ones.
+ */
 const MAX_REMEMBERED_ROWS = 1_000;
 
-/** Creates the log of a table: one line for each row, and for each change of it. */
+/**
+ * Creates the log of a table: one line for each unusable row and for each
+ * change of it.
+ */
 export function createUnusableRowLog(table: string, log: Log): UnusableRowLog {
   const loggedRevisions = new Map<string, Revision>();
 
--- a/packages/fleet/src/link/wakeable_pause.ts
+++ b/packages/fleet/src/link/wakeable_pause.ts
@@ -1,17 +1,17 @@
 import type {Milliseconds} from '@hibiscusbeam/core';
 
-/** Pauses of loops that can be ended before their time. */
+/** Pauses that can be ended early. */
 export interface WakeablePause {
   /** Resolves after `duration`, when woken, or when `signal` aborts. */
   readonly sleep: (
     duration: Milliseconds,
     signal?: AbortSignal,
   ) => Promise<void>;
-  /** Ends all pauses that last. */
+  /** Ends all current pauses. */
   readonly wake: () => void;
 }
 
-/** Creates pauses that end together. */
+/** Creates pauses that are ended together by `wake`. */
 export function createWakeablePause(): WakeablePause {
   const pauses = new Set<() => void>();
 
--- a/test/fleet/configuration_copies.test.ts
+++ b/test/fleet/configuration_copies.test.ts
@@ -110,8 +110,8 @@
   fc.assert(
     fc.property(fc.uint8Array({maxLength: 60}), content => {
       for (const copy of [whole, change]) {
-        const spoilt = {...copy, content: Buffer.from(content)};
-        expect(receiver.read(spoilt).err).toBe(true);
+        const corrupted = {...copy, content: Buffer.from(content)};
+        expect(receiver.read(corrupted).err).toBe(true);
       }
     }),
     propertySettings(100),
