--- a/packages/fleet/src/ports/engine.ts
+++ b/packages/fleet/src/ports/engine.ts
@@ -7,31 +7,33 @@
 import type {Result} from 'ts-results';
 import type {EngineError} from './errors';
 
-/** How an engine stands, by its own word. */
+/** Status of an engine, as reported by itself. */
 export interface EngineStatus {
-  /** Models that it holds whole and serves. */
+  /** Models that the engine holds completely and serves. */
   readonly held: readonly HeldModel[];
   /** Whether an order is in progress. */
   readonly ordering: boolean;
   readonly running: number;
   readonly waiting: number;
-  /** Times a pass takes longer than the service's profile says. */
+  /** Factor by which a pass takes longer than the service's profile states. */
   readonly pace: number;
-  /** Share of its memory for requests that is in use; undefined if unknown. */
+  /** Share of its request memory in use; undefined if unknown. */
   readonly memoryShare: number | undefined;
-  /** Start of its life; undefined if it doesn't say. */
+  /**
+   * Start time of this incarnation; undefined if the engine does not report it.
+   */
   readonly born: EpochMilliseconds | undefined;
 }
 
-/** How an engine took the order to load. */
+/** Reply of an engine to the order to load. */
 export type LoadReply = 'begun' | 'inForce' | 'unfit';
 
-/** An engine's own interface, as used from its own machine. */
+/** Interface of an engine, used from the same machine. */
 export interface EngineControl {
   readonly standing: (
     timeout: Milliseconds,
   ) => Promise<Result<EngineStatus, EngineError>>;
-  /** Positions of the chunks that lie staged. */
+  /** Positions of the staged chunks. */
   readonly staged: (
     model: ModelName,
   ) => Promise<Result<readonly number[], EngineError>>;
@@ -39,36 +41,41 @@
     model: ModelName,
     position: number,
   ) => Promise<Result<Buffer, EngineError>>;
-  /** Stages a chunk; overwrites what lies at its position. */
+  /** Stages a chunk; overwrites any chunk at its position. */
   readonly stage: (
     model: ModelName,
     position: number,
     content: Buffer,
   ) => Promise<Result<void, EngineError>>;
-  /** Orders the engine to serve what lies staged, after what runs. */
+  /**
+   * Orders the engine to serve the staged version once its running requests
+   * have ended.
+   */
   readonly load: (
     model: ModelName,
     version: number,
   ) => Promise<Result<LoadReply, EngineError>>;
 }
 
-/** Digests of a version's chunks, in order of their positions. */
+/** Digests of a version's chunks, by position. */
 export interface VersionContent {
   readonly model: ModelName;
   readonly version: number;
-  /** `sha256:` and hexadecimal digits. */
+  /** `sha256:` followed by hexadecimal digits. */
   readonly digests: readonly string[];
 }
 
 /** The origin of weights. */
 export interface VersionOrigin {
-  /** The content of `version`; of the newest one if it is undefined. */
+  /**
+   * Reads the content of `version`, or of the newest one if it is undefined.
+   */
   readonly content: (
     address: string,
     model: ModelName,
     version: number | undefined,
   ) => Promise<Result<VersionContent, EngineError>>;
-  /** Yields the chunk's bytes as they come; not verified. */
+  /** Yields the chunk's bytes as they arrive, unverified. */
   readonly chunk: (
     address: string,
     content: VersionContent,
--- a/packages/fleet/src/ports/host_store.ts
+++ b/packages/fleet/src/ports/host_store.ts
@@ -10,28 +10,30 @@
 import type {HostError} from './errors';
 
 /**
- * A point in the store's history; grows with every transaction, and with each
- * restore from a copy, though the store then gives its versions out again.
+ * A point in the store's history. It grows with every transaction and with each
+ * restore from a copy, although the store then reuses its versions.
  */
 export type Revision = number;
 
-/** A row that names nothing to use, such as one of another writer. */
+/** A row that can't be used, such as one of another writer. */
 export interface UnusableRow {
   readonly key: string;
   readonly revision: Revision;
-  /** What is wrong with it, with the field's name. */
+  /** What is wrong with the row, with the name of the field. */
   readonly reason: string;
 }
 
-/** When the store answered, and what of its answer can't be used. */
+/**
+ * Position of an answer in the store's history, and the rows that can't be
+ * used.
+ */
 export interface StoreReading {
   readonly revision: Revision;
   /**
-   * Counts how often the store has come back from a copy, which loses its last
-   * transactions.
+   * Number of restores from a copy, each of which loses the last transactions.
    */
   readonly era: number;
-  /** The store's own steady clock. */
+  /** The store's monotonic clock. */
   readonly storeTime: Milliseconds;
   readonly unusable: readonly UnusableRow[];
 }
@@ -41,94 +43,100 @@
   readonly model: ModelName;
   readonly version: number;
   /**
-   * The store's own steady clock when the name was first read, as an entry has
-   * recorded it; undefined if none has.
+   * The store's monotonic clock when the name was first read, as recorded by an
+   * entry; undefined if none has recorded it.
    */
   readonly namedAt: Milliseconds | undefined;
 }
 
-/** A configuration as the operator wrote it; only the adapter reads its text. */
+/**
+ * A configuration as the operator wrote it. Only the adapter interprets its
+ * text.
+ */
 export interface ConfigurationDocument {
   /** Revision of its row. */
   readonly revision: Revision;
   readonly text: Buffer;
 }
 
-/** What the operator has written: all of it, or what is new. */
+/** Rows written by the operator: all of them, or the new ones. */
 export interface OperatorReading extends StoreReading {
-  /** Undefined if it was not written, or can't be used. */
+  /** Undefined if none was written, or if it can't be used. */
   readonly configuration: RoutingConfiguration | undefined;
   /** The text of that configuration. */
   readonly document: ConfigurationDocument | undefined;
   /** Whether a configuration was written that can't be used. */
   readonly isConfigurationLost: boolean;
   readonly namedVersions: readonly NamedVersion[];
-  /** Rows on evacuations, in the order in which they were written. */
+  /** Evacuation rows, in the order in which they were written. */
   readonly evacuations: readonly EvacuationChange[];
-  /** Revision of the newest row that was read, usable or not; 0 without rows. */
+  /** Revision of the newest row read, usable or not; 0 if there are none. */
   readonly newestChange: Revision;
 }
 
-/** The operator's writing in the host platform's store. */
+/** The rows that the operator writes to the host platform's store. */
 export interface OperatorFeed {
   readonly readAll: (
     timeout: Milliseconds,
   ) => Promise<Result<OperatorReading, HostError>>;
-  /** Waits up to `wait` for what is written after the revision. */
+  /** Waits up to `wait` for rows written after the revision. */
   readonly follow: (
     after: Revision,
     wait: Milliseconds,
     timeout: Milliseconds,
   ) => Promise<Result<OperatorReading, HostError>>;
-  /** Records when a version's name was first read, unless that is recorded. */
+  /** Records when a version's name was first read, unless already recorded. */
   readonly recordNaming: (
     named: NamedVersion,
     timeout: Milliseconds,
   ) => Promise<Result<boolean, HostError>>;
-  /** Decodes a configuration that another entry has read; else the reason. */
+  /**
+   * Decodes a configuration that another entry has read; on failure, returns
+   * the reason.
+   */
   readonly decode: (
     document: ConfigurationDocument,
   ) => Result<RoutingConfiguration, string>;
 }
 
-/** All targets, as of one moment. */
+/** All targets, as of one point in time. */
 export interface TargetReading extends StoreReading {
   readonly targets: readonly ListedTarget[];
 }
 
-/** The targets that the host platform lists. */
+/** The list of targets of the host platform. */
 export interface TargetList {
   readonly read: (
     timeout: Milliseconds,
   ) => Promise<Result<TargetReading, HostError>>;
 }
 
-/** One of our processes, as it describes itself to the others. */
+/** A process of the site, as it describes itself to the others. */
 export interface MemberDescription {
   readonly instance: string;
   readonly role: 'entry' | 'agent';
   readonly zone: string;
-  /** Address of the gRPC face, `IP:port`. */
+  /** Address of the gRPC server, `IP:port`. */
   readonly address: string;
   /** Address for callers, `IP:port`; entries only. */
   readonly callerAddress?: string;
-  /** Differs for each life of the process. */
+  /** Identifies the incarnation of the process; differs after each restart. */
   readonly life: string;
 }
 
-/** A member's row that was written, or removed. */
+/** A member's row that was written or removed. */
 export interface MemberChange {
   readonly instance: string;
-  /** Undefined once it was removed. */
+  /** Undefined if the row was removed. */
   readonly member: MemberDescription | undefined;
 }
 
-/** Rows of members: all of them, or those that have changed. */
+/** Rows of members: all of them, or the changed ones. */
 export interface MemberReading extends StoreReading {
   readonly changes: readonly MemberChange[];
 }
 
-/** The members' own rows in the host platform's store. */
+/** Rows in the host platform's store in which members describe themselves. */
 export interface MemberTable {
   readonly put: (
     member: MemberDescription,
@@ -149,13 +157,13 @@
   ) => Promise<Result<MemberReading, HostError>>;
 }
 
-/** A quarantined request's row that was written, or removed. */
+/** Row of a quarantined request that was written or removed. */
 export interface QuarantineChange {
   readonly fingerprint: RequestFingerprint;
   readonly isStored: boolean;
 }
 
-/** Rows of quarantined requests: all of them, or those that have changed. */
+/** Rows of quarantined requests: all of them, or the changed ones. */
 export interface QuarantineReading extends StoreReading {
   readonly changes: readonly QuarantineChange[];
 }
@@ -170,7 +178,10 @@
     fingerprint: RequestFingerprint,
     timeout: Milliseconds,
   ) => Promise<Result<void, HostError>>;
-  /** Writes that `holder` tries the request; false if another one has. */
+  /**
+   * Records that `holder` runs the request as a trial; false if another holder
+   * has.
+   */
   readonly claimTrial: (
     fingerprint: RequestFingerprint,
     holder: string,
--- a/packages/fleet/src/ports/protocol.ts
+++ b/packages/fleet/src/ports/protocol.ts
@@ -1,86 +1,90 @@
 import type {ListedTarget, Milliseconds, ModelName} from '@hibiscusbeam/core';
 
-/** Raw header lines: names and values in turn, as they came. */
+/** Raw headers: alternating names and values, in the order received. */
 export type HeaderLines = readonly string[];
 
-/** What a caller's header says, decoded once. */
+/** Decoded headers of a caller's request. */
 export interface CallerHeader {
   readonly requestId: string | undefined;
   readonly host: string;
   readonly key: string | undefined;
-  /** How long the caller waits. */
+  /** How long the caller waits for the answer. */
   readonly patience: Milliseconds | undefined;
   readonly model: ModelName | undefined;
   readonly promptTokens: number | undefined;
   readonly mostOutputTokens: number | undefined;
-  /** The caller's guess of the answer's length. */
+  /** The caller's estimate of the answer's length. */
   readonly expectedOutputTokens: number | undefined;
-  /** The event after which a stream goes on. */
+  /** The event after which a stream resumes. */
   readonly resumeAfter: string | undefined;
 }
 
-/** What a target must be told besides the caller's own header. */
+/** Values sent to a target in addition to the caller's headers. */
 export interface TargetHeader {
   readonly target: ListedTarget;
   readonly workspace: string | undefined;
   readonly patience: Milliseconds;
-  /** 0 to 9; 0 goes first. */
+  /** 0 to 9; 0 is the highest priority. */
   readonly priority: number | undefined;
-  /** The only version that may run it; undefined if any may. */
+  /** The only version that may run the request; undefined if any may. */
   readonly version: number | undefined;
   readonly resumeAfter: string | undefined;
 }
 
-/** What a target's header says, decoded once. */
+/** Decoded headers of a target's answer. */
 export interface AnswerHeader {
   readonly requestId: string | undefined;
-  /** Whether the target vouches for the answer. */
+  /** Whether the target confirms that it produced the answer. */
   readonly sealed: boolean;
-  /** Whether the target says that it has not run the request. */
+  /** Whether the target reports that it has not run the request. */
   readonly notRun: boolean;
-  /** Whether another instance, or another version, has the address. */
+  /**
+   * Whether the address belongs to another instance or serves another version.
+   */
   readonly misdirected: boolean;
   /**
-   * How long the target wants no more requests of this entry; undefined if it
-   * doesn't say, or has not turned the request away.
+   * How long the target wants no more requests from this entry; undefined if it
+   * doesn't state it, or has not refused the request.
    */
   readonly backoff: Milliseconds | undefined;
-  /** Whether the target says that it leaves. */
+  /** Whether the target reports that it is leaving. */
   readonly leaving: boolean;
   /**
-   * Requests a second that the target takes from all entries together;
-   * undefined if it names no limit.
+   * Requests per second that the target accepts from all entries together;
+   * undefined if it states no limit.
    */
   readonly rateLimit: number | undefined;
 }
 
-/** The header names of the host platform. */
+/** Headers of the host platform's request protocol. */
 export interface RequestProtocol {
   readonly readCaller: (lines: HeaderLines) => CallerHeader;
-  /** Header lines for a target: the caller's, less what is not its business. */
+  /**
+   * Headers for a target: the caller's, without those not meant for targets.
+   */
   readonly writeTarget: (
     lines: HeaderLines,
     header: TargetHeader,
   ) => readonly string[];
   readonly readAnswer: (status: number, lines: HeaderLines) => AnswerHeader;
-  /** Header lines for the caller: the target's, less those of the connection. */
+  /** Headers for the caller: the target's, without those of the connection. */
   readonly writeAnswer: (lines: HeaderLines) => readonly string[];
 }
 
-/** What a caller asks a directory. */
+/** A caller's request to a directory. */
 export interface DirectoryRequest {
   readonly host: string | undefined;
   readonly zone: string | undefined;
   readonly region: string | undefined;
 }
 
-/** What a directory answers. */
+/** A directory's answer. */
 export interface DirectoryAnswer {
   readonly addresses: readonly string[];
   readonly keepFor: Milliseconds;
 }
 
-/** The host platform's way to ask for addresses. */
+/** The host platform's protocol for address look-ups. */
 export interface DirectoryProtocol {
   readonly path: string;
   readonly readRequest: (
