--- a/packages/fleet/src/runtime/clock.ts
+++ b/packages/fleet/src/runtime/clock.ts
@@ -2,28 +2,28 @@
 import {monotonicClock, type Clock} from '@hibiscusbeam/daemon';
 
 /**
- * Least jump of the time of day against the steady clock that counts as a
- * suspension. Clocks that are set right drift far below it between two reads.
+ * Minimum jump of the wall clock relative to the monotonic clock that counts as
+ * a suspension. Synchronized clocks drift by far less between two reads.
  */
 const MIN_SUSPENSION: Milliseconds = 100;
 
-/** Period in which the clocks are compared while nobody asks. */
+/** Period in which the clocks are compared even if nothing reads them. */
 const COMPARE_PERIOD: Milliseconds = 200;
 
-/** Where a machine's clock takes its time from. */
+/** Clocks on which the machine's clock is based. */
 export interface ClockInputs {
   readonly steady: () => MonotonicInstant;
   readonly timeOfDay: () => Milliseconds;
 }
 
 /**
- * Creates a clock that never goes back and counts suspensions of the machine.
+ * Creates a clock that never goes back and includes suspensions of the machine.
  *
- * Failure: the steady clock stands still while a machine is suspended. What was
- * confirmed before a suspension would seem fresh after it, and a key that was
- * taken away meanwhile would still be served. The time of day does count it: a
- * jump ahead of the steady clock is added here. A time of day that was merely
- * set ahead makes what is held seem older than it is, which is the safe side.
+ * The monotonic clock stops while a machine is suspended. What was confirmed
+ * before a suspension would seem fresh after it, and a key that was revoked
+ * meanwhile would still be accepted. The wall clock includes the suspension, so
+ * a jump ahead of the monotonic clock is added. A wall clock that was merely
+ * set ahead makes data seem older than it is, which is the safe side.
  */
 export function createMachineClock(inputs: ClockInputs): Clock {
   let suspended: Milliseconds = 0;
@@ -39,8 +39,8 @@
 }
 
 /**
- * The clock of the machine on which this process runs; `onDelay` is told how late
- * the loop of the process runs.
+ * Starts the clock of this machine. `onDelay` is called with the current delay
+ * of the event loop.
  */
 export function startMachineClock(
   onDelay: (delay: Milliseconds) => void = () => undefined,
@@ -49,8 +49,8 @@
     steady: monotonicClock,
     timeOfDay: () => Date.now(),
   });
-  // Without regular looks, a clock set back and a suspension that follows
-  // within the same gap would hide each other.
+  // Without regular comparisons, a clock set back and a suspension within the
+  // same gap would cancel each other out.
   let dueAt = monotonicClock() + COMPARE_PERIOD;
   setInterval(() => {
     clock();
--- a/packages/fleet/src/runtime/fleet_process.ts
+++ b/packages/fleet/src/runtime/fleet_process.ts
@@ -4,13 +4,13 @@
 import {recheckSettings} from '../settings/settings_check';
 import {createLogWriter, createProcessLogs} from './process_log';
 
-/** Settings of the processes of a role. */
+/** Settings of a process with the given role. */
 export type SettingsOf<Role extends FleetSettings['role']> = Extract<
   FleetSettings,
   {readonly role: Role}
 >;
 
-/** Starts a role, with the ports of a platform. */
+/** Starts a process of a role, with the ports of a platform. */
 export type StartRole<Role extends FleetSettings['role']> = (
   settings: SettingsOf<Role>,
   logs: (part: LogPart) => Log,
@@ -20,7 +20,7 @@
 const EXIT_SETTINGS = 2;
 
 /**
- * Runs one process of the fleet until it is told to stop; never returns. The
+ * Runs one process of the fleet until it receives SIGTERM; never returns. The
  * environment variable `settingsVariable` holds the path of its settings, which
  * must be those of `role`.
  */
@@ -47,7 +47,7 @@
   const writer = createLogWriter(() => performance.now());
   const logs = createProcessLogs(settings, writer);
   const log = logs('process');
-  // Without a handler the signal would end a process that starts.
+  // Without a handler, the signal would end a process that is starting.
   process.on('SIGHUP', () =>
     recheckSettings(() => readFileSync(path, 'utf8'), settings, log),
   );
--- a/packages/fleet/src/runtime/process_log.ts
+++ b/packages/fleet/src/runtime/process_log.ts
@@ -2,22 +2,28 @@
 import type {FleetSettings} from '../settings';
 
 /**
- * Most bytes of log lines that wait to be read. A reader that stops would
- * otherwise fill the memory, or block the process, with lines nobody reads.
+ * Maximum size of log lines that wait to be read. If the reader stops, lines
+ * beyond it would fill the memory or block the process.
  */
 const MAX_PENDING_BYTES = 1024 * 1024;
 
-/** Most lines written in a second; the rest is dropped and counted. */
+/**
+ * Maximum number of lines written in a second; further ones are dropped and
+ * counted.
+ */
 const MAX_LINES_PER_SECOND = 400;
 
-/** Writes log lines without ever waiting; what does not fit is counted. */
+/**
+ * Writes log lines without waiting; lines that do not fit are dropped and
+ * counted.
+ */
 export interface LogWriter {
   readonly write: (line: string) => void;
-  /** Lines dropped since the start. */
+  /** Number of lines dropped since the start. */
   readonly dropped: () => number;
 }
 
-/** Creates a writer to standard output. */
+/** Creates a writer to standard output. `now` is in milliseconds. */
 export function createLogWriter(
   now: () => number,
   output: NodeJS.WriteStream = process.stdout,
