--- a/packages/fleet/src/settings/load_fleet_settings.ts
+++ b/packages/fleet/src/settings/load_fleet_settings.ts
@@ -2,14 +2,14 @@
 import {parse} from 'yaml';
 import {fleetSettings, type FleetSettings} from './schema';
 
-/** One thing wrong with a settings file. */
+/** One error in a settings file. */
 export interface FleetSettingsFault {
   /** Path of the field, as in `bounds.grace`; empty for the whole file. */
   readonly field: string;
   readonly detail: string;
 }
 
-/** Reads settings from YAML text; fields that it does not know are ignored. */
+/** Reads settings from YAML text; unknown fields are ignored. */
 export function loadFleetSettings(
   text: string,
 ): Result<FleetSettings, readonly FleetSettingsFault[]> {
--- a/packages/fleet/src/settings/schema.ts
+++ b/packages/fleet/src/settings/schema.ts
@@ -10,7 +10,7 @@
   instance: z.string().min(1),
   zone: z.string().min(1),
   region: z.string().min(1),
-  /** Address for our own processes. */
+  /** Address for the other processes of the site. */
   peerAddress: address,
   metricsAddress: address.optional(),
   logLevel: z.enum(['debug', 'info', 'warn', 'error']).default('info'),
@@ -18,32 +18,36 @@
 };
 
 const bounds = z.object({
-  /** From the acknowledgement of a configuration until it is in force. */
+  /** Time from the acknowledgement of a configuration until it is in force. */
   configuration: milliseconds,
-  /** From the removal of a key until no request with it runs. */
+  /** Time from the removal of a key until no request with it runs. */
   revocation: milliseconds,
-  /** From a target's leaving until no request reaches it. */
+  /** Time from a target's leaving until no request reaches it. */
   draining: milliseconds,
-  /** From a version's naming until no request begins on an older one. */
+  /** Time from a version's naming until no request begins on an older one. */
   version: milliseconds,
-  /** From an evacuation's writing until no request reaches the zone's targets. */
+  /**
+   * Time from an evacuation's writing until no request reaches the zone's
+   * targets.
+   */
   evacuation: milliseconds.nullish(),
-  /** From the signal to stop until the process is killed. */
+  /** Time from the stop signal until the process is killed. */
   grace: milliseconds,
-  /** Longest life of a directory's answer. */
+  /** Maximum lifetime of a directory's answer. */
   directoryAnswer: milliseconds,
   repeats: z.object({
-    /** Repeats allowed for each request, over all entries. */
+    /** Retries allowed per request, over all entries. */
     share: z.number().nonnegative(),
-    /** Further repeats within the window, over all entries. */
+    /** Additional retries within the window, over all entries. */
     slack: z.number().nonnegative(),
     window: milliseconds,
   }),
 });
 
 /**
- * Who is admitted when capacity is short. The second form is for platforms that
- * list what they ask of a deployment: by level if the list has the word.
+ * How requests are admitted when capacity is short. The second form is for
+ * platforms that list their requirements for a deployment: admission is by
+ * level if the list contains the word.
  */
 const admission = z.union([
   z.enum(['level', 'none']),
@@ -61,14 +65,18 @@
   callerAddress: address,
   readinessAddress: address,
   directoryAddress: address,
-  /** Regions of the site's zones; targets of other zones are in no region. */
+  /**
+   * Region of each zone of the site; targets of other zones are in no region.
+   */
   regions: z.record(z.string(), z.string().min(1)).nullish(),
   admission: admission.default('none'),
-  /** What engines are chosen by where they differ in pace. */
+  /** What engines are chosen by if they differ in pace. */
   placement: z.enum(['load', 'forecast']).default('load'),
-  /** Most bytes that are buffered for callers and targets that read slowly. */
+  /** Maximum number of bytes buffered for slow callers and targets. */
   buffers: z.int().positive().nullish(),
-  /** Memory of the process; a share of it is the bound if `buffers` is absent. */
+  /**
+   * Memory of the process; a share of it is the limit if `buffers` is absent.
+   */
   memoryMegabytes: z.number().positive().nullish(),
   bounds,
 });
@@ -78,7 +86,7 @@
   ...common,
   role: z.literal('agent'),
   engine: z.object({address, service: z.string().min(1)}),
-  /** Rate of the machine's link each way, in Mbit/s. */
+  /** Rate of the machine's link in each direction, in Mbit/s. */
   linkMegabits: z.number().positive().optional(),
   bounds,
 });
--- a/packages/fleet/src/settings/settings_check.ts
+++ b/packages/fleet/src/settings/settings_check.ts
@@ -4,13 +4,13 @@
 import type {FleetSettings} from './schema';
 
 /**
- * Checks the settings file again. What changed takes effect at the next start:
- * addresses can't move under open connections, and bounds change with those of
- * all other processes.
+ * Validates the settings file again. Changes take effect at the next start,
+ * since addresses can't change under open connections, and bounds change
+ * together with those of all other processes.
  *
- * Failure: the file is away for the moment in which it is replaced, and a
- * process that reads it on a signal ends with an error. Guard: what can't be
- * read is refused like what is malformed, and the old settings stay.
+ * The file may be missing for a moment while it is replaced. A file that can't
+ * be read is refused like a malformed one, and the old settings stay, so that
+ * the process does not end with an error.
  */
 export function recheckSettings(
   read: () => string,
