--- a/packages/fleet/src/agent/agent.ts
+++ b/packages/fleet/src/agent/agent.ts
@@ -34,7 +34,7 @@
 import {createPeerAgents} from './peer_agents';
 import {createStagedChunks} from './staged_chunks';
 
-/** What an agent uses of the host platform. */
+/** Ports of the host platform that an agent uses. */
 export interface AgentPorts {
   readonly operator: OperatorFeed;
   readonly members: MemberTable;
@@ -42,7 +42,7 @@
   readonly origin: VersionOrigin;
 }
 
-/** Starts the agent of an engine; resolves once it answers its peers. */
+/** Starts the agent of an engine; resolves once it serves its peers. */
 export async function startFleetAgent(
   settings: FleetAgentSettings,
   ports: AgentPorts,
@@ -119,7 +119,7 @@
           .progress()
           .find(entry => entry.versionDigest === versionDigest),
       }),
-    onCutOff: peer => transferLog.warn('takes nothing more from', {peer}),
+    onCutOff: peer => transferLog.warn('no longer fetches from', {peer}),
   });
   const members = createMemberFollower({
     self,
--- a/packages/fleet/src/agent/announcement_link.ts
+++ b/packages/fleet/src/agent/announcement_link.ts
@@ -9,42 +9,43 @@
 import {startAnswerTimer, type AnswerTimer} from '../link/answer_timer';
 import type {Channels} from '../link/channels';
 
-/** Longest wait for an answer that was asked for. */
+/** Timeout of a requested answer. */
 const ANSWER_TIMEOUT: Milliseconds = 600;
 
 /**
- * Age of the last answer from which the next announcement asks for one, so that
- * a frozen neighbour is found within 0.8 s while chunks are announced to it.
+ * Age of the last answer from which the next announcement requests one, so that
+ * a frozen neighbour is detected within 0.8 s while chunks are announced to it.
  */
 const ANSWER_PERIOD: Milliseconds = 200;
 
-/** What the sender does not set itself. */
+/** The part of an announcement that the link does not set itself. */
 export type AnnouncementContent = Omit<Announcement, 'wantsAnswer'>;
 
-/** What telling a neighbour needs. */
+/** Options of an announcement link. */
 export interface AnnouncementLinkOptions {
   /** `IP:port` of the neighbour. */
   readonly address: string;
   readonly channels: Channels<FleetAgentClient>;
   readonly clock: Clock;
   readonly onAnswer: (answer: AnnouncementReply) => void;
-  /** Told when the stream has broken, or an answer has not come. */
+  /** Called when the stream has broken, or an answer is missing. */
   readonly onLost: () => void;
 }
 
 /** A stream of announcements to one neighbour, opened on first use. */
 export interface AnnouncementLink {
   readonly send: (announcement: AnnouncementContent) => void;
-  /** Ends the stream by plan. */
+  /** Ends the stream deliberately. */
   readonly end: () => void;
 }
 
 /**
  * Creates the link.
  *
- * Gain: a version of 64 chunks is announced 400 times by each agent. A day on which
- * 41 of them move two versions takes all processes 345 s of processor time, where
- * it took 405 with a call and an answer for each announcement (one run each).
+ * A version of 64 chunks is announced 400 times by each agent. On a day on
+ * which 41 agents move two versions, streams take 345 s of processor time over
+ * all processes, compared with 405 s for a call and an answer per announcement
+ * (one run each).
  */
 export function createAnnouncementLink(
   options: AnnouncementLinkOptions,
@@ -73,11 +74,11 @@
     const isDue = clock() - answeredAt >= ANSWER_PERIOD;
     const wantsAnswer = isQuery || (isDue && answerTimer === undefined);
     call.write({...announcement, wantsAnswer});
-    if (wantsAnswer) waitFor(call);
+    if (wantsAnswer) awaitAnswer(call);
   }
 
-  function waitFor(asked: NonNullable<typeof call>): void {
-    answerTimer ??= startAnswerTimer(ANSWER_TIMEOUT, () => handleLoss(asked));
+  function awaitAnswer(queried: NonNullable<typeof call>): void {
+    answerTimer ??= startAnswerTimer(ANSWER_TIMEOUT, () => handleLoss(queried));
   }
 
   function stopWaiting(): void {
@@ -85,8 +86,8 @@
     answerTimer = undefined;
   }
 
-  // Failure: an open connection falls silent for good, though new ones work.
-  // Guard: the next announcement opens a new one.
+  // An open connection may fall silent permanently although new ones work, so
+  // the next announcement opens a new one.
   function handleLoss(lost: NonNullable<typeof call>): void {
     if (lost !== call) return;
     end();
--- a/packages/fleet/src/agent/content_reader.ts
+++ b/packages/fleet/src/agent/content_reader.ts
@@ -3,14 +3,14 @@
 import type {EngineError, VersionContent, VersionOrigin} from '../ports';
 import type {WantedModel} from './wanted_version';
 
-/** Pause before the origin is asked again for a version's content. */
+/** Pause before a version's content is requested from the origin again. */
 const CONTENT_RETRY_DELAY: Milliseconds = 200;
 
-/** Reads from the origin what a version consists of. */
+/** Reads the content of versions from the origin. */
 export interface ContentReader {
   /**
-   * The content of `version`, or of the newest one; undefined if it can't be
-   * read, or it is too soon to ask again.
+   * Reads the content of `version`, or of the newest one; undefined if it can't
+   * be read, or if the pause before the next request is not over.
    */
   readonly read: (
     model: WantedModel,
@@ -18,14 +18,14 @@
   ) => Promise<VersionContent | undefined>;
 }
 
-/** What the reader needs. */
+/** Options of {@link createContentReader}. */
 export interface ContentReaderOptions {
   readonly origin: VersionOrigin;
   readonly clock: Clock;
   readonly log: Log;
 }
 
-/** Creates the reader; it asks one question at a time. */
+/** Creates the reader, which has at most one request in flight. */
 export function createContentReader(
   options: ContentReaderOptions,
 ): ContentReader {
@@ -34,7 +34,9 @@
   let isReading = false;
   let isLost = false;
 
-  /** One line when the content can't be read, and one when it can again. */
+  /**
+   * Logs one line when the content can't be read, and one when it can again.
+   */
   function logChange(
     error: EngineError | undefined,
     model: WantedModel,
--- a/packages/fleet/src/agent/engine_manager.ts
+++ b/packages/fleet/src/agent/engine_manager.ts
@@ -35,26 +35,27 @@
 } from './wanted_version';
 import {fitsInMemory, type StagedChunks} from './staged_chunks';
 
-/** Period of looks at the own engine while it runs something or a load is due. */
+/** Poll period of the own engine while it runs something or a load is due. */
 const POLL_PERIOD: Milliseconds = 100;
 
 /**
- * The same while nothing runs and nothing is due. Looks are most of what an idle
- * agent does; entries that send know of their own requests by themselves.
+ * The same while nothing runs and nothing is due. Polling is most of what an
+ * idle agent does, and entries that send requests know of those without a
+ * report.
  */
 const IDLE_POLL_PERIOD: Milliseconds = 250;
 
-/** Longest wait for the engine's word. */
+/** Timeout of a status request to the engine. */
 const STATUS_TIMEOUT: Milliseconds = 500;
 
 /**
- * Least time between the word to the entries that an engine takes nothing more
- * and the order to load. Requests that were sent before it arrive meanwhile: one
- * way takes some ms, and an entry under load some ten.
+ * Minimum time between the report to the entries that an engine accepts nothing
+ * more and the order to load. Requests already sent arrive meanwhile: transit
+ * takes a few milliseconds, and an entry under load adds about ten.
  */
 const DRAIN_BEFORE_LOAD: Milliseconds = 80;
 
-/** What keeping an engine needs. */
+/** Options of {@link createEngineManager}. */
 export interface EngineManagerOptions {
   readonly service: string;
   readonly engine: EngineControl;
@@ -63,17 +64,17 @@
   readonly versions: NamedVersions;
   readonly staged: StagedChunks;
   readonly swarm: SwarmDriver;
-  /** This agent and the others, as members of the swarm. */
+  /** This agent as a member of the swarm. `members` includes it. */
   readonly self: SwarmMember;
   readonly members: () => readonly SwarmMember[];
   readonly areMembersKnown: () => boolean;
-  /** Time after a version's naming in which all must have it. */
+  /** Time after a version's naming within which all engines must have it. */
   readonly versionBound: Milliseconds;
   readonly clock: Clock;
   readonly log: Log;
-  /** Told of each look, and of the time until a load if one is near. */
+  /** Called with each status, and with the time until a load if one is near. */
   readonly onStatus: (
-    standing: EngineStatus,
+    status: EngineStatus,
     loadsIn: Milliseconds | undefined,
   ) => void;
 }
@@ -81,15 +82,15 @@
 /** Keeps an engine at the newest version. */
 export interface EngineManager {
   readonly start: (signal: AbortSignal) => void;
-  /** Looks at the engine at once, since a version was named. */
+  /** Polls the engine at once, after a version was named. */
   readonly checkNow: () => void;
-  /** The versions that are being fetched or are there. */
+  /** Versions that are being fetched or have been fetched. */
   readonly fetching: () => readonly FetchedVersion[];
-  /** Whether transfers may take the whole link of the machine. */
+  /** Whether transfers may use the whole link of the machine. */
   readonly needsWholeLink: () => boolean;
 }
 
-/** Creates the keeper of the engine beside this agent. */
+/** Creates the manager of the engine on this agent's machine. */
 export function createEngineManager(
   options: EngineManagerOptions,
 ): EngineManager {
@@ -108,26 +109,26 @@
   let lastState = '';
   let isServing = false;
   let isReachable = true;
-  /** Since when the entries know of a load that is due; undefined if none is. */
+  /** When the entries were informed of a due load; undefined if none is due. */
   let closedAt: MonotonicInstant | undefined;
   const pause = createWakeablePause();
 
   async function run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const requestedAt = clock();
-      const standing = await engine.standing(STATUS_TIMEOUT);
-      updateReachable(standing.ok);
-      if (standing.ok) orders.recordAnswer(requestedAt);
-      if (standing.ok) applyStatus(standing.val);
-      else logUnreachable(standing.val);
+      const status = await engine.standing(STATUS_TIMEOUT);
+      updateReachable(status.ok);
+      if (status.ok) orders.recordAnswer(requestedAt);
+      if (status.ok) applyStatus(status.val);
+      else logUnreachable(status.val);
       fetchNewest();
-      if (standing.ok) loadIfDue(standing.val);
-      const isSettled = standing.ok && isIdle(standing.val) && isNothingDue();
+      if (status.ok) loadIfDue(status.val);
+      const isSettled = status.ok && isIdle(status.val) && isNothingDue();
       await pause.sleep(isSettled ? IDLE_POLL_PERIOD : POLL_PERIOD, signal);
     }
   }
 
-  /** Whether the engine serves the newest version that is known of. */
+  /** Whether the engine serves the newest known version. */
   function isNothingDue(): boolean {
     const model = findWantedModel(operator.services(), options.service);
     if (model === undefined || plan.current() === undefined) return false;
@@ -135,22 +136,22 @@
     return plan.isServed() && plan.newest() >= wanted && closedAt === undefined;
   }
 
-  function applyStatus(standing: EngineStatus): void {
-    updateIncarnation(standing);
-    isServing = standing.held.length > 0;
-    const {ordering: isLoading} = standing;
-    const served = servedVersion(standing);
+  function applyStatus(status: EngineStatus): void {
+    updateIncarnation(status);
+    isServing = status.held.length > 0;
+    const {ordering: isLoading} = status;
+    const served = servedVersion(status);
     applyStep(plan.observe({served, isLoading}, clock()));
-    report(standing);
-    logState(standing);
+    report(status);
+    logState(status);
   }
 
-  function report(standing: EngineStatus): void {
-    const ordering = standing.ordering || closedAt !== undefined;
-    options.onStatus({...standing, ordering}, plan.loadsIn(clock()));
+  function report(status: EngineStatus): void {
+    const ordering = status.ordering || closedAt !== undefined;
+    options.onStatus({...status, ordering}, plan.loadsIn(clock()));
   }
 
-  /** What lies staged is read once the engine answers. */
+  /** Reads the staged chunks again once the engine answers. */
   function updateReachable(isReachableNow: boolean): void {
     if (isReachable === isReachableNow) return;
     isReachable = isReachableNow;
@@ -159,16 +160,17 @@
   }
 
   /**
-   * Failure: an engine starts again under its id right after an order, and its
-   * load waits for a pause that belongs to the former life. What lies staged is
-   * read again before the order in any case.
+   * Resets the orders when the engine has restarted. If it restarts under its
+   * id right after an order, its load would otherwise wait for a pause that
+   * belongs to the previous incarnation. Staged chunks are read again before
+   * the order in any case.
    */
-  function updateIncarnation(standing: EngineStatus): void {
-    if (standing.born === undefined || life.born === standing.born) return;
+  function updateIncarnation(status: EngineStatus): void {
+    if (status.born === undefined || life.born === status.born) return;
     const isFirst = life.born === undefined;
-    life = {born: standing.born};
+    life = {born: status.born};
     if (isFirst) return;
-    log.info('engine has started anew', {born: standing.born});
+    log.info('engine has started anew', {born: status.born});
     orders.reset();
   }
 
@@ -181,8 +183,8 @@
   function fetchNewest(): void {
     const services = operator.services();
     const model = findWantedModel(services, options.service);
-    // Failure: an agent that joins asks the origin for what its neighbours
-    // hold, since it has not met them yet.
+    // Without the members, a joining agent would request chunks from the origin
+    // that its neighbours hold.
     if (model === undefined || !options.areMembersKnown()) return;
     const wanted = options.versions.newest(model.name);
     const newest = plan.newest();
@@ -190,40 +192,43 @@
     if (!isNewest && mayFetch(model)) void fetchContent(model, wanted);
   }
 
-  function loadIfDue(standing: EngineStatus): void {
+  function loadIfDue(status: EngineStatus): void {
     const due = findDueLoad();
     if (due === undefined) {
       closedAt = undefined;
       return;
     }
-    if (!mayOrder(standing)) return;
+    if (!mayOrder(status)) return;
     void orders.orderLoad(due);
   }
 
   function findDueLoad(): FetchedVersion | undefined {
-    const inHand = plan.current();
-    if (inHand === undefined || plan.isServed()) return undefined;
-    if (!isReady(inHand.identified.versionDigest)) return undefined;
+    const current = plan.current();
+    if (current === undefined || plan.isServed()) return undefined;
+    if (!isReady(current.identified.versionDigest)) return undefined;
     plan.recordTransferred(clock());
-    return plan.mayLoad(clock()) ? inHand : undefined;
+    return plan.mayLoad(clock()) ? current : undefined;
   }
 
   /**
-   * Failure: a request reaches an engine right after the order to load. It waits
-   * there for all that runs and for the load, 1.6 s, and begins on the version
-   * just loaded after the bound of the next one. Guard: entries send nothing more
-   * before the order is given.
+   * Reports to the entries that the engine accepts nothing more, and allows the
+   * order only some time after that. A request that reaches an engine right
+   * after the order would wait for all that runs and for the load, 1.6 s, and
+   * could begin on the version just loaded after the bound of the next one.
    */
-  function mayOrder(standing: EngineStatus): boolean {
+  function mayOrder(status: EngineStatus): boolean {
     if (!isServing) return true;
     if (closedAt === undefined) {
       closedAt = clock();
-      report(standing);
+      report(status);
     }
     return clock() - closedAt >= DRAIN_BEFORE_LOAD;
   }
 
-  /** A version too large for the memory waits until it can be staged at once. */
+  /**
+   * A version that does not fit in memory is fetched only once it can be staged
+   * directly.
+   */
   function mayFetch({chunkSize, chunks}: WantedModel): boolean {
     if (fitsInMemory(chunks, chunkSize)) return true;
     return isReachable && !plan.occupiesStaging(clock());
@@ -244,9 +249,10 @@
   }
 
   /**
-   * Failure: the origin is away when a version is named, and its content is read
-   * six seconds later. With the bound counted from then, chunks get 0.7 of the
-   * link and loads wait for their turns, while no request may begin anywhere.
+   * Returns when the version was named. If the origin is unavailable at that
+   * time, the content may be read six seconds later; with the bound counted
+   * from then, chunks would get 0.7 of the link and loads would wait for their
+   * offsets, while no request may begin anywhere.
    */
   function namedSince({
     model,
@@ -285,10 +291,11 @@
   }
 
   /**
-   * Failure: a version is named four seconds after another. Staged only after
-   * the other's load, it comes after its bound; until then no engine may begin
-   * anything, and callers are refused for seconds. Guard: its chunks are moved
-   * meanwhile and wait in memory.
+   * Carries out a step of the plan. If a version is named four seconds after
+   * another, its chunks are moved at once and wait in memory. If they were
+   * staged only after the load of the other, the version would come after its
+   * bound, and until then no engine could begin anything, so that callers are
+   * refused for seconds.
    */
   function applyStep(step: PlanStep<FetchedVersion> | undefined): void {
     if (step === undefined) return;
--- a/packages/fleet/src/agent/engine_orders.ts
+++ b/packages/fleet/src/agent/engine_orders.ts
@@ -4,10 +4,10 @@
 import type {StagedChunks} from './staged_chunks';
 import type {FetchedVersion} from './wanted_version';
 
-/** Pause before an order is given again. */
+/** Pause before an order is repeated. */
 const ORDER_RETRY_DELAY: Milliseconds = 300;
 
-/** What giving orders needs. */
+/** Options of {@link createEngineOrders}. */
 export interface EngineOrdersOptions {
   readonly engine: EngineControl;
   readonly staged: StagedChunks;
@@ -16,24 +16,26 @@
   readonly log: Log;
 }
 
-/** Gives the engine its orders, one at a time. */
+/** Sends load orders to the engine, one at a time. */
 export interface EngineOrders {
-  /** Orders the engine to load a version, unless one was ordered just now. */
+  /**
+   * Orders the engine to load a version, unless an order was sent just before.
+   */
   readonly orderLoad: (version: FetchedVersion) => Promise<void>;
-  /** Notes that the engine has answered what was asked at `askedAt`. */
+  /** Records that the engine has answered a request sent at `requestedAt`. */
   readonly recordAnswer: (requestedAt: MonotonicInstant) => void;
-  /** Forgets what was ordered of the engine's former life. */
+  /** Forgets orders to the engine's previous incarnation. */
   readonly reset: () => void;
 }
 
-/** Creates the giver of orders. */
+/** Creates the sender of orders. */
 export function createEngineOrders(options: EngineOrdersOptions): EngineOrders {
   const {engine, staged, swarm, clock, log} = options;
   let orderedAt: MonotonicInstant = -Infinity;
   let ordering = false;
-  /** When an order ran out of its wait that the engine may accept yet. */
+  /** When an order timed out that the engine may still accept. */
   let unansweredAt: MonotonicInstant | undefined;
-  /** When the engine first answered something after that. */
+  /** When the engine first answered anything after that. */
   let answersSince: MonotonicInstant | undefined;
 
   async function orderLoad({
@@ -43,8 +45,9 @@
     if (ordering || unansweredAt !== undefined) return;
     if (clock() - orderedAt < ORDER_RETRY_DELAY) return;
     ordering = true;
-    // Failure: staged bytes turn bad between their arrival and the order, and
-    // the engine makes tokens with them. So they are read right before it.
+    // Staged bytes may become corrupted between their arrival and the order,
+    // and the engine would produce tokens with them. So they are verified right
+    // before it.
     const reply = await staged.withVerified(content, () => load(content));
     ordering = false;
     orderedAt = clock();
@@ -87,7 +90,8 @@
     recordAnswer: requestedAt => {
       if (requestedAt <= (unansweredAt ?? Infinity)) return;
       answersSince ??= clock();
-      // What waited on another connection may be read after the first answer.
+      // A request waiting on another connection may still be read after the
+      // first answer.
       if (requestedAt > answersSince) endWait();
     },
     reset: () => {
--- a/packages/fleet/src/agent/engine_reports.ts
+++ b/packages/fleet/src/agent/engine_reports.ts
@@ -16,10 +16,12 @@
 import {createEntryChannels} from '../link/channels';
 import type {EngineStatus, MemberDescription} from '../ports';
 
-/** Period in which the sequence grows, whether or not a report is written. */
+/**
+ * Period in which the sequence is incremented, whether or not a report is sent.
+ */
 const SEQUENCE_PERIOD: Milliseconds = 100;
 
-/** Sequences are told in 32 bits. */
+/** Sequences have 32 bits on the wire. */
 const SEQUENCE_MODULUS = 2 ** 32;
 
 /** Time without a reply after which a stream counts as silent. */
@@ -29,27 +31,30 @@
 const REOPEN_PAUSE: Milliseconds = 300;
 
 /**
- * Period in which the receivers are chosen anew: one that fell silent is replaced
- * within it, of the 2 s that a report may be old.
+ * Period in which the receivers are chosen again. A receiver that fell silent
+ * is replaced within it, which is part of the 2 s that a report may be old.
  */
 const RECEIVER_CHOICE_PERIOD: Milliseconds = 500;
 
-/** Sends the engine's standing to the entries. */
+/** Sends the engine's status to the entries. */
 export interface EngineReports {
   readonly setMembers: (members: readonly MemberDescription[]) => void;
-  /** Takes the newest standing; sends it where it is time or it matters. */
+  /**
+   * Takes the newest status and sends it to each receiver for which a report is
+   * due.
+   */
   readonly offer: (
-    standing: EngineStatus,
+    status: EngineStatus,
     loadsIn: Milliseconds | undefined,
   ) => void;
 }
 
-/** What the sender of reports needs. */
+/** Options of {@link createEngineReports}. */
 export interface EngineReportsOptions {
   /** `IP:port` of the engine. */
   readonly engineAddress: string;
   readonly zone: string;
-  /** Versions that the operator has named lately. */
+  /** Versions that the operator has named recently. */
   readonly namings: () => VersionNaming[];
   readonly clock: Clock;
   readonly onReply: (reply: EngineReportReply) => void;
@@ -63,13 +68,13 @@
   getsAll: boolean;
   stream: ReportStream | undefined;
   sentAt: number;
-  /** What was told last on the stream. */
+  /** The last state sent on the stream. */
   sent: ReportedState | undefined;
   repliedAt: number;
   brokenAt: number;
 }
 
-/** Creates the sender of reports on an engine. */
+/** Creates the sender of reports of an engine. */
 export function createEngineReports(
   options: EngineReportsOptions,
 ): EngineReports {
@@ -79,7 +84,8 @@
   let members: readonly MemberDescription[] = [];
   let entries = new Map<string, ReportReceiverState>();
   const startedAt = clock();
-  // By the time of day, so that an agent that starts anew goes on from where it was.
+  // Based on the wall clock, so that the sequence of a restarted agent
+  // continues.
   const firstSequence =
     Math.floor(Date.now() / SEQUENCE_PERIOD) % SEQUENCE_MODULUS;
   let sequence = 0;
@@ -126,35 +132,39 @@
     };
   }
 
-  /** Grows with the time too, so that entries agree on turns between reports. */
+  /**
+   * The sequence also grows with time, so that entries agree on turns between
+   * reports.
+   */
   function nextSequence(now: MonotonicInstant): number {
     const passed = Math.floor((now - startedAt) / SEQUENCE_PERIOD);
     return Math.max(sequence + 1, (firstSequence + passed) % SEQUENCE_MODULUS);
   }
 
   function offer(
-    standing: EngineStatus,
+    status: EngineStatus,
     loadsIn: Milliseconds | undefined,
   ): void {
     const now = clock();
     sequence = nextSequence(now);
     if (now - chosenAt >= RECEIVER_CHOICE_PERIOD) chooseReceivers();
     const loadsAt = loadsIn === undefined ? undefined : now + loadsIn;
-    const next: ReportedState = {...standing, loadsAt};
+    const next: ReportedState = {...status, loadsAt};
     let report: EngineReport | undefined;
     for (const entry of entries.values()) {
       closeSilentStream(entry, now);
       const {getsAll, sent: before, sentAt} = entry;
       const since = now - sentAt;
       if (!isReportDue({getsAll, before, next, since})) continue;
-      report ??= createReport(standing, loadsIn);
+      report ??= createReport(status, loadsIn);
       send(entry, report, next, now);
     }
   }
 
   /**
-   * Failure: an open connection falls silent for good, and entries go by an old
-   * standing. Guard: replies come each 1.5 s; without them it is opened anew.
+   * Closes a stream without replies. An open connection may fall silent
+   * permanently, and entries would use an outdated status. Replies come every
+   * 1.5 s; without them, the connection is opened again.
    */
   function closeSilentStream(
     entry: ReportReceiverState,
@@ -167,11 +177,10 @@
   }
 
   function createReport(
-    standing: EngineStatus,
+    status: EngineStatus,
     loadsIn: Milliseconds | undefined,
   ): EngineReport {
-    const {held, ordering, running, waiting, pace, born, memoryShare} =
-      standing;
+    const {held, ordering, running, waiting, pace, born, memoryShare} = status;
     return {
       engineAddress: options.engineAddress,
       loaded: held.map(({model, version}) => ({model, version})),
@@ -197,7 +206,7 @@
     const isNew = entry.stream === undefined;
     entry.stream ??= open(entry);
     if (entry.stream === undefined) return;
-    // Old reports are of no use, so they don't queue behind a full window.
+    // Old reports are useless, so they are not queued behind a full window.
     if (entry.stream.writableLength > 0) return;
     entry.sentAt = now;
     entry.sent = state;
@@ -210,7 +219,7 @@
     const stream = channels.at(entry.address).reportEngine();
     entry.repliedAt = clock();
     stream.on('data', (reply: EngineReportReply) => {
-      // Not the time of the last report: a silent engine has none.
+      // Not the time of the last report, since a silent engine produces none.
       entry.repliedAt = clock();
       options.onReply(reply);
     });
@@ -229,7 +238,7 @@
     entry.sent = undefined;
     entry.brokenAt = clock();
     silent.record(entry.life, entry.brokenAt);
-    // The next one in order gets each report from the next look on.
+    // From the next poll on, the next receiver in order gets each report.
     chosenAt = -Infinity;
   }
 
--- a/packages/fleet/src/agent/operator_monitor.ts
+++ b/packages/fleet/src/agent/operator_monitor.ts
@@ -9,35 +9,38 @@
 import {createWakeablePause} from '../link/wakeable_pause';
 import type {OperatorFeed, OperatorReading} from '../ports';
 
-/** How long one question waits for a change; each question costs a call. */
+/** How long one request waits for a change; each request costs a call. */
 const LONG_POLL_WAIT: Milliseconds = 6_000;
 
 /**
- * Silence of all entries after which the store is asked. Entries tell agents
- * each second of new versions, and whether the services are still the same.
+ * Silence of all entries after which the store is polled. Entries inform agents
+ * every second of new versions, and whether the services are still the same.
  *
- * Failure: each change of a configuration of hundreds of kilobytes goes to each
- * agent too. The links between regions are choked for seconds, and requests
- * reach their targets two seconds late.
+ * If agents read the store themselves, each change of a configuration of
+ * hundreds of kilobytes would also go to each agent. This saturates the links
+ * between regions for seconds, and requests reach their targets two seconds
+ * late.
  */
 const ENTRY_SILENCE: Milliseconds = 2_500;
 
-/** Time beyond the wait after which a question counts as lost. */
+/** Time beyond the wait after which a request counts as lost. */
 const ANSWER_SLACK: Milliseconds = 800;
 
-/** Pause after a question without an answer. */
+/** Pause after a request without an answer. */
 const PAUSE_AFTER_FAILURE: Milliseconds = 400;
 
-/** What an agent knows of the operator's writing. */
+/** The operator's rows as known to an agent. */
 export interface OperatorMonitor {
   readonly start: (signal: AbortSignal) => void;
-  /** The services of the newest configuration; none before the first. */
+  /** The services of the newest configuration; empty before the first. */
   readonly services: () => readonly ServiceDescription[];
-  /** Notes a word of an entry, with the digest of the services it knows. */
+  /**
+   * Records a message of an entry, with the digest of the services it knows.
+   */
   readonly recordEntryDigest: (digest: number) => void;
 }
 
-/** Creates the watch. */
+/** Creates the monitor. */
 export function createOperatorMonitor(
   feed: OperatorFeed,
   versions: NamedVersions,
@@ -46,16 +49,17 @@
 ): OperatorMonitor {
   let services: readonly ServiceDescription[] = [];
   let digest = servicesDigest(services);
-  /** Version of the configuration that the services are of. */
-  let held = -Infinity;
+  /** Version of the configuration that contains the services. */
+  let heldVersion = -Infinity;
   let entryDigest = digest;
   let entryReportedAt = -Infinity;
   const pause = createWakeablePause();
 
   function applyReading({configuration, namedVersions}: OperatorReading): void {
-    // A restored store may have an older one than entries go by.
-    if (configuration !== undefined && configuration.version > held) {
-      held = configuration.version;
+    // A restored store may have an older configuration than the one entries
+    // use.
+    if (configuration !== undefined && configuration.version > heldVersion) {
+      heldVersion = configuration.version;
       services = configuration.services;
       digest = servicesDigest(services);
     }
@@ -97,10 +101,10 @@
         signal,
       ),
     services: () => services,
-    recordEntryDigest: heard => {
-      entryDigest = heard;
+    recordEntryDigest: reportedDigest => {
+      entryDigest = reportedDigest;
       entryReportedAt = clock();
-      if (heard !== digest) pause.wake();
+      if (reportedDigest !== digest) pause.wake();
     },
   };
 }
--- a/packages/fleet/src/agent/origin_reader.ts
+++ b/packages/fleet/src/agent/origin_reader.ts
@@ -4,11 +4,11 @@
 import type {EngineError, VersionContent, VersionOrigin} from '../ports';
 import type {OperatorMonitor} from './operator_monitor';
 
-/** What reading from the origin needs. */
+/** Options of {@link createOriginReader}. */
 export interface OriginReaderOptions {
   readonly origin: VersionOrigin;
   readonly operator: OperatorMonitor;
-  /** The versions whose chunks may be asked for. */
+  /** Versions whose chunks may be requested. */
   readonly wanted: () => readonly VersionContent[];
   readonly log: Log;
 }
@@ -21,7 +21,7 @@
   ) => AsyncGenerator<Result<Uint8Array, PlatformError>>;
 }
 
-/** Creates the reader; it says in the log when the origin is lost or regained. */
+/** Creates the reader. It logs when the origin is lost or regained. */
 export function createOriginReader(options: OriginReaderOptions): OriginReader {
   const {log} = options;
   let failures = 0;
@@ -35,7 +35,10 @@
       .find(({digests}) => digests.includes(digest));
     const address = originAddress();
     if (content === undefined || address === undefined) {
-      yield Err({kind: 'unavailable', detail: 'no origin for the chunk'});
+      yield Err({
+        kind: 'unavailable',
+        detail: 'no origin is known for the chunk',
+      });
       return;
     }
     const position = content.digests.indexOf(digest);
--- a/packages/fleet/src/agent/peer_agents.ts
+++ b/packages/fleet/src/agent/peer_agents.ts
@@ -14,13 +14,15 @@
   type AnnouncementLink,
 } from './announcement_link';
 
-/** Period of signs of life between neighbours. */
+/** Period of heartbeats between neighbours. */
 const HEARTBEAT_PERIOD: Milliseconds = 1_000;
 
-/** A neighbour's stream of announcements, with answers in the other direction. */
+/**
+ * A neighbour's stream of announcements, with answers in the other direction.
+ */
 export type AnnounceCall = ServerDuplexStream<Announcement, AnnouncementReply>;
 
-/** What the link to the other agents needs. */
+/** Options of {@link createPeerAgents}. */
 export interface PeerAgentsOptions {
   readonly self: MemberDescription;
   readonly swarm: () => SwarmDriver;
@@ -28,7 +30,7 @@
   readonly log: Log;
 }
 
-/** The link to the agents with which chunks are exchanged. */
+/** Connections to the agents with which chunks are exchanged. */
 export interface PeerAgents {
   readonly channels: ReturnType<typeof createAgentChannels>;
   readonly setMembers: (members: readonly MemberDescription[]) => void;
@@ -40,7 +42,7 @@
   readonly handleAnnouncement: (
     announcement: Announcement,
   ) => AnnouncementReply;
-  /** Takes a neighbour's stream of announcements. */
+  /** Handles a neighbour's stream of announcements. */
   readonly answer: (call: AnnounceCall) => void;
   readonly start: () => () => void;
 }
@@ -48,12 +50,15 @@
 interface Peer {
   member: MemberDescription;
   readonly link: AnnouncementLink;
-  /** The life that last spoke to us; undefined before. */
+  /**
+   * The incarnation of the last message from the peer; undefined before the
+   * first.
+   */
   reportedIncarnation: string | undefined;
   connected: boolean;
 }
 
-/** Creates the link to the other agents. */
+/** Creates the connections to the other agents. */
 export function createPeerAgents(options: PeerAgentsOptions): PeerAgents {
   const {self, swarm, log} = options;
   const channels = createAgentChannels();
@@ -104,10 +109,11 @@
   }
 
   /**
-   * Failure: all agents start again at the same moment, and meet by lines that
-   * tell of their former lives. When the lines change, each forgets what the
-   * others have told it since, and waits a second for it to be told again. Guard:
-   * what a process says of its own life counts for more than its line.
+   * Keeps the peer if its row has the known incarnation. What a process reports
+   * about its own incarnation takes precedence over its row: if all agents
+   * restart at the same time, they first read each other's rows of the previous
+   * incarnations. If each forgot what the others have announced when the rows
+   * change, it would wait a second for it to be announced again.
    */
   function updatePeer(peer: Peer, member: MemberDescription): Peer {
     const isSame =
@@ -121,21 +127,24 @@
     return peer;
   }
 
-  /** A life that speaks for the first time knows nothing of the one before. */
+  /**
+   * Disconnects a peer that has restarted: the new incarnation knows nothing of
+   * the previous one.
+   */
   function updateIncarnation(peer: Peer, life: string): void {
-    const hasStartedAnew =
+    const hasRestarted =
       peer.reportedIncarnation !== undefined &&
       peer.reportedIncarnation !== life;
-    if (hasStartedAnew) disconnect(peer);
+    if (hasRestarted) disconnect(peer);
     peer.reportedIncarnation = life;
     connect(peer);
   }
 
   /**
-   * Failure: at the start of a site each agent opens a connection to each other
-   * one, 65 in each process, though chunks come from neighbours only. Guard: only
-   * neighbours give one another signs of life; others are met when they become
-   * neighbours by a version.
+   * Sends heartbeats to neighbours only; other agents are contacted when a
+   * version makes them neighbours. If each agent sent heartbeats to all others,
+   * each process would open 65 connections at the start of a site, although
+   * chunks come from neighbours only.
    */
   function sendHeartbeats(): void {
     for (const instance of swarm().neighbours()) {
@@ -182,11 +191,12 @@
   }
 
   /**
-   * Failure: an agent joins and announces itself before the others have read
-   * the members anew. What they would announce to it has no address to go to,
-   * and it asks the origin for a part of what they all hold. Or it has forgotten
-   * what a neighbour holds that sees no reason to tell it again. Guard: it asks,
-   * and the answer itself says it.
+   * Answers with the held chunks if requested. A joining agent may announce
+   * itself before the others have read its row; they have no address to
+   * announce to, and it would request chunks from the origin that they all
+   * hold. Or the agent has forgotten what a neighbour holds, and the neighbour
+   * sees no reason to announce it again. So it requests the positions, and they
+   * are part of the answer.
    */
   function handleAnnouncement(announcement: Announcement): AnnouncementReply {
     const {instance, life, versionDigest, gained, asksHeld} = announcement;
@@ -204,7 +214,7 @@
       if (announcement.wantsAnswer && call.writable) call.write(reply);
     });
     call.on('end', () => call.end());
-    // The neighbour opens a new stream for what it has to tell next.
+    // The neighbour opens a new stream for its next announcement.
     call.on('error', error => log.debug('announcements broken', {error}));
   }
 
--- a/packages/fleet/src/agent/staged_chunks.ts
+++ b/packages/fleet/src/agent/staged_chunks.ts
@@ -13,40 +13,46 @@
 import type {EngineControl, EngineError, VersionContent} from '../ports';
 
 /**
- * The chunks that lie staged at the engine, by digest. They are kept in memory
- * too until the engine has taken them: those of the next version since they may
- * not be staged yet, and all of them since staged bytes may turn bad.
+ * The staged chunks of the engine, by digest. They are also kept in memory
+ * until the engine has loaded them: those of the next version because they may
+ * not be staged yet, and all of them because staged bytes may become corrupted.
  *
- * The engine keeps one copy of a model, by position, and checks nothing: a new
- * version's chunk overwrites the old one's, and staged bytes may turn bad.
+ * The engine keeps one copy of a model, by position, and verifies nothing: a
+ * chunk of a new version overwrites the old one.
  */
 export interface StagedChunks {
   readonly store: ChunkStore;
   /**
-   * Sets the version whose chunks are staged from now on; stages those of it
-   * that were kept in memory.
+   * Sets the version whose chunks are staged from now on, and stages those of
+   * its chunks that were kept in memory.
    */
   readonly setStagedVersion: (content: VersionContent) => void;
-  /** Sets the version whose chunks are kept in memory until it is aimed at. */
+  /**
+   * Sets the version whose chunks are kept in memory until it becomes the
+   * staged version.
+   */
   readonly prepare: (content: VersionContent) => void;
   /**
    * Sets whether the engine answers. While it does not, chunks are kept in
-   * memory only; then they are staged.
+   * memory only; they are staged once it does.
    *
-   * Failure: an engine comes up a second after its machine, and its weights begin
-   * to move only then, while the site is short of engines.
+   * An engine starts a second after its machine. Without this, its weights
+   * would be moved only then, while the site is short of engines.
    */
   readonly setReachable: (isReachable: boolean) => void;
-  /** Stages nothing of other versions until the engine is known to answer. */
+  /**
+   * Prevents staging of other versions until `release`, since the engine may
+   * still accept an order for this one.
+   */
   readonly hold: (content: VersionContent) => void;
   /** Ends a hold, if there is one. */
   readonly release: () => void;
-  /** Drops what is kept in memory of a version that the engine has taken. */
+  /** Drops the chunks in memory of a version that the engine has loaded. */
   readonly forget: (content: VersionContent) => void;
   /**
-   * Reads all staged chunks of the version again and stages bad ones anew; then
-   * runs `whenWhole` with nothing staged in between. Returns undefined if a
-   * chunk is still missing or bad.
+   * Verifies all staged chunks of the version and stages corrupted ones again;
+   * then runs `whenVerified` with nothing staged in between. Returns undefined
+   * if a chunk is still missing or corrupted.
    */
   readonly withVerified: <Outcome>(
     content: VersionContent,
@@ -54,18 +60,18 @@
   ) => Promise<Outcome | undefined>;
 }
 
-/** Largest version whose chunks are kept in memory. */
+/** Maximum size of a version whose chunks are kept in memory. */
 const MAX_KEPT_BYTES: Bytes = 32 * 1024 * 1024;
 
-/** Whether the chunks of such a version can be kept in memory. */
+/** Whether the chunks of a version of this size can be kept in memory. */
 export function fitsInMemory(chunks: number, chunkSize: Bytes): boolean {
   return chunks * chunkSize <= MAX_KEPT_BYTES;
 }
 
-/** Name of the only life that the staging area has. */
+/** Incarnation of the staging area, which is always the same. */
 const STAGING_INCARNATION = 'staged';
 
-/** Creates the store over the engine's staging area. */
+/** Creates a chunk store on top of the engine's staging area. */
 export function createStagedChunks(
   engine: EngineControl,
   log: Log,
@@ -73,11 +79,11 @@
   let stagedVersion: VersionContent | undefined;
   let preparedVersion: VersionContent | undefined;
   const memoryCopies = new Map<Digest, Buffer>();
-  /** Digest that was last seen or put at each position. */
+  /** Digest last read or staged at each position. */
   const stagedDigests = new Map<number, Digest>();
   let isRead = false;
   let isReachable = true;
-  /** The version whose order has had no answer. */
+  /** The version whose load order is unanswered. */
   let unansweredOrder: VersionContent | undefined;
   let lastOperation: Promise<unknown> = Promise.resolve();
 
@@ -96,14 +102,18 @@
       return stageOrKeep(stagedVersion, position, digest, bytes);
     }
     if (isPrepared) return Ok.EMPTY;
-    return Err({kind: 'refused', detail: 'the chunk is of another version'});
+    return Err({
+      kind: 'refused',
+      detail: 'the chunk belongs to another version',
+    });
   }
 
   /**
-   * Failure: staged bytes turn bad on several engines. Each that reads them
-   * for another agent says that it holds them no more, and when the last holder
-   * has, the chunk is asked of the origin anew after seconds of patience.
-   * Guard: a verified copy stays in memory for the others and to mend the own.
+   * Keeps a verified copy in memory, for other agents and to repair the staged
+   * chunk. If staged bytes become corrupted on several engines, each of them
+   * reports on a read that it no longer holds the chunk; after the last holder
+   * has, the chunk is requested from the origin again only after seconds of
+   * timeouts.
    */
   function keepInMemory(digest: Digest, bytes: Buffer): void {
     const chunks = Math.max(
@@ -113,14 +123,20 @@
     if (fitsInMemory(chunks, bytes.length)) memoryCopies.set(digest, bytes);
   }
 
-  /** An engine may yet accept the order, and load whatever lies staged then. */
+  /**
+   * The engine may still accept an unanswered order, and would load whatever is
+   * staged then.
+   */
   function isBlockedByOrder({version}: VersionContent): boolean {
     return unansweredOrder !== undefined && unansweredOrder.version !== version;
   }
 
   function blockedResult(digest: Digest): Result<void, ChunkStoreError> {
     if (memoryCopies.has(digest)) return Ok.EMPTY;
-    return Err({kind: 'unavailable', detail: 'an order has no answer yet'});
+    return Err({
+      kind: 'unavailable',
+      detail: 'an earlier order still has no answer',
+    });
   }
 
   function release(): void {
@@ -135,7 +151,10 @@
     lastOperation = lastOperation.then(() => stageKept(content));
   }
 
-  /** What a silent engine doesn't take is staged from memory before the order. */
+  /**
+   * Stages a chunk. If the engine is silent, the chunk is kept in memory and
+   * staged before the order.
+   */
   async function stageOrKeep(
     content: VersionContent,
     position: number,
@@ -197,7 +216,7 @@
     }
   }
 
-  /** Stages kept chunks that don't lie there whole. */
+  /** Stages the chunks in memory that are not staged intact. */
   async function stageKept(content: VersionContent): Promise<void> {
     for (const [position, digest] of content.digests.entries()) {
       const bytes = memoryCopies.get(digest);
@@ -218,7 +237,8 @@
     if (stagedVersion === undefined) {
       return Ok({life: STAGING_INCARNATION, digests: []});
     }
-    // Reading all again takes 100 ms; it is done right before an order anyway.
+    // Reading all chunks takes 100 ms, and is done right before an order
+    // anyway.
     if (!isRead && isReachable) {
       const read = await readAll(stagedVersion);
       if (read.err) return read.mapErr(toStoreError);
@@ -230,8 +250,9 @@
   }
 
   /**
-   * Reads what lies staged, and remembers the digest at each position. What a
-   * silent engine doesn't give stays as it was known, and is read again.
+   * Reads the staged chunks and records the digest at each position. For chunks
+   * that a silent engine does not return, the known digest stays, and they are
+   * read again later.
    */
   async function readAll(
     content: VersionContent,
@@ -266,11 +287,11 @@
       return;
     }
     const read = await engine.readStaged(stagedVersion.model, position);
-    // Failure: a chunk that turned bad here is passed on, and the reader cuts
-    // this agent off as a sender of bad chunks.
+    // If a corrupted chunk were sent, the receiver would cut off this agent as
+    // a sender of bad chunks.
     if (read.ok && digestBytes(read.val) !== digest) {
       stagedDigests.delete(position);
-      yield Err({kind: 'notHeld', detail: 'the staged chunk has turned bad'});
+      yield Err({kind: 'notHeld', detail: 'the staged chunk is corrupted'});
       return;
     }
     if (read.err) {
--- a/packages/fleet/src/agent/wanted_version.ts
+++ b/packages/fleet/src/agent/wanted_version.ts
@@ -21,7 +21,7 @@
   readonly originRate: BytesPerSecond | undefined;
 }
 
-/** The model that engines of `service` hold, and where it comes from. */
+/** Returns the model that engines of `service` hold, and its origin. */
 export function findWantedModel(
   services: readonly ServiceDescription[],
   service: ServiceName,
@@ -40,7 +40,10 @@
   };
 }
 
-/** The content as the swarm names it. */
+/**
+ * Returns the manifest of a version and the digest by which the swarm
+ * identifies it.
+ */
 export function identifyVersion(
   content: VersionContent,
   chunkSize: number,
@@ -58,7 +61,7 @@
   return service.kind === 'weightOrigin';
 }
 
-/** A version that is being fetched or is there. */
+/** A version that is being fetched or has been fetched. */
 export interface FetchedVersion extends PlannedVersion {
   readonly content: VersionContent;
   readonly identified: IdentifiedManifest;
