--- a/test/fleet/agent.test.ts
+++ b/test/fleet/agent.test.ts
@@ -14,7 +14,10 @@
 
 const CHUNKS = 6;
 
-/** Time after which a version of the site's bound of 8 s is finished first. */
+/**
+ * Time after which a version with the site's bound of 8 s is finished before
+ * the next one.
+ */
 const MID_TRANSFER = 2_600;
 
 let site: HostSite;
@@ -49,7 +52,10 @@
   site.store.write('op', 'version/model', {Model: 'model', Version: version});
 }
 
-/** Agents meet over a version; before it, each has read of the other. */
+/**
+ * Waits until each agent has read the other's row. Agents contact each other
+ * only for a version.
+ */
 function untilKnownToEachOther(): Promise<unknown> {
   return eventually(() => site.lines.filter(namesAnAgent).length >= 2);
 }
@@ -79,9 +85,10 @@
   expect(origin.sent.length - sentBefore).toBe(CHUNKS);
 });
 
-// Version 3 is named while version 2 lies staged and waits for its load. Moved
-// only after that load, it comes after its bound, and callers are refused.
-test('fetches the next version while the one before waits for its load', async () => {
+// Version 3 is named while version 2 is staged and waits for its load. If
+// version 3 were moved only after that load, it would come after its bound, and
+// callers would be refused.
+test('the next version is fetched while the previous one waits for its load', async () => {
   await startSite();
   const both = [await startEngine('one'), await startEngine('two')];
   await Promise.all(both.map(site.startAgent));
@@ -103,8 +110,8 @@
   await eventually(() => both.every(engine => engine.held() === 3));
 });
 
-// Staged bytes turn bad after they were fetched, while the engine is down. An
-// engine that loads them would answer with broken weights.
+// Staged bytes become corrupted after they were fetched, while the engine is
+// down. An engine that loads them would answer with corrupted weights.
 test('an engine never loads a staged chunk that has turned bad', async () => {
   await startSite();
   const engine = await startEngine('one');
@@ -116,9 +123,9 @@
   expect(engine.staged.get(3)).toEqual(origin.chunk(1, 3));
 });
 
-// The origin gives no chunk when an engine joins. Its neighbour holds the
-// version, and the engine serves without the origin.
-test('an engine that joins needs no origin while a neighbour holds it', async () => {
+// The origin sends no chunks when an engine joins. Its neighbour holds the
+// version, so the engine must serve without the origin.
+test('an engine that joins needs no origin while a neighbour holds the version', async () => {
   await startSite();
   const first = await startEngine('one');
   await site.startAgent(first);
@@ -129,9 +136,9 @@
   await eventually(() => second.held() === 1);
 });
 
-// An engine comes up a second after its machine. Its weights are there by then,
-// and it waits for its load alone.
-test('weights are moved while their engine is not up yet', async () => {
+// An engine starts a second after its machine. Its weights must be there by
+// then, so that it waits only for its load.
+test('weights are fetched before their engine is up', async () => {
   await startSite();
   const engine = await startEngine('one');
   engine.setFault({kind: 'down'});
--- a/test/fleet/announcement_link.test.ts
+++ b/test/fleet/announcement_link.test.ts
@@ -14,7 +14,7 @@
   asksHeld: false,
 };
 
-/** A link to a neighbour whose answer comes by `answer`. */
+/** A link to a neighbour that answers through `answer`. */
 function startLink(answer: (call: EventEmitter) => void) {
   let answers = 0;
   let losses = 0;
@@ -48,12 +48,12 @@
   return new Promise(resolve => setImmediate(resolve));
 }
 
-test('a neighbour whose answer came while the agent stood still is not lost', async () => {
+test('a neighbour whose answer came while the event loop was blocked is not lost', async () => {
   const {link, answers, losses} = startLink(call => {
     setImmediate(() => call.emit('data', ANSWER));
   });
   await new Promise<void>(resolve =>
-    // What comes during it is read after the timers that have expired.
+    // Data that arrives meanwhile is read after the expired timers have run.
     setImmediate(() => {
       link.send(ANNOUNCEMENT);
       blockEventLoop(700);
--- a/test/fleet/answer_timer.test.ts
+++ b/test/fleet/answer_timer.test.ts
@@ -13,7 +13,7 @@
   while (performance.now() < until);
 }
 
-test('an answer that waits while the loop stands still in the last step is read', async () => {
+test('an answer that arrives while the event loop is blocked shortly before the timeout is read', async () => {
   const worker = new Worker(SERVER, {eval: true});
   const port = await new Promise<number>(resolve =>
     worker.once('message', resolve),
@@ -24,7 +24,8 @@
     path: '/',
     timeout: 500,
   });
-  // As work that a socket brings: timers run before the sockets are read again.
+  // Like work triggered by a socket: timers run before the sockets are read
+  // again.
   setTimeout(() => setImmediate(blockEventLoop, 400), 430);
   const reply = await call;
   await worker.terminate();
--- a/test/fleet/configuration_changes.test.ts
+++ b/test/fleet/configuration_changes.test.ts
@@ -36,7 +36,7 @@
   Models: [{Name: 'model', Version: 1, Adapters: []}],
 };
 
-/** What the operator changes from one configuration to the next. */
+/** The parts of the configuration that the operator changes. */
 interface ExpectedConfiguration {
   idle: number;
   timeout: number;
@@ -53,7 +53,7 @@
 let engines: HostEngine[];
 let callers: KeepAliveCaller[];
 let address: string;
-let wanted: ExpectedConfiguration;
+let expected: ExpectedConfiguration;
 let isOver: boolean;
 
 /** The idle times of all configurations so far. */
@@ -64,7 +64,7 @@
   engines = [];
   isOver = false;
   idleTimes = [];
-  wanted = {
+  expected = {
     idle: 600,
     timeout: 3_000,
     attempts: 2,
@@ -101,8 +101,8 @@
 });
 
 function configure(): void {
-  idleTimes.push(wanted.idle);
-  const {timeout, attempts, isSplit, hasSecond, extraRoutes} = wanted;
+  idleTimes.push(expected.idle);
+  const {timeout, attempts, isSplit, hasSecond, extraRoutes} = expected;
   const route = {
     Host: HOST,
     TimeoutMs: timeout,
@@ -114,7 +114,7 @@
     {Service: 'other', Weight: 1},
   ];
   const service = isSplit ? {Split: shares} : {Service: 'plain'};
-  // Streams that have begun can only be cut at the end of their time.
+  // Streams that have begun can only be cut off at the end of their time.
   const stream = {
     ...route,
     Kind: 'stream',
@@ -144,47 +144,49 @@
       ...(hasSecond || isSplit ? [{Name: 'other'}] : []),
       {Name: 'engines', Engine: {Slots: 4, Models: [{Name: 'model'}]}},
     ],
-    Limits: {IdleTimeoutMs: wanted.idle, BodyBytes: wanted.bodyBytes},
-    Tenants: [{Name: 'shop', ApiKeys: wanted.keys, Priority: wanted.priority}],
+    Limits: {IdleTimeoutMs: expected.idle, BodyBytes: expected.bodyBytes},
+    Tenants: [
+      {Name: 'shop', ApiKeys: expected.keys, Priority: expected.priority},
+    ],
   });
 }
 
 type RandomInt = (range: number) => number;
 
-/** Draws that depend on the seed and on who draws alone. */
+/** Random numbers that depend only on the seed and on `who`. */
 function createRandomInt(who: string): RandomInt {
   let draws = 0;
   return range => hash32(`${SEED} ${who} ${(draws += 1)}`) % range;
 }
 
-function change(draw: RandomInt): void {
-  wanted = {...wanted, keys: [KEY], bodyBytes: 100_000};
+function change(random: RandomInt): void {
+  expected = {...expected, keys: [KEY], bodyBytes: 100_000};
   const changes: readonly (() => void)[] = [
-    () => (wanted.idle = 200 + draw(2_000)),
-    () => (wanted.timeout = 800 + draw(3_000)),
-    () => (wanted.attempts = 1 + draw(3)),
-    () => (wanted.hasSecond = !wanted.hasSecond),
-    () => (wanted.isSplit = !wanted.isSplit),
-    () => (wanted.extraRoutes = draw(2) * (LARGE + draw(LARGE))),
-    () => (wanted.bodyBytes = 2_000),
-    () => (wanted.keys = []),
-    () => (wanted.priority = draw(3)),
+    () => (expected.idle = 200 + random(2_000)),
+    () => (expected.timeout = 800 + random(3_000)),
+    () => (expected.attempts = 1 + random(3)),
+    () => (expected.hasSecond = !expected.hasSecond),
+    () => (expected.isSplit = !expected.isSplit),
+    () => (expected.extraRoutes = random(2) * (LARGE + random(LARGE))),
+    () => (expected.bodyBytes = 2_000),
+    () => (expected.keys = []),
+    () => (expected.priority = random(3)),
     configure,
-    () => blockEventLoop(50 + draw(MAX_STALL)),
+    () => blockEventLoop(50 + random(MAX_STALL)),
     () => site.store.writeBytes('op', 'config', Buffer.from('{')),
   ];
-  changes[draw(changes.length)]?.();
+  changes[random(changes.length)]?.();
   configure();
 }
 
-function nextFault(draw: RandomInt): EngineFault {
-  switch (draw(5)) {
+function nextFault(random: RandomInt): EngineFault {
+  switch (random(5)) {
     case 0:
-      return {kind: 'silent', after: 0, duration: 20 + draw(300)};
+      return {kind: 'silent', after: 0, duration: 20 + random(300)};
     case 1:
-      return {kind: 'silent', after: 0, duration: 500 + draw(1_000)};
+      return {kind: 'silent', after: 0, duration: 500 + random(1_000)};
     case 2:
-      return {kind: 'silent', after: 1, duration: 20 + draw(1_500)};
+      return {kind: 'silent', after: 1, duration: 20 + random(1_500)};
     case 3:
       return {kind: 'full'};
     default:
@@ -192,89 +194,96 @@
   }
 }
 
-function partsOf(draw: RandomInt, requestId: string): RequestParts {
+function partsOf(random: RandomInt, requestId: string): RequestParts {
   const routes = ['safe', 'once', 'going', 'fixed', 'second', 'extra/7'];
-  const route = routes[draw(routes.length)] ?? 'safe';
+  const route = routes[random(routes.length)] ?? 'safe';
   const isStream = route === 'going' || route === 'fixed';
   const head = [
     `POST /${route}/a HTTP/1.1`,
     `Host: ${HOST}`,
     `Authorization: Token ${KEY}`,
     `X-Hibiscusbeam-Request-Id: ${requestId}`,
-    `X-Hibiscusbeam-Deadline-Ms: ${isStream ? STREAM_TIME : 1_000 + draw(3_000)}`,
+    `X-Hibiscusbeam-Deadline-Ms: ${isStream ? STREAM_TIME : 1_000 + random(3_000)}`,
     ...(isStream ? ['X-Hibiscusbeam-Model: model'] : []),
   ].join('\r\n');
-  const body = 'b'.repeat(10 + draw(6_000));
+  const body = 'b'.repeat(10 + random(6_000));
   const half = Math.floor(body.length / 2);
   const length = `Content-Length: ${body.length}`;
-  switch (draw(4)) {
+  switch (random(4)) {
     case 0:
       return [`${head}\r\n${length}\r\n\r\n${body}`];
     case 1:
       return [
         `${head}\r\n${length}\r\nExpect: 100-continue\r\n\r\n`,
-        draw(50),
+        random(50),
         body,
       ];
     case 2:
       return [
         head.slice(0, 30),
-        draw(80),
+        random(80),
         `${head.slice(30)}\r\n${length}\r\n\r\n${body.slice(0, half)}`,
-        draw(80),
+        random(80),
         body.slice(half),
       ];
     default:
       return [
         `${head}\r\nTransfer-Encoding: chunked\r\n\r\n`,
         `${half.toString(16)}\r\n${body.slice(0, half)}\r\n`,
-        draw(80),
+        random(80),
         '0\r\n\r\n',
       ];
   }
 }
 
-/** The idle time that holds for callers: a shorter one as soon as it is written. */
+/**
+ * The idle time in force for callers: a shorter one applies as soon as it is
+ * written.
+ */
 function idleTime(): number {
   const inForce = site.lines.findLast(
     ({message: sentence}) => sentence === 'configuration in force',
   );
   const {version} = inForce?.fields as {readonly version: number};
-  return Math.min(wanted.idle, idleTimes[version - 1] ?? 0);
+  return Math.min(expected.idle, idleTimes[version - 1] ?? 0);
 }
 
 async function call(caller: KeepAliveCaller, who: string) {
-  const draw = createRandomInt(who);
+  const random = createRandomInt(who);
   const ended: {
     readonly request: string;
     readonly outcome: KeepAliveOutcome;
   }[] = [];
   for (let sent = 0; sent < REQUESTS; sent += 1) {
-    await sleep(draw(10) === 0 ? SHARE_OF_IDLE_TIME * idleTime() : draw(60));
+    await sleep(
+      random(10) === 0 ? SHARE_OF_IDLE_TIME * idleTime() : random(60),
+    );
     const request = `${who}-${sent}`;
-    const outcome = await caller.send(partsOf(draw, request));
+    const outcome = await caller.send(partsOf(random, request));
     ended.push({request, outcome});
   }
   return ended;
 }
 
 async function changeUntilOver(): Promise<void> {
-  const draw = createRandomInt('operator');
+  const random = createRandomInt('operator');
   while (!isOver) {
-    await sleep(20 + draw(MAX_CHANGE_PAUSE));
-    change(draw);
+    await sleep(20 + random(MAX_CHANGE_PAUSE));
+    change(random);
   }
 }
 
 async function disturbUntilOver(engine: HostEngine): Promise<void> {
-  const draw = createRandomInt(engine.instance);
+  const random = createRandomInt(engine.instance);
   while (!isOver) {
-    engine.setFault(nextFault(draw));
-    await sleep(20 + draw(MAX_FAULT_DURATION));
+    engine.setFault(nextFault(random));
+    await sleep(20 + random(MAX_FAULT_DURATION));
   }
 }
 
-/** As a configuration does that is large for its machine. */
+/**
+ * Blocks the event loop, like a configuration that is large for its machine.
+ */
 function blockEventLoop(duration: number): void {
   const until = performance.now() + duration;
   while (performance.now() < until);
@@ -284,12 +293,12 @@
   return new Promise(resolve => setTimeout(resolve, duration));
 }
 
-test('each request beside changes of the configuration gets a whole answer or a refusal', async () => {
-  const troubles = [changeUntilOver(), ...engines.map(disturbUntilOver)];
+test('each request during changes of the configuration gets a whole answer or a refusal', async () => {
+  const disturbances = [changeUntilOver(), ...engines.map(disturbUntilOver)];
   const calls = callers.map((caller, index) => call(caller, `caller-${index}`));
   const ended = (await Promise.all(calls)).flat();
   isOver = true;
-  await Promise.all(troubles);
+  await Promise.all(disturbances);
   const lost = ended.filter(({outcome}) => outcome.kind !== 'answered');
   expect(lost).toEqual([]);
   expect(ended.some(({outcome}) => isServed(outcome))).toBe(true);
--- a/test/fleet/configuration_copies.test.ts
+++ b/test/fleet/configuration_copies.test.ts
@@ -22,7 +22,7 @@
     Array.from({length: 1_650}, (_, index) => (index === changed ? 1 : 6_000)),
   );
 
-test('a change of one route of 1,650 is told in under a kilobyte', () => {
+test('a change of one route of 1,650 is sent in under a kilobyte', () => {
   const sender = createConfigurationCopies();
   const receiver = createConfigurationCopies();
   sender.add({revision: 5, text: largeText(10)});
@@ -37,7 +37,7 @@
   expect(text.equals(largeText(13, 800))).toBe(true);
 });
 
-test('a change of all 1,650 routes is told whole, in about as many bytes', () => {
+test('a change of all 1,650 routes is sent whole, in about as many bytes', () => {
   const sender = createConfigurationCopies();
   sender.add({revision: 5, text: largeText(10)});
   const before = sender.write(0)!;
@@ -49,7 +49,7 @@
 });
 
 test.each(['before', 'behind'])(
-  'routes that are added %s 1,650 are told by what differs',
+  'routes that are added %s 1,650 are sent as a delta',
   place => {
     const sender = createConfigurationCopies();
     sender.add({revision: 5, text: largeText(10)});
@@ -67,7 +67,7 @@
   },
 );
 
-test('a receiver that holds an old configuration is told the whole one', () => {
+test('a receiver that holds an old configuration is sent the whole one', () => {
   const sender = createConfigurationCopies();
   for (let revision = 1; revision <= 12; revision += 1) {
     sender.add({revision, text: textOf(revision, [revision])});
@@ -76,7 +76,7 @@
   expect(sender.write(11)?.baseRevision).toBe(11);
 });
 
-test('whatever changes and is missed, a copy that can be read is the text', () => {
+test('a copy that can be read equals the text, whatever changed or was missed', () => {
   const step = fc.record({
     timeouts: fc.array(fc.integer({min: 1, max: 4}), {maxLength: 12}),
     isMissed: fc.boolean(),
--- a/test/fleet/engine_incarnations.test.ts
+++ b/test/fleet/engine_incarnations.test.ts
@@ -26,8 +26,8 @@
   await engine.close();
 });
 
-// An engine loses its power and starts again under its id: it serves nothing,
-// and nothing lies staged. Its agent must see both and bring the weights back.
+// An engine loses power and restarts under its id: it serves nothing, and
+// nothing is staged. Its agent must detect both and restore the weights.
 test('an engine that starts again under its id is given its weights', async () => {
   await site.startAgent(engine);
   await eventually(() => engine.held() === 1);
@@ -35,8 +35,8 @@
   engine.restart();
   await eventually(() => engine.held() === 1);
   expect(engine.staged.size).toBe(CHUNKS);
-  const said = site.lines.filter(
+  const restartLines = site.lines.filter(
     ({message: sentence}) => sentence === 'engine has started anew',
   );
-  expect(said).toHaveLength(1);
+  expect(restartLines).toHaveLength(1);
 });
--- a/test/fleet/engine_manager.test.ts
+++ b/test/fleet/engine_manager.test.ts
@@ -37,9 +37,9 @@
   vi.useRealTimers();
 });
 
-/** A keeper of an engine that serves version 1 of its model. */
+/** Starts the manager of an engine that serves version 1 of its model. */
 async function startManager() {
-  let looks = 0;
+  let polls = 0;
   let running = 0;
   const versions = createNamedVersions(8_000);
   versions.name('model', 1, 0);
@@ -52,11 +52,11 @@
     memoryShare: undefined,
     born: 1,
   });
-  const keeper = createEngineManager({
+  const manager = createEngineManager({
     service: 'engines',
     engine: {
       standing: () => {
-        looks += 1;
+        polls += 1;
         return Promise.resolve(Ok(standing()));
       },
     } as unknown as EngineControl,
@@ -96,35 +96,35 @@
     log,
     onStatus: () => undefined,
   });
-  keeper.start(stopped.signal);
+  manager.start(stopped.signal);
   await vi.advanceTimersByTimeAsync(1_000);
   return {
     versions,
-    lookNow: keeper.checkNow,
+    checkNow: manager.checkNow,
     setRunning: (next: number) => (running = next),
-    looksIn: async (time: number): Promise<number> => {
-      const before = looks;
+    pollsIn: async (time: number): Promise<number> => {
+      const before = polls;
       await vi.advanceTimersByTimeAsync(time);
-      return looks - before;
+      return polls - before;
     },
   };
 }
 
-test('an engine that is idle is looked at each 250 ms, a busy one each 100 ms', async () => {
-  const {looksIn, setRunning} = await startManager();
-  expect(await looksIn(2_000)).toBe(8);
+test('an idle engine is polled every 250 ms, a busy one every 100 ms', async () => {
+  const {pollsIn, setRunning} = await startManager();
+  expect(await pollsIn(2_000)).toBe(8);
   setRunning(1);
-  await looksIn(250);
-  expect(await looksIn(2_000)).toBe(20);
+  await pollsIn(250);
+  expect(await pollsIn(2_000)).toBe(20);
 });
 
-// A version is named while the engine is idle. Its engine must be looked at at
-// once, and as often as before until it serves the version.
-test('an idle engine is looked at at once when a version is named', async () => {
-  const {versions, lookNow, looksIn} = await startManager();
-  await looksIn(10);
+// A version is named while the engine is idle. Its engine must be polled at
+// once, and at the short period until it serves the version.
+test('an idle engine is polled at once when a version is named', async () => {
+  const {versions, checkNow, pollsIn} = await startManager();
+  await pollsIn(10);
   versions.name('model', 2, Date.now());
-  lookNow();
-  expect(await looksIn(0)).toBe(1);
-  expect(await looksIn(1_000)).toBe(10);
+  checkNow();
+  expect(await pollsIn(0)).toBe(1);
+  expect(await pollsIn(1_000)).toBe(10);
 });
--- a/test/fleet/engine_orders.test.ts
+++ b/test/fleet/engine_orders.test.ts
@@ -19,17 +19,17 @@
   return {model: 'model', version, digests};
 }
 
-/** An agent whose engine accepts an order without an answer, and later. */
+/** An agent whose engine accepts orders late and without an answer. */
 function startAgent() {
   let now = 0;
-  let lying: Buffer = Buffer.alloc(0);
+  let stagedBytes: Buffer = Buffer.alloc(0);
   const orders: number[] = [];
   const engine: EngineControl = {
     standing: () => Promise.reject(new Error('not asked here')),
-    staged: () => Promise.resolve(Ok(lying.length === 0 ? [] : [0])),
-    readStaged: () => Promise.resolve(Ok(lying)),
+    staged: () => Promise.resolve(Ok(stagedBytes.length === 0 ? [] : [0])),
+    readStaged: () => Promise.resolve(Ok(stagedBytes)),
     stage: (_model, _position, bytes) => {
-      lying = bytes;
+      stagedBytes = bytes;
       return Promise.resolve(Ok.EMPTY);
     },
     load: (_model, version) => {
@@ -44,8 +44,8 @@
   return {
     staged,
     orders,
-    given: createEngineOrders({engine, staged, swarm, clock, log}),
-    lying: () => lying.toString(),
+    sender: createEngineOrders({engine, staged, swarm, clock, log}),
+    stagedBytes: () => stagedBytes.toString(),
     pass: (time: number) => void (now += time),
     clock,
   };
@@ -62,10 +62,14 @@
   expect(stored.ok).toBe(true);
 }
 
-/** Lets the engine answer a question that is asked now. */
-function answerOnce({given, clock, pass}: ReturnType<typeof startAgent>): void {
+/** Records an answer of the engine to a request sent now. */
+function answerOnce({
+  sender,
+  clock,
+  pass,
+}: ReturnType<typeof startAgent>): void {
   pass(1);
-  given.recordAnswer(clock());
+  sender.recordAnswer(clock());
 }
 
 const fetched = (version: number) =>
@@ -76,42 +80,42 @@
     identified: {versionDigest: `version ${version}`},
   }) as unknown as FetchedVersion;
 
-test('an order without an answer finds its own version staged until the engine surely answers', async () => {
+test('the version of an unanswered order stays staged until the engine is known to answer', async () => {
   const agent = startAgent();
   await put(agent, 2);
-  const askedBefore = agent.clock();
-  await agent.given.orderLoad(fetched(2));
+  const requestedBefore = agent.clock();
+  await agent.sender.orderLoad(fetched(2));
   await put(agent, 3);
-  agent.given.recordAnswer(askedBefore);
-  expect(agent.lying()).toBe('version 2');
+  agent.sender.recordAnswer(requestedBefore);
+  expect(agent.stagedBytes()).toBe('version 2');
   answerOnce(agent);
   await put(agent, 3);
-  expect(agent.lying()).toBe('version 2');
+  expect(agent.stagedBytes()).toBe('version 2');
   answerOnce(agent);
   await agent.staged.withVerified(content(3), () => Promise.resolve());
-  expect(agent.lying()).toBe('version 3');
+  expect(agent.stagedBytes()).toBe('version 3');
 });
 
-test('an order without an answer is given again only once the engine surely answers', async () => {
+test('an unanswered order is repeated only once the engine is known to answer', async () => {
   const agent = startAgent();
   await put(agent, 2);
-  const askedBefore = agent.clock();
-  await agent.given.orderLoad(fetched(2));
+  const requestedBefore = agent.clock();
+  await agent.sender.orderLoad(fetched(2));
   agent.pass(300);
-  agent.given.recordAnswer(askedBefore);
+  agent.sender.recordAnswer(requestedBefore);
   answerOnce(agent);
-  await agent.given.orderLoad(fetched(2));
+  await agent.sender.orderLoad(fetched(2));
   expect(agent.orders).toEqual([2]);
   answerOnce(agent);
-  await agent.given.orderLoad(fetched(2));
+  await agent.sender.orderLoad(fetched(2));
   expect(agent.orders).toEqual([2, 2]);
 });
 
-test('an engine that has started anew is ordered at once', async () => {
+test('a restarted engine gets an order at once', async () => {
   const agent = startAgent();
   await put(agent, 2);
-  await agent.given.orderLoad(fetched(2));
-  agent.given.reset();
-  await agent.given.orderLoad(fetched(2));
+  await agent.sender.orderLoad(fetched(2));
+  agent.sender.reset();
+  await agent.sender.orderLoad(fetched(2));
   expect(agent.orders).toEqual([2, 2]);
 });
--- a/test/fleet/engine_reports.test.ts
+++ b/test/fleet/engine_reports.test.ts
@@ -25,7 +25,7 @@
 const closers: (() => void)[] = [];
 afterEach(() => closers.splice(0).forEach(close => close()));
 
-/** An agent's reports to one entry; time passes only as told. */
+/** An agent's reports to one entry, with a clock controlled by the test. */
 async function startReports() {
   let now = 10_000;
   let replies = 0;
@@ -75,7 +75,7 @@
     await eventually(() => reported > before);
   }
 
-  /** Lets the entry answer after so much time in which nothing is reported. */
+  /** Lets the entry answer after the given time without reports. */
   async function answerAfter(time: number): Promise<void> {
     now += time;
     const before = replies;
@@ -94,22 +94,22 @@
   };
 }
 
-// The one that gets all reports is killed. The other one takes its place, and must
-// know at once what engines run.
+// The receiver of all reports is killed. The other one takes its place, and
+// must know at once what engines run.
 test('the second receiver gets each report once the first is lost', async () => {
   let now = 10_000;
-  const heard = new Map<string, number[]>();
+  const received = new Map<string, number[]>();
   const servers = new Map<string, () => void>();
   const members = await Promise.all(
     ['a', 'b', 'c', 'd'].map(async instance => {
       const address = await freeAddress();
-      heard.set(instance, []);
+      received.set(instance, []);
       const server = await openPeerServer(address, {
         role: 'entry',
         handlers: {
           reportEngine: call => {
             call.on('data', ({running}) => {
-              heard.get(instance)!.push(running);
+              received.get(instance)!.push(running);
               call.write({namings: [], servicesDigest: 0});
             });
             call.on('error', () => undefined);
@@ -140,27 +140,27 @@
     reports.offer({...STATUS, running}, undefined);
   };
   offer(1);
-  await eventually(() => heard.get(second!)!.length === 1);
-  await eventually(() => heard.get(first!)!.length === 1);
+  await eventually(() => received.get(second!)!.length === 1);
+  await eventually(() => received.get(first!)!.length === 1);
   for (const running of [2, 3]) {
     offer(running);
-    await eventually(() => heard.get(first!)!.includes(running));
+    await eventually(() => received.get(first!)!.includes(running));
   }
-  expect(heard.get(second!)).toEqual([1]);
+  expect(received.get(second!)).toEqual([1]);
   servers.get(first!)!();
-  // Looks go on until the broken stream shows.
+  // Polls continue until the broken stream is detected.
   await eventually(() => {
     offer(4);
-    return heard.get(second!)!.includes(4);
+    return received.get(second!)!.includes(4);
   });
-  // A report that finds the one before still in the window is dropped.
+  // A report is dropped if the previous one is still in the window.
   await eventually(() => {
     offer(5);
-    return heard.get(second!)!.includes(5);
+    return received.get(second!)!.includes(5);
   });
 });
 
-test('a silent engine does not make its agent close what entries answer on', async () => {
+test('a silent engine does not make its agent close streams on which entries answer', async () => {
   const {calls, report, answerAfter, pass, offer, replies} =
     await startReports();
   await report();
@@ -174,7 +174,7 @@
   expect(calls).toHaveLength(1);
 });
 
-test('an entry that answers no report is given up after 2.2 seconds', async () => {
+test('the stream to an entry that answers no report is closed after 2.2 seconds', async () => {
   const {calls, report, pass, offer, silence} = await startReports();
   silence();
   await report();
--- a/test/fleet/failure_pause.test.ts
+++ b/test/fleet/failure_pause.test.ts
@@ -6,31 +6,32 @@
 
 const {signal} = new AbortController();
 
-/** Questions in so much time to a store that answers none of them. */
+/** Counts the requests within a time to a store that answers none of them. */
 async function requestsIn(time: number, spread: number): Promise<number> {
   const pause = createFailurePause(spread);
   const stopped = new AbortController();
-  let asked = 0;
-  const ask = async (): Promise<void> => {
+  let requests = 0;
+  const run = async (): Promise<void> => {
     while (!stopped.signal.aborted) {
-      asked += 1;
-      await pause.wait(asked, stopped.signal);
+      requests += 1;
+      await pause.wait(requests, stopped.signal);
     }
   };
-  void ask();
+  void run();
   await vi.advanceTimersByTimeAsync(time);
   stopped.abort();
-  return asked;
+  return requests;
 }
 
-// The store is away for 8 s. Each of 80 processes asked it 20 times for members,
-// and each of 43 entries as often for quarantined requests.
-test('a store that is away is asked for members five times in 8 s', async () => {
+// The store is unavailable for 8 s. With fixed pauses, each of 80 processes
+// requested members 20 times, and each of 43 entries quarantined requests as
+// often.
+test('an unavailable store is queried for members five times in 8 s', async () => {
   expect(await requestsIn(8_000, 0)).toBe(5);
   expect(await requestsIn(8_000, 0.99)).toBeLessThanOrEqual(6);
 });
 
-test('a pause ends once another question is answered, but for the first part', async () => {
+test('a pause ends once another request is answered, except for its first part', async () => {
   const pause = createFailurePause(0);
   let isOver = false;
   void pause.wait(6, signal).then(() => (isOver = true));
--- a/test/fleet/feed_loop.test.ts
+++ b/test/fleet/feed_loop.test.ts
@@ -6,10 +6,10 @@
 
 const log = {info: () => undefined, warn: () => undefined} as unknown as Log;
 
-/** Plays a loop in which the second question fails; returns what was asked. */
+/** Runs a loop in which the second request fails; returns the requests. */
 async function requestsAround(error: HostError): Promise<readonly unknown[]> {
   const stopped = new AbortController();
-  const asked: unknown[] = [];
+  const requests: unknown[] = [];
   const reading = (revision: number): StoreReading => ({
     revision,
     era: 0,
@@ -21,13 +21,13 @@
       name: 'table',
       log,
       readAll: async () => {
-        asked.push('whole');
-        if (asked.length > 2) stopped.abort();
+        requests.push('whole');
+        if (requests.length > 2) stopped.abort();
         return Ok(reading(4));
       },
       follow: async after => {
-        asked.push(after);
-        if (asked.length === 2) return Err(error);
+        requests.push(after);
+        if (requests.length === 2) return Err(error);
         stopped.abort();
         return Ok(reading(5));
       },
@@ -36,27 +36,27 @@
     },
     stopped.signal,
   );
-  return asked;
+  return requests;
 }
 
-// A table of 0.4 MB comes over a narrow link, and an answer is given up. Read
-// whole again each time, it filled the link for all who share it: three entries
-// had no configuration for eight seconds.
-test('a table is followed on from the last reading after a failure', async () => {
-  const asked = await requestsAround({
+// A table of 0.4 MB is read over a narrow link, and a request times out. When
+// the whole table was read again each time, the link was saturated for all who
+// share it, and three entries had no configuration for eight seconds.
+test('after a failure, changes are requested from the last reading on', async () => {
+  const requests = await requestsAround({
     kind: 'noAnswer',
     progress: 'underWay',
     detail: '',
   });
-  expect(asked).toEqual(['whole', 4, 4]);
+  expect(requests).toEqual(['whole', 4, 4]);
 });
 
 test('a table whose changes the store no longer knows is read whole', async () => {
-  const asked = await requestsAround({kind: 'historyLost', detail: ''});
-  expect(asked).toEqual(['whole', 4, 'whole']);
+  const requests = await requestsAround({kind: 'historyLost', detail: ''});
+  expect(requests).toEqual(['whole', 4, 'whole']);
 });
 
-test('a store that knows no changes is asked after pauses, but for the first loss', async () => {
+test('a store that knows no changes is queried after pauses, except after the first loss', async () => {
   const stopped = new AbortController();
   const pauses: number[] = [];
   let reads = 0;
@@ -67,8 +67,8 @@
       readAll: () => {
         reads += 1;
         if (reads === 5) stopped.abort();
-        const moment = {revision: 4, era: 0, storeTime: 0, unusable: []};
-        return Promise.resolve(Ok(moment));
+        const reading = {revision: 4, era: 0, storeTime: 0, unusable: []};
+        return Promise.resolve(Ok(reading));
       },
       follow: () => Promise.resolve(Err({kind: 'historyLost', detail: ''})),
       onReading: () => undefined,
--- a/test/fleet/fleet_process.test.ts
+++ b/test/fleet/fleet_process.test.ts
@@ -51,7 +51,7 @@
   });
 }
 
-test('the signal to read the settings again does not end a process that starts', async () => {
+test('the signal to reload settings does not end a process that is starting', async () => {
   const before = process.listenerCount('SIGHUP');
   expect(await listenersWhileStarting('SIGHUP')).toBe(before + 1);
 });
--- a/test/fleet/foreign_rows.test.ts
+++ b/test/fleet/foreign_rows.test.ts
@@ -42,8 +42,8 @@
   ).length;
 }
 
-// Another program writes into the tables that we read: bytes, rows without
-// fields, states nobody knows. Callers see nothing of it, and operators see one
+// Another program writes to the tables that we read: bytes, rows without
+// fields, unknown states. Callers must not notice, and operators get one log
 // line for each row and each change of it.
 test('serves beside rows of another writer, and says so once a change', async () => {
   site.store.writeBytes('servers', 'bytes', Buffer.from([0xff, 0x00, 0x7b]));
@@ -55,9 +55,9 @@
   site.configure();
   const {settings} = await site.startEntry();
   await eventually(async () => (await send(settings.callerAddress)) === 200);
-  const isSaid = (key: string) => () => linesOn(key) === 1;
+  const isLogged = (key: string) => () => linesOn(key) === 1;
   for (const key of ['bytes', 'torn', 'odd', 'version/model', 'stray']) {
-    await eventually(isSaid(key));
+    await eventually(isLogged(key));
   }
   site.store.write('servers', 'odd', {Service: 'plain'});
   await eventually(() => linesOn('odd') === 2);
@@ -65,8 +65,8 @@
   expect(await send(settings.callerAddress)).toBe(200);
 });
 
-// The newest configuration can't be read; it may take a key away. The one before
-// it is served only until it would have to be confirmed again.
+// The newest configuration can't be read, and may revoke a key. The previous
+// one is served only until it would have to be confirmed again.
 test('an unreadable configuration confirms nothing', async () => {
   site.register(engine);
   site.configure();
--- a/test/fleet/load_orders.test.ts
+++ b/test/fleet/load_orders.test.ts
@@ -22,7 +22,7 @@
   for (const close of closers.splice(0).reverse()) await close();
 });
 
-/** An entry of the site that only notes what engines report. */
+/** Starts an entry that only records what engines report. */
 async function startListener(
   site: HostSite,
   onReport: (report: EngineReport) => void,
@@ -58,35 +58,36 @@
   return site;
 }
 
-// An engine is told to load version 2. A request reaches it right after that,
+// A request that reaches an engine right after the order to load version 2
 // waits there for all that runs and for the load, and begins on version 2 after
-// the bound of version 3. So the entries hear first that it takes nothing more.
+// the bound of version 3. So the entries must be informed first that the engine
+// accepts nothing more.
 test('entries hear of a load before the engine is told to load', async () => {
   let newest = 1;
   const origin = await startHostOrigin(6, () => newest);
   closers.push(origin.close);
   const site = await startSite(origin);
-  const heard: string[] = [];
+  const events: string[] = [];
   const engine = await startHostEngine({
     instance: 'one',
     version: 1,
-    onOrder: () => void heard.push('order'),
+    onOrder: () => void events.push('order'),
   });
   closers.push(engine.close);
   let reports = 0;
   await startListener(site, ({ordering}) => {
     reports += 1;
-    if (ordering && !heard.includes('closed')) heard.push('closed');
+    if (ordering && !events.includes('closed')) events.push('closed');
   });
   await site.startAgent(engine);
   await eventually(() => reports > 0);
   newest = 2;
   site.store.write('op', 'version/model', {Model: 'model', Version: 2});
   await eventually(() => engine.held() === 2);
-  expect(heard).toEqual(['closed', 'order']);
+  expect(events).toEqual(['closed', 'order']);
 });
 
-test('an engine that is silent when it is ordered to load is ordered once', async () => {
+test('an engine that is silent when it gets a load order gets the order only once', async () => {
   let newest = 1;
   const origin = await startHostOrigin(6, () => newest);
   closers.push(origin.close);
--- a/test/fleet/member_follower.test.ts
+++ b/test/fleet/member_follower.test.ts
@@ -12,7 +12,7 @@
 
 const log = {info: () => undefined, warn: () => undefined} as unknown as Log;
 
-/** Longer than members have to write their lines again. */
+/** Longer than the time in which members have to write their rows again. */
 const LONG_WAIT = 60_000;
 
 const LOST: HostError = {kind: 'historyLost', detail: ''};
@@ -39,11 +39,11 @@
   };
 }
 
-/** A follower of a table that the test restores without some lines. */
+/** A follower of a table that the test restores without some rows. */
 function startFollower(instances: readonly string[]) {
   let rows = new Map(instances.map(name => [name, member(name)]));
   let era = 1;
-  let told = era;
+  let reportedEra = era;
   let puts = 0;
   let refusals = 0;
   const reading = (changes: MemberReading['changes']): MemberReading => ({
@@ -65,14 +65,14 @@
     },
     remove: () => Promise.resolve(Ok.EMPTY),
     readAll: () => {
-      told = era;
+      reportedEra = era;
       const all = [...rows.values()];
       const changes = all.map(row => ({instance: row.instance, member: row}));
       return Promise.resolve(Ok(reading(changes)));
     },
     follow: async () => {
       await new Promise(resolve => setTimeout(resolve, 1_000));
-      return told === era ? Ok(reading([])) : Err(LOST);
+      return reportedEra === era ? Ok(reading([])) : Err(LOST);
     },
   };
   const follower = createMemberFollower({
@@ -96,7 +96,7 @@
   };
 }
 
-test('members whose lines a restored store has lost count until they are back', async () => {
+test('members whose rows a restored store has lost are kept until they write them again', async () => {
   const {others, restore} = startFollower(['one', 'two']);
   await vi.advanceTimersByTimeAsync(3_000);
   restore(['one']);
--- a/test/fleet/operator_monitor.test.ts
+++ b/test/fleet/operator_monitor.test.ts
@@ -28,9 +28,9 @@
   vi.useRealTimers();
 });
 
-/** A watch whose store has `later` at each question after the first. */
+/** A monitor whose store returns `later` to each request after the first. */
 function startMonitor(later?: OperatorReading['configuration']) {
-  let questions = 0;
+  let requests = 0;
   const reading = {
     revision: 1,
     storeTime: 0,
@@ -44,50 +44,51 @@
     readAll: () => Promise.resolve(Ok(reading)),
     recordNaming: () => Promise.resolve(Ok(true)),
     follow: async (_after, wait) => {
-      questions += 1;
+      requests += 1;
       await new Promise(resolve => setTimeout(resolve, wait));
       return Ok({...reading, configuration: later});
     },
     decode: () => Err('not asked'),
   };
   const versions = createNamedVersions(8_000);
-  const watch = createOperatorMonitor(feed, versions, () => Date.now(), log);
-  watch.start(stopped.signal);
-  return {watch, questions: () => questions};
+  const monitor = createOperatorMonitor(feed, versions, () => Date.now(), log);
+  monitor.start(stopped.signal);
+  return {monitor, requests: () => requests};
 }
 
-// Each change of a large configuration goes to each agent, chokes the links
-// between regions, and requests reach their targets seconds late.
-test('asks the store for nothing while entries speak', async () => {
-  const {watch, questions} = startMonitor();
+// If each change of a large configuration went to each agent, it would saturate
+// the links between regions, and requests would reach their targets seconds
+// late.
+test('does not query the store while entries send messages', async () => {
+  const {monitor, requests} = startMonitor();
   const digest = servicesDigest(SERVICES);
   for (let second = 0; second < 10; second += 1) {
-    watch.recordEntryDigest(digest);
+    monitor.recordEntryDigest(digest);
     await vi.advanceTimersByTimeAsync(1_000);
   }
-  expect(questions()).toBe(0);
-  expect(watch.services()).toEqual(SERVICES);
+  expect(requests()).toBe(0);
+  expect(monitor.services()).toEqual(SERVICES);
 });
 
-test('asks once all entries have fallen silent', async () => {
-  const {watch, questions} = startMonitor();
-  watch.recordEntryDigest(servicesDigest(SERVICES));
+test('queries the store once all entries have fallen silent', async () => {
+  const {monitor, requests} = startMonitor();
+  monitor.recordEntryDigest(servicesDigest(SERVICES));
   await vi.advanceTimersByTimeAsync(3_000);
-  expect(questions()).toBe(1);
+  expect(requests()).toBe(1);
 });
 
-test('asks at once if an entry knows other services', async () => {
-  const {watch, questions} = startMonitor();
+test('queries the store at once if an entry knows other services', async () => {
+  const {monitor, requests} = startMonitor();
   await vi.advanceTimersByTimeAsync(10);
-  watch.recordEntryDigest(servicesDigest([]));
+  monitor.recordEntryDigest(servicesDigest([]));
   await vi.advanceTimersByTimeAsync(300);
-  expect(questions()).toBe(1);
+  expect(requests()).toBe(1);
 });
 
 test('keeps its services when a restored store has an older configuration', async () => {
   const older = {version: 1, services: []} as unknown as RoutingConfiguration;
-  const {watch, questions} = startMonitor(older);
+  const {monitor, requests} = startMonitor(older);
   await vi.advanceTimersByTimeAsync(20_000);
-  expect(questions()).toBeGreaterThan(0);
-  expect(watch.services()).toEqual(SERVICES);
+  expect(requests()).toBeGreaterThan(0);
+  expect(monitor.services()).toEqual(SERVICES);
 });
--- a/test/fleet/origin_reader.test.ts
+++ b/test/fleet/origin_reader.test.ts
@@ -41,9 +41,9 @@
   return true;
 }
 
-// The origin is away for six seconds while a version is moved. All agents stand
-// still, and the log must say on whom they wait.
-test('says once that the origin is lost, and once that it is back', async () => {
+// The origin is unavailable for six seconds while a version is moved. All
+// agents wait, and the log must show what they wait for.
+test('logs once that the origin is lost, and once that it is back', async () => {
   let away = true;
   const started = startReader(() => away);
   expect(await readOnce(started, 'sha256:0')).toBe(false);
@@ -57,13 +57,13 @@
   ]);
 });
 
-test('a read that was given up says nothing of the origin', async () => {
+test('an aborted read is not logged as a loss of the origin', async () => {
   const started = startReader(() => true);
   expect(await readOnce(started, 'sha256:0', AbortSignal.abort())).toBe(false);
   expect(started.lines).toEqual([]);
 });
 
-test('asks for no chunk of a version that nobody wants', async () => {
+test('does not request chunks of an unwanted version', async () => {
   const started = startReader(() => false);
   expect(await readOnce(started, 'sha256:1')).toBe(false);
 });
--- a/test/fleet/peer_agents.test.ts
+++ b/test/fleet/peer_agents.test.ts
@@ -9,27 +9,30 @@
 const closers: (() => void)[] = [];
 afterEach(() => closers.splice(0).forEach(close => close()));
 
-/** One side of a link between agents, with what its swarm is told. */
+/**
+ * Starts one side of a connection between agents, and records the calls of its
+ * swarm.
+ */
 async function startSide(
   instance: string,
   held: readonly number[],
   isHaveKnown = false,
   isFrozen = false,
 ) {
-  const told: unknown[] = [];
+  const deltas: unknown[] = [];
   const gone: string[] = [];
-  const asked: boolean[] = [];
+  const requested: boolean[] = [];
   const swarm = {
     setPeers: () => undefined,
     neighbours: () => [],
     onPeerConnected: () => undefined,
     onPeerGone: (peer: string) => void gone.push(peer),
     onHaveDelta: (peer: string, delta: object) =>
-      void told.push({peer, ...delta}),
+      void deltas.push({peer, ...delta}),
     heldPositions: (digest: string) => (digest === DIGEST ? held : []),
     isHaveKnown: () => isHaveKnown,
   } as Partial<SwarmDriver> as SwarmDriver;
-  const note = (): void => undefined;
+  const ignore = (): void => undefined;
   const self = {
     instance,
     role: 'agent' as const,
@@ -41,14 +44,14 @@
     self,
     swarm: () => swarm,
     clock: () => performance.now(),
-    log: {debug: note, info: note, warn: note, error: note},
+    log: {debug: ignore, info: ignore, warn: ignore, error: ignore},
   });
   const server = await openPeerServer(self.address, {
     role: 'agent',
     handlers: {
       announce: call => {
         call.on('data', ({versionDigest, asksHeld}) => {
-          if (versionDigest !== '') asked.push(asksHeld);
+          if (versionDigest !== '') requested.push(asksHeld);
         });
         if (!isFrozen) agents.answer(call);
       },
@@ -64,39 +67,39 @@
     asksHeld: false,
     wantsAnswer: true,
   });
-  return {self, agents, told, gone, asked, announcement};
+  return {self, agents, deltas, gone, requested, announcement};
 }
 
-// An engine joins while its neighbour has not read the members anew. The
-// neighbour knows no address to announce its chunks to, and the one that joins
-// asked the origin for a part of what the neighbour holds.
-test('an agent that is not known yet hears what its neighbour holds', async () => {
+// An engine joins before its neighbour has read the new row. The neighbour has
+// no address to announce its chunks to, and the joining agent would request
+// chunks from the origin that the neighbour holds.
+test('an agent that is not known yet receives the positions its neighbour holds', async () => {
   const holder = await startSide('holder', [0, 2]);
   const joining = await startSide('joining', []);
   joining.agents.setMembers([holder.self]);
   joining.agents.announce('holder', DIGEST, []);
-  await eventually(() => joining.told.length > 0);
-  expect(joining.told).toEqual([
+  await eventually(() => joining.deltas.length > 0);
+  expect(joining.deltas).toEqual([
     {peer: 'holder', versionDigest: DIGEST, gained: [0, 2]},
   ]);
 });
 
-test('an agent that knows what its neighbour holds does not ask', async () => {
+test('an agent that knows what its neighbour holds does not request it', async () => {
   const holder = await startSide('holder', [0, 2]);
   const knowing = await startSide('knowing', [], true);
   knowing.agents.setMembers([holder.self]);
   knowing.agents.announce('holder', DIGEST, [1]);
-  await eventually(() => holder.told.length > 0);
-  expect(holder.asked).toEqual([false]);
+  await eventually(() => holder.deltas.length > 0);
+  expect(holder.requested).toEqual([false]);
   expect(holder.agents.handleAnnouncement(knowing.announcement()).held).toEqual(
     [],
   );
 });
 
-// All machines lose power and start again. The agents meet by lines that tell of
-// their former lives; when the lines changed, each forgot what the others had
-// told it since, and engines waited a second for the last of their chunks.
-test('a line that tells late of a life that has spoken changes nothing', async () => {
+// All machines lose power and restart. The agents first read rows of previous
+// incarnations. When the rows changed, each forgot what the others had
+// announced since, and engines waited a second for the last of their chunks.
+test('a late row of an incarnation that has already reported changes nothing', async () => {
   const side = await startSide('side', []);
   const other = await startSide('other', []);
   side.agents.setMembers([{...other.self, life: 'life before'}]);
@@ -105,7 +108,7 @@
   expect(side.gone).toEqual([]);
 });
 
-test('what a former life has told is forgotten once the new one speaks', async () => {
+test('announcements of a previous incarnation are dropped at the first message of the new one', async () => {
   const side = await startSide('side', []);
   const other = await startSide('other', []);
   side.agents.setMembers([other.self]);
@@ -114,7 +117,7 @@
   expect(side.gone).toEqual(['other']);
 });
 
-test('what a former life has told is forgotten once a line tells of the next', async () => {
+test('announcements of a previous incarnation are dropped when the row of the new one is read', async () => {
   const side = await startSide('side', []);
   const other = await startSide('other', []);
   side.agents.setMembers([other.self]);
@@ -123,8 +126,9 @@
   expect(side.gone).toEqual(['other']);
 });
 
-// A neighbour's machine freezes while chunks are announced to it. It was to fetch
-// a part of the version, and the others must know soon that it will not.
+// A neighbour's machine freezes while chunks are announced to it. It was to
+// fetch a part of the version, and the others must detect soon that it will
+// not.
 test('a neighbour that answers nothing counts as lost', async () => {
   const frozen = await startSide('frozen', [], true, true);
   const side = await startSide('side', [], true);
@@ -138,12 +142,12 @@
 
 test('announcements that come together are answered once', async () => {
   const holder = await startSide('holder', [], true);
-  const telling = await startSide('telling', [], true);
-  telling.agents.setMembers([holder.self]);
+  const announcing = await startSide('telling', [], true);
+  announcing.agents.setMembers([holder.self]);
   for (let chunk = 0; chunk < 20; chunk += 1) {
-    telling.agents.announce('holder', DIGEST, [chunk]);
+    announcing.agents.announce('holder', DIGEST, [chunk]);
   }
-  await eventually(() => holder.told.length === 20);
+  await eventually(() => holder.deltas.length === 20);
   await new Promise(resolve => setTimeout(resolve, 700));
-  expect(telling.gone).toEqual([]);
+  expect(announcing.gone).toEqual([]);
 });
--- a/test/fleet/relayed_rows.test.ts
+++ b/test/fleet/relayed_rows.test.ts
@@ -45,10 +45,10 @@
   ...changes,
 });
 
-/** What a node may spend on control in a second. */
+/** Bytes per second that a node may spend on control messages. */
 const CONTROL_BYTES_A_SECOND = 26_000;
 
-/** What the wire carries of news, in bytes. */
+/** Size of an encoded message, in bytes. */
 function bytesOf(news: Partial<RelayNews>): number {
   const whole: RelayNews = {
     entries: undefined,
@@ -73,15 +73,15 @@
   pace: fc.constantFrom(1, 1.04, 2),
   loadsIn: fc.constantFrom(undefined, 0, 900),
   version: fc.integer({min: 1, max: 2}),
-  /** Whether the receiver's window is full, so that it is told nothing. */
+  /** Whether the receiver's window is full, so that nothing is sent. */
   isHeldUp: fc.boolean(),
 });
 
-test('reports that are passed on arrive as agents sent them', () => {
+test('relayed reports equal those sent by agents', () => {
   fc.assert(
     fc.property(fc.array(changesOfReport, {maxLength: 40}), beats => {
-      const note = createReportNumbers();
-      const told = createSentRows();
+      const numberReport = createReportNumbers();
+      const sentRows = createSentRows();
       const read = createReportReader();
       beats.forEach((beat, index) => {
         const now = index * 100;
@@ -95,9 +95,9 @@
           loaded: [{model: 'model', version: beat.version}],
           loadsInMilliseconds: loadsIn,
         });
-        const passed = note(sent, now);
+        const relayed = numberReport(sent, now);
         if (beat.isHeldUp) return;
-        const [got] = read(writeReports([passed], told, now), now);
+        const [got] = read(writeReports([relayed], sentRows, now), now);
         expect(Math.abs((got?.pace ?? 0) - pace)).toBeLessThan(0.06);
         const {loadsInMilliseconds: gotLoad} = got ?? {};
         expect(gotLoad === undefined).toBe(loadsIn === undefined);
@@ -119,7 +119,7 @@
     held: leaving ? undefined : [{model: 'model', version: 1}],
   });
 
-test('a list that is passed on by its changes is the list', () => {
+test('a list relayed as changes equals the original', () => {
   const list = fc.uniqueArray(
     fc.record({instance: fc.nat({max: 5}), leaving: fc.boolean()}),
     {selector: ({instance}) => instance},
@@ -127,13 +127,13 @@
   fc.assert(
     fc.property(fc.array(list, {maxLength: 20}), lists => {
       const number = createTargetNumbers();
-      const told = createSentRows();
+      const sentRows = createSentRows();
       const read = createTargetReader();
       for (const lines of lists) {
         const targets = lines.map(({instance, leaving}) =>
           targetOf(instance, leaving),
         );
-        const got = read(writeTargetChanges(number(targets), told));
+        const got = read(writeTargetChanges(number(targets), sentRows));
         expect(new Set(got)).toEqual(new Set(targets));
       }
     }),
@@ -141,41 +141,42 @@
   );
 });
 
-test('states that are passed on are those of the entries', () => {
+test('relayed states equal those of the entries', () => {
   const states = fc.array(
     fc.record({entry: fc.nat({max: 3}), ready: fc.boolean(), age: fc.nat()}),
   );
   fc.assert(
-    fc.property(states, words => {
+    fc.property(states, items => {
       const number = createStateNumbers();
-      const told = createSentRows();
+      const sentRows = createSentRows();
       const read = createStateReader();
-      for (const {entry, ready, age} of words) {
+      for (const {entry, ready, age} of items) {
         const state = {instance: `entry-${entry}`, ready, ageMilliseconds: age};
-        expect(read(writeStates([number(state)], told))).toEqual([state]);
+        expect(read(writeStates([number(state)], sentRows))).toEqual([state]);
       }
     }),
     propertySettings(100),
   );
 });
 
-// 300 machines in three zones: each relay told 54 followers of 45 engines ten
-// times a second, and of 90 others three times. 1.8 MB a second filled its link, and a
-// configuration was in force 9 s after its writing.
-test('what a relay of 300 machines passes on fits into its link', () => {
-  const note = createReportNumbers();
-  const told = createSentRows();
+// With 300 machines in three zones, each relay sent to 54 followers the reports
+// of 45 engines ten times a second, and those of 90 others three times a
+// second. These 1.8 MB a second saturated its link, and a configuration was in
+// force 9 s after it was written.
+test('the messages of a relay of 300 machines fit into its link', () => {
+  const numberReport = createReportNumbers();
+  const sentRows = createSentRows();
   const numberState = createStateNumbers();
-  const toldStates = createSentRows();
+  const sentStates = createSentRows();
   let bytes = 0;
   for (let beat = 0; beat < 20; beat += 1) {
     const engines = beat % 3 === 0 ? 135 : 45;
     const reports = Array.from({length: engines}, (_, engine) =>
-      note(
+      numberReport(
         reportOf(engine, {
           running: (engine + beat) % 12,
           sequence: 1_000 + beat,
-          // Half of them are to load soon.
+          // Half of them are about to load.
           loadsInMilliseconds: engine % 2 ? 9_000 - beat * 100 : undefined,
         }),
         beat * 100,
@@ -189,17 +190,17 @@
       }),
     );
     const size = bytesOf({
-      reports: writeReports(reports, told, beat * 100),
-      entries: beat % 10 === 0 ? writeStates(states, toldStates) : undefined,
+      reports: writeReports(reports, sentRows, beat * 100),
+      entries: beat % 10 === 0 ? writeStates(states, sentStates) : undefined,
     });
-    // The first second tells each row whole, once.
+    // In the first second, each row is sent whole once.
     if (beat >= 10) bytes += size;
   }
-  // Of 28 Mbit/s of the narrowest link, a tenth for 54 followers.
+  // A tenth of the narrowest link's 28 Mbit/s, for 54 followers.
   expect(bytes).toBeLessThan((28_000_000 / 8 / 54) * 0.1);
 });
 
-test('what one message says of lost requests and limits fits into a second of control', () => {
+test('crash records and limits of one message fit into a second of control traffic', () => {
   const quarantine = createQuarantine();
   const limits = createRateLimits(() => 0);
   for (let index = 0; index < 1_000; index += 1) {
--- a/test/fleet/staged_chunks.test.ts
+++ b/test/fleet/staged_chunks.test.ts
@@ -27,9 +27,9 @@
 }
 
 function startStaging() {
-  const lying = new Map<number, Buffer>();
+  const stagedBytes = new Map<number, Buffer>();
   let isUp = true;
-  /** Calls that are answered before the engine falls silent. */
+  /** Number of calls that are answered before the engine falls silent. */
   let answersLeft = Infinity;
   const silence = Err({kind: 'unreachable', detail: 'no answer'} as const);
   const refused = new Set<number>();
@@ -43,17 +43,17 @@
     staged: () =>
       Promise.resolve(
         isUp
-          ? Ok([...lying.keys()])
+          ? Ok([...stagedBytes.keys()])
           : Err({kind: 'unreachable', detail: 'not up'} as const),
       ),
     readStaged: (_model, position) => {
       if (!answers()) return Promise.resolve(silence);
-      const bytes = lying.get(position)!;
+      const bytes = stagedBytes.get(position)!;
       return Promise.resolve(refused.has(position) ? refusal : Ok(bytes));
     },
     stage: (_model, position, bytes) => {
       if (!answers()) return Promise.resolve(silence);
-      lying.set(position, bytes);
+      stagedBytes.set(position, bytes);
       return Promise.resolve(Ok.EMPTY);
     },
     load: () => Promise.reject(new Error('not asked here')),
@@ -64,9 +64,9 @@
     staged.setReachable(isUp);
   };
   const silenceAfter = (calls: number): void => void (answersLeft = calls);
-  /** Another agent's staging area at the same engine, after a start. */
-  const startAnew = () => createStagedChunks(engine, log);
-  return {lying, refused, staged, setUp, silenceAfter, startAnew};
+  /** Staging area of a restarted agent at the same engine. */
+  const restart = () => createStagedChunks(engine, log);
+  return {stagedBytes, refused, staged, setUp, silenceAfter, restart};
 }
 
 type Staged = ReturnType<typeof startStaging>['staged'];
@@ -84,43 +84,45 @@
   return ran === 'ran';
 }
 
-// Version 2 lies staged and waits for its load when version 3 is named. Its
-// chunks must not overwrite those of version 2, or the engine would load a mix
-// of both; nor may they wait, or version 3 comes after its bound.
+// Version 2 is staged and waits for its load when version 3 is named. The
+// chunks of version 3 must not overwrite those of version 2, or the engine
+// would load a mix of both. They must not wait either, or version 3 would come
+// after its bound.
 test('keeps the chunks of the next version until the one before is loaded', async () => {
-  const {lying, staged} = startStaging();
+  const {stagedBytes, staged} = startStaging();
   staged.setStagedVersion(content(2));
   await putAll(staged, 2);
   staged.prepare(content(3));
   await putAll(staged, 3);
-  expect(lying.get(1)).toEqual(chunk(2, 1));
+  expect(stagedBytes.get(1)).toEqual(chunk(2, 1));
   expect(await isWhole(staged, 2)).toBe(true);
   staged.setStagedVersion(content(3));
   expect(await isWhole(staged, 3)).toBe(true);
-  expect(lying.get(1)).toEqual(chunk(3, 1));
+  expect(stagedBytes.get(1)).toEqual(chunk(3, 1));
 });
 
-// A staged chunk turns bad on the last engine that holds it. Fetched from the
-// origin once more, it comes after seconds in which others wait for it too.
-test('mends staged chunks that have turned bad', async () => {
-  const {lying, staged} = startStaging();
+// A staged chunk becomes corrupted on the last engine that holds it. Fetched
+// from the origin again, it would arrive seconds later, while others wait for
+// it too.
+test('repairs corrupted staged chunks', async () => {
+  const {stagedBytes, staged} = startStaging();
   staged.setStagedVersion(content(2));
   await putAll(staged, 2);
-  lying.set(1, Buffer.from('bad'));
+  stagedBytes.set(1, Buffer.from('bad'));
   expect(await isWhole(staged, 2)).toBe(true);
-  expect(lying.get(1)).toEqual(chunk(2, 1));
+  expect(stagedBytes.get(1)).toEqual(chunk(2, 1));
 });
 
-test('keeps nothing in memory once the engine has taken a version', async () => {
-  const {lying, staged} = startStaging();
+test('keeps nothing in memory once the engine has loaded a version', async () => {
+  const {stagedBytes, staged} = startStaging();
   staged.setStagedVersion(content(2));
   await putAll(staged, 2);
   staged.forget(content(2));
-  lying.set(1, Buffer.from('bad'));
+  stagedBytes.set(1, Buffer.from('bad'));
   expect(await isWhole(staged, 2)).toBe(false);
 });
 
-test('passes on chunks that wait in memory', async () => {
+test('serves chunks that are kept in memory', async () => {
   const {staged} = startStaging();
   staged.setStagedVersion(content(2));
   staged.prepare(content(3));
@@ -147,7 +149,7 @@
   expect(await isWhole(staged, 4)).toBe(false);
 });
 
-test('refuses chunks of versions that nobody asked for', async () => {
+test('refuses chunks of unwanted versions', async () => {
   const {staged} = startStaging();
   staged.setStagedVersion(content(2));
   const bytes = chunk(9, 0);
@@ -155,27 +157,28 @@
   expect(stored).toMatchObject({err: true, val: {kind: 'refused'}});
 });
 
-// An engine comes up after its agent has fetched its weights. Without a place to
-// stage them at, they are kept, and lie staged once the engine is up.
+// An engine starts after its agent has fetched its weights. The chunks can't be
+// staged yet, so they are kept in memory, and must be staged once the engine is
+// up.
 test('keeps the chunks of an engine that is not up yet', async () => {
-  const {lying, staged, setUp} = startStaging();
+  const {stagedBytes, staged, setUp} = startStaging();
   setUp(false);
   staged.setStagedVersion(content(1));
   await putAll(staged, 1);
-  expect(lying.size).toBe(0);
+  expect(stagedBytes.size).toBe(0);
   const held = (await staged.store.list()).unwrap();
   expect(held.digests).toHaveLength(CHUNKS);
   setUp(true);
   expect(await isWhole(staged, 1)).toBe(true);
-  expect(lying.size).toBe(CHUNKS);
+  expect(stagedBytes.size).toBe(CHUNKS);
 });
 
-test('an engine that falls silent while it is read has lost nothing', async () => {
-  const {lying, startAnew, silenceAfter} = startStaging();
+test('a silent engine during a read does not lose staged chunks', async () => {
+  const {stagedBytes, restart, silenceAfter} = startStaging();
   for (let position = 0; position < CHUNKS; position += 1) {
-    lying.set(position, chunk(2, position));
+    stagedBytes.set(position, chunk(2, position));
   }
-  const staged = startAnew();
+  const staged = restart();
   staged.setStagedVersion(content(2));
   silenceAfter(2);
   expect((await staged.store.list()).err).toBe(true);
@@ -184,13 +187,13 @@
   expect([...listed.digests].sort()).toEqual([...content(2).digests].sort());
 });
 
-test('a staged chunk that an engine refuses to give is fetched anew', async () => {
-  const {lying, refused, startAnew} = startStaging();
+test('a staged chunk that an engine refuses to return is fetched again', async () => {
+  const {stagedBytes, refused, restart} = startStaging();
   for (let position = 0; position < CHUNKS; position += 1) {
-    lying.set(position, chunk(2, position));
+    stagedBytes.set(position, chunk(2, position));
   }
   refused.add(1);
-  const staged = startAnew();
+  const staged = restart();
   staged.setStagedVersion(content(2));
   const listed = (await staged.store.list()).unwrap();
   const {digests} = content(2);
@@ -198,12 +201,12 @@
   expect([...listed.digests].sort()).toEqual(others.sort());
 });
 
-test('an engine that falls silent before an order has lost nothing', async () => {
-  const {lying, startAnew, silenceAfter} = startStaging();
+test('a silent engine before an order does not lose staged chunks', async () => {
+  const {stagedBytes, restart, silenceAfter} = startStaging();
   for (let position = 0; position < CHUNKS; position += 1) {
-    lying.set(position, chunk(2, position));
+    stagedBytes.set(position, chunk(2, position));
   }
-  const staged = startAnew();
+  const staged = restart();
   staged.setStagedVersion(content(2));
   (await staged.store.list()).unwrap();
   silenceAfter(2);
@@ -212,30 +215,30 @@
   expect([...listed.digests].sort()).toEqual([...content(2).digests].sort());
 });
 
-test('an engine that falls silent while it is staged to needs no chunk again', async () => {
-  const {lying, staged, silenceAfter} = startStaging();
+test('chunks are not fetched again if the engine falls silent during staging', async () => {
+  const {stagedBytes, staged, silenceAfter} = startStaging();
   staged.setStagedVersion(content(2));
   (await staged.store.list()).unwrap();
   silenceAfter(1);
   await putAll(staged, 2);
-  expect(lying.size).toBe(1);
+  expect(stagedBytes.size).toBe(1);
   const held = (await staged.store.list()).unwrap();
   expect(new Set(held.digests).size).toBe(CHUNKS);
   silenceAfter(Infinity);
   expect(await isWhole(staged, 2)).toBe(true);
-  expect(lying.size).toBe(CHUNKS);
+  expect(stagedBytes.size).toBe(CHUNKS);
 });
 
-test('nothing of the next version is staged while an order has no answer', async () => {
-  const {lying, staged} = startStaging();
+test('nothing of the next version is staged while an order is unanswered', async () => {
+  const {stagedBytes, staged} = startStaging();
   staged.setStagedVersion(content(2));
   await putAll(staged, 2);
   staged.hold(content(2));
   staged.setStagedVersion(content(3));
   await putAll(staged, 3);
   expect(await isWhole(staged, 3)).toBe(false);
-  expect(lying.get(1)).toEqual(chunk(2, 1));
+  expect(stagedBytes.get(1)).toEqual(chunk(2, 1));
   staged.release();
   expect(await isWhole(staged, 3)).toBe(true);
-  expect(lying.get(1)).toEqual(chunk(3, 1));
+  expect(stagedBytes.get(1)).toEqual(chunk(3, 1));
 });
--- a/test/fleet/version_namings.test.ts
+++ b/test/fleet/version_namings.test.ts
@@ -7,7 +7,7 @@
 import {startHostEngine} from './fixtures/host_engine';
 import {eventually, startHostSite, type HostSite} from './fixtures/host_site';
 
-/** How much later than the first entry the second one starts. */
+/** How much later the second entry starts than the first. */
 const LATER = 1_500;
 
 const VERSION_BOUND = 8_000;
@@ -20,7 +20,7 @@
   await site.close();
 });
 
-/** Age of the name of version 2, as an entry tells it to others. */
+/** Age of the name of version 2, as sent by an entry to others. */
 async function ageAt(peerAddress: string): Promise<number | undefined> {
   const call = channels.at(peerAddress).follow();
   call.on('error', () => undefined);
@@ -43,8 +43,8 @@
   return news?.namings[0]?.ageMilliseconds;
 }
 
-// A version is named, and an entry starts anew before its bound. Counted from
-// its own first look, it would go on to send requests to engines with the
+// A version is named, and an entry restarts before its bound. If it counted the
+// bound from its own first read, it would send requests to engines with the
 // older version for seconds after the bound.
 test('an entry learns from the others since when a version is named', async () => {
   site = await startHostSite();
@@ -64,9 +64,9 @@
   expect(await ageAt(second.settings.peerAddress)).toBeGreaterThan(LATER);
 });
 
-// All entries start anew at the same time, two seconds after a version was
-// named. None of them can tell another since when it is; the agents can.
-test('agents tell entries that all start anew since when a version is named', async () => {
+// All entries restart at the same time, two seconds after a version was named.
+// None of them can inform another since when it is named; the agents can.
+test('agents inform entries that all restart since when a version is named', async () => {
   site = await startHostSite();
   site.configure();
   site.store.write('op', 'version/model', {Model: 'model', Version: 2});
@@ -78,7 +78,7 @@
   const knownAt = performance.now();
   await new Promise(resolve => setTimeout(resolve, LATER));
   const {settings} = await site.startEntry();
-  // The agent knew of it before `knownAt`; the entry started long after.
+  // The agent knew the name before `knownAt`; the entry started long after.
   await eventually(async () => {
     const least = performance.now() - knownAt;
     return ((await ageAt(settings.peerAddress)) ?? 0) >= least;
@@ -86,26 +86,28 @@
   await engine.close();
 });
 
-// Agents leave the store alone while entries speak. A version must reach them
-// at once all the same: each second is an eighth of its bound.
-test('entries tell agents of a new version at once', async () => {
+// Agents do not query the store while entries send messages. A version must
+// reach them at once all the same: each second is an eighth of its bound.
+test('entries inform agents of a new version at once', async () => {
   site = await startHostSite();
   site.configure();
   await site.startEntry();
   const engine = await startHostEngine({instance: 'one', version: 1});
   await site.startAgent(engine);
-  const heard = () =>
+  const namedCount = () =>
     site.lines.filter(({message: sentence}) => sentence === 'version named')
       .length;
   await eventually(() =>
     site.lines.some(({message: sentence}) => sentence === 'members'),
   );
   await new Promise(resolve => setTimeout(resolve, LATER));
-  const asked = site.store.calls.get('/rows-feed');
+  const callsBefore = site.store.calls.get('/rows-feed');
   site.store.write('op', 'version/model', {Model: 'model', Version: 2});
-  await eventually(() => heard() === 2);
-  // The entry's question was answered and asked again; the agent asked none.
-  expect(site.store.calls.get('/rows-feed')! - asked!).toBeLessThanOrEqual(1);
+  await eventually(() => namedCount() === 2);
+  // The entry's request was answered and sent again; the agent sent none.
+  expect(
+    site.store.calls.get('/rows-feed')! - callsBefore!,
+  ).toBeLessThanOrEqual(1);
   await engine.close();
 });
 
