--- a/test/configuration/commit.test.ts
+++ b/test/configuration/commit.test.ts
@@ -57,7 +57,7 @@
   });
 
   // A late commit of a plan arrives at the table after an operator has
-  // abandoned the plan, or was told that another change came first.
+  // abandoned the plan, or was informed that another change came first.
   test('a refused or abandoned plan never comes into force', () => {
     check(({line, answers}) => {
       const applied = new Set(line.map(accepted => accepted.planId));
--- a/test/fleet/agent.test.ts
+++ b/test/fleet/agent.test.ts
@@ -60,8 +60,8 @@
   return eventually(() => site.lines.filter(namesAnAgent).length >= 2);
 }
 
-function namesAnAgent({message: sentence, fields}: LogLine): boolean {
-  return sentence === 'members' && JSON.stringify(fields).includes('agent-');
+function namesAnAgent({message, fields}: LogLine): boolean {
+  return message === 'members' && JSON.stringify(fields).includes('agent-');
 }
 
 test('an engine that joins is given the newest version', async () => {
@@ -102,8 +102,8 @@
   const ahead = {model: 'model', version: 3, after: 2};
   const isFetchedAhead = () =>
     site.lines.some(
-      ({message: sentence, fields}) =>
-        sentence === 'fetches a version' &&
+      ({message, fields}) =>
+        message === 'fetches a version' &&
         JSON.stringify(fields) === JSON.stringify(ahead),
     );
   await eventually(isFetchedAhead);
@@ -144,7 +144,7 @@
   engine.setFault({kind: 'down'});
   await site.startAgent(engine);
   await eventually(() =>
-    site.lines.some(({message: sentence}) => sentence === 'holds all'),
+    site.lines.some(({message}) => message === 'holds all'),
   );
   expect(engine.staged.size).toBe(0);
   engine.setFault({kind: 'none'});
--- a/test/fleet/configuration_changes.test.ts
+++ b/test/fleet/configuration_changes.test.ts
@@ -242,7 +242,7 @@
  */
 function idleTime(): number {
   const inForce = site.lines.findLast(
-    ({message: sentence}) => sentence === 'configuration in force',
+    ({message}) => message === 'configuration in force',
   );
   const {version} = inForce?.fields as {readonly version: number};
   return Math.min(expected.idle, idleTimes[version - 1] ?? 0);
--- a/test/fleet/engine_incarnations.test.ts
+++ b/test/fleet/engine_incarnations.test.ts
@@ -36,7 +36,7 @@
   await eventually(() => engine.held() === 1);
   expect(engine.staged.size).toBe(CHUNKS);
   const restartLines = site.lines.filter(
-    ({message: sentence}) => sentence === 'engine has started anew',
+    ({message}) => message === 'engine has started anew',
   );
   expect(restartLines).toHaveLength(1);
 });
--- a/test/fleet/origin_reader.test.ts
+++ b/test/fleet/origin_reader.test.ts
@@ -9,8 +9,8 @@
 
 function startReader(isAway: () => boolean) {
   const lines: string[] = [];
-  const note = (sentence: string) => void lines.push(sentence);
-  const log = {info: note, warn: note, error: note} as unknown as Log;
+  const record = (message: string) => void lines.push(message);
+  const log = {info: record, warn: record, error: record} as unknown as Log;
   const origin: VersionOrigin = {
     content: () => Promise.reject(new Error('not asked here')),
     chunk: async function* () {
--- a/test/fleet/version_namings.test.ts
+++ b/test/fleet/version_namings.test.ts
@@ -73,15 +73,15 @@
   const engine = await startHostEngine({instance: 'one', version: 1});
   await site.startAgent(engine);
   await eventually(() =>
-    site.lines.some(({message: sentence}) => sentence === 'version named'),
+    site.lines.some(({message}) => message === 'version named'),
   );
   const knownAt = performance.now();
   await new Promise(resolve => setTimeout(resolve, LATER));
   const {settings} = await site.startEntry();
   // The agent knew the name before `knownAt`; the entry started long after.
   await eventually(async () => {
-    const least = performance.now() - knownAt;
-    return ((await ageAt(settings.peerAddress)) ?? 0) >= least;
+    const minAge = performance.now() - knownAt;
+    return ((await ageAt(settings.peerAddress)) ?? 0) >= minAge;
   });
   await engine.close();
 });
@@ -95,11 +95,8 @@
   const engine = await startHostEngine({instance: 'one', version: 1});
   await site.startAgent(engine);
   const namedCount = () =>
-    site.lines.filter(({message: sentence}) => sentence === 'version named')
-      .length;
-  await eventually(() =>
-    site.lines.some(({message: sentence}) => sentence === 'members'),
-  );
+    site.lines.filter(({message}) => message === 'version named').length;
+  await eventually(() => site.lines.some(({message}) => message === 'members'));
   await new Promise(resolve => setTimeout(resolve, LATER));
   const callsBefore = site.store.calls.get('/rows-feed');
   site.store.write('op', 'version/model', {Model: 'model', Version: 2});
