--- a/packages/core/src/requests/commands/answer_assembler.ts
+++ b/packages/core/src/requests/commands/answer_assembler.ts
@@ -2,9 +2,9 @@
 import type {AttemptId, Bytes, Incarnation, VersionDigest} from '../../types';
 import type {AttemptFrame, CreateDigester, WholeAnswer} from '../types';
 
-/** What became of one frame. */
+/** Result of accepting one frame. */
 export type FrameResult =
-  /** Belongs to another answer, or was here before. Changes nothing. */
+  /** Belongs to another answer or is a duplicate; ignored. */
   | {readonly kind: 'dropped'}
   | {
       readonly kind: 'started';
@@ -16,30 +16,33 @@
       readonly content: Uint8Array;
     }
   | {readonly kind: 'complete'; readonly answer: WholeAnswer}
-  /** No whole answer can come of this stream any more. */
+  /** The stream can no longer produce a complete answer. */
   | {readonly kind: 'broken'; readonly detail: string};
 
 /** Options of {@link createAnswerAssembler}. */
 export interface AnswerAssemblerOptions {
-  /** The agent life that was addressed. */
+  /** The agent incarnation that was addressed. */
   readonly incarnation: Incarnation;
   readonly createDigester: CreateDigester;
-  /** A longer answer is broken. */
+  /** Maximum size of an answer; a longer one is reported as broken. */
   readonly answerBytes: Bytes;
 }
 
-/** Puts one attempt's frames together into a whole answer or none. */
+/** Assembles the frames of one attempt into a complete answer, or none. */
 export interface AnswerAssembler {
   readonly accept: (frame: AttemptFrame) => FrameResult;
 }
 
-// Empty frames without end would fill the memory too. At 65,536 tokens, the
-// longest answer, this comes to 1 MB.
+// Added for each frame, since endless empty frames would also fill the memory.
+// For the longest answer, 65,536 tokens, this comes to 1 MB.
 const FRAME_OVERHEAD_BYTES = 16;
 
 const DROPPED: FrameResult = {kind: 'dropped'};
 
-/** Assembles the answer to `attempt`, matched by attempt and sequence only. */
+/**
+ * Creates the assembler of one answer. Frames are matched by attempt and
+ * sequence only.
+ */
 export function createAnswerAssembler(
   attempt: AttemptId,
   options: AnswerAssemblerOptions,
@@ -48,10 +51,10 @@
   const frames: Uint8Array[] = [];
   let started: {readonly versionDigest: VersionDigest | undefined} | undefined;
   let byteCount = 0;
-  let over = false;
+  let isEnded = false;
 
   function broken(detail: string): FrameResult {
-    over = true;
+    isEnded = true;
     return {kind: 'broken', detail};
   }
 
@@ -76,9 +79,9 @@
     frame: Extract<AttemptFrame, {kind: 'data'}>,
   ): FrameResult {
     if (started === undefined) return broken('data before start');
-    // A doubled frame would put the same words in the answer twice.
+    // A duplicate frame would repeat its content in the answer.
     if (frame.sequence < frames.length) return DROPPED;
-    // A lost frame would leave a hole that the caller can't see.
+    // A lost frame would leave a gap that the caller can't detect.
     if (frame.sequence > frames.length) return broken('frame missing');
     byteCount += frame.content.length + FRAME_OVERHEAD_BYTES;
     if (byteCount > options.answerBytes) return broken('answer too long');
@@ -89,12 +92,12 @@
 
   function acceptEnd(frame: Extract<AttemptFrame, {kind: 'end'}>): FrameResult {
     if (started === undefined) return broken('end before start');
-    // A cut stream with a late end frame is no whole answer.
+    // A stream that lost frames is incomplete, even if its end frame arrives.
     if (frame.frameCount !== frames.length) return broken('count differs');
     const digest = digester.finish();
-    // Content changed on its way shows only here.
+    // Only the digest detects content that was changed in transit.
     if (frame.digest !== digest) return broken('digest differs');
-    over = true;
+    isEnded = true;
     const {versionDigest} = started;
     return {
       kind: 'complete',
@@ -104,10 +107,11 @@
 
   return {
     accept(frame) {
-      // Answers may arrive crossed on one connection: a frame of another
-      // attempt would hand one caller another's answer.
+      // Frames of several answers may be interleaved on one connection.
+      // Accepting a frame of another attempt would give one caller another's
+      // answer.
       if (frame.attempt !== attempt) return DROPPED;
-      if (over) return DROPPED;
+      if (isEnded) return DROPPED;
       switch (frame.kind) {
         case 'started':
           return acceptStarted(frame);
--- a/packages/core/src/requests/commands/answer_cache.ts
+++ b/packages/core/src/requests/commands/answer_cache.ts
@@ -27,7 +27,7 @@
   readonly until: MonotonicInstant;
 }
 
-// What one frame and one answer cost besides their content, roughly.
+// Approximate memory per frame and per answer besides their content.
 const FRAME_OVERHEAD_BYTES: Bytes = 96;
 const ANSWER_OVERHEAD_BYTES: Bytes = 512;
 
@@ -38,7 +38,7 @@
   );
 }
 
-/** Keeps answers, oldest dropped first. */
+/** Creates the cache; the oldest answers are evicted first. */
 export function createAnswerCache(options: {
   readonly answerBytes: Bytes;
   readonly answerRetention: Milliseconds;
--- a/packages/core/src/requests/commands/answer_storage.ts
+++ b/packages/core/src/requests/commands/answer_storage.ts
@@ -20,7 +20,9 @@
   return digester.finish();
 }
 
-/** Puts the answer's bytes where its row can name them. */
+/**
+ * Stores the answer's bytes, inline or as an object that its row references.
+ */
 export function* storeAnswer(
   options: AtMostOnceOptions,
   answer: WholeAnswer,
@@ -32,7 +34,7 @@
   const digest = digestOf(options.createDigester, [content]);
   const key = `answers/${digest}`;
   const reply = yield* perform({kind: 'putObject', key, content}, 'stored');
-  // The row must not name bytes that may not be there.
+  // The row must not reference bytes that may not exist.
   return reply.result.ok ? {kind: 'object', key, digest} : undefined;
 }
 
@@ -55,7 +57,9 @@
   }
 }
 
-/** The recorded answer; `undefined` if its bytes can't be had just now. */
+/**
+ * Loads the recorded answer; `undefined` if its bytes are not available now.
+ */
 export function* loadAnswer(
   options: AtMostOnceOptions,
   row: Extract<ClaimRow, {kind: 'answered'}>,
@@ -65,7 +69,7 @@
   const frames = decodeFrames(content);
   if (frames === undefined) return undefined;
   const digest = digestOf(options.createDigester, frames);
-  // Bytes damaged in the store would be passed off as the answer.
+  // Bytes that were corrupted in the store must not be returned as the answer.
   if (digest !== row.digest) return undefined;
   const {attempt, versionDigest} = row;
   return {attempt, versionDigest, frames, digest};
--- a/packages/core/src/requests/commands/at_most_once_flow.ts
+++ b/packages/core/src/requests/commands/at_most_once_flow.ts
@@ -24,22 +24,22 @@
 import {createOwnAttempts} from './own_attempts';
 import {chooseTarget, readRow} from './steps';
 
-/** What a caller is told of a refusal. */
+/** The part of a refusal that is reported to the caller. */
 interface Refusal {
   readonly reason: NotRunReason;
   readonly retryAfter: number;
 }
 
-// Each round either ends the call or answers another entry's write of the
-// same key; so many such writes during one call mean a caller that floods
-// its own key.
+// Each round either ends the call or reacts to another entry's write of the
+// same key. This many writes during one call mean a caller that floods its own
+// key.
 const MAX_ROUNDS = 16;
 
 /**
- * Serves a call that may not be repeated: at most one attempt per key ever
- * runs, whichever entries its caller asks. Ends by the deadline and a few
- * bounded platform calls. The driver must step it to its end even when the
- * caller has gone, so that the outcome is recorded.
+ * Serves an at-most-once call: at most one attempt per key ever runs, whichever
+ * entries the caller contacts. Ends at the deadline, plus a few bounded
+ * platform calls. The driver must step it to its end even after the caller has
+ * gone, so that the outcome is recorded.
  */
 export function* createAtMostOnceFlow(
   options: AtMostOnceOptions,
@@ -47,7 +47,7 @@
   const {key, fingerprint, limits, now, deadline} = options;
   const attempts = createOwnAttempts(options.createAttempt);
   const excluded: TargetName[] = [];
-  /** The latest refusal by an agent; says more than "no target is left". */
+  /** The latest refusal by an agent, more specific than "no target is left". */
   let refused: Refusal | undefined;
 
   function* claim(base: FreeClaim | undefined): RequestFlow<CallStep> {
@@ -63,11 +63,11 @@
     if (choice.kind === 'target') return yield* claimForTarget(base, choice);
     const {reason, retryAfter} = refused ?? choice;
     if (base !== undefined) return yield* giveUp(base, reason, retryAfter);
-    // The key may have been answered already: that needs no target.
+    // A recorded answer to this key can be returned without a target.
     const found = yield* readRow(key);
     if (found.err) return endNotRun('platformUnavailable', limits.retryAfter);
     if (found.val === undefined) return endNotRun(reason, retryAfter);
-    return {kind: 'meet', row: found.val};
+    return {kind: 'existingRow', row: found.val};
   }
 
   function* claimForTarget(
@@ -84,10 +84,11 @@
       case 'written':
         return {kind: 'run', own, address, version: write.version};
       case 'other':
-        return {kind: 'meet', row: write.row};
+        return {kind: 'existingRow', row: write.row};
       case 'undecided':
-        // The claim may stand or land later, but its attempt is disowned
-        // here: whoever meets it gets a tombstone from its agent.
+        // The claim may have been written or still be written later, but its
+        // attempt is disowned here: whoever finds the claim gets a tombstone
+        // from its agent.
         return endNotRun('platformUnavailable', write.retryAfter);
       default:
         return unreachable(write);
@@ -107,9 +108,9 @@
     if (base === undefined) return next;
     const taken = yield* releaseClaim(options, base);
     // While this entry was paused, another one may have had the attempt
-    // tombstoned and run the call as its own. "Not run" would then show as a
-    // charge that its caller makes by hand a second time; the row tells.
-    return taken === undefined ? next : {kind: 'meet', row: taken};
+    // tombstoned and run the call itself. After a "not run" the caller might
+    // then repeat a charge by hand, so the row decides.
+    return taken === undefined ? next : {kind: 'existingRow', row: taken};
   }
 
   function* run(
@@ -118,8 +119,8 @@
     version: number,
   ): RequestFlow<CallStep> {
     const {attempt} = address;
-    // A process that was paused after its claim would run a call on which
-    // its caller has long given up.
+    // A process that was paused after its claim would run a call that its
+    // caller has long given up.
     if (now() >= deadline) {
       return {kind: 'claim', base: {version, claimed: attempt}};
     }
@@ -162,7 +163,9 @@
     return yield* giveUp(base, reason, retryAfter);
   }
 
-  /** Finds out about the own attempt after its stream broke off. */
+  /**
+   * Finds out what became of the flow's own attempt after its stream broke off.
+   */
   function* resolveOwn(
     address: AttemptAddress,
     version: number,
@@ -177,7 +180,7 @@
         } as const;
         return yield* tryOtherTarget(address, base, found.evidence, refusal);
       }
-      case 'answerGone': {
+      case 'answerLost': {
         const detail = 'the call has run; its answer was lost';
         yield* recordOutcomeUnknown(options, version, address, detail);
         return end(outcomeUnknown(detail));
@@ -198,7 +201,7 @@
       case 'claim':
         next = yield* claim(next.base);
         break;
-      case 'meet':
+      case 'existingRow':
         next = yield* handleExistingClaim(options, attempts, next.row);
         break;
       case 'run':
--- a/packages/core/src/requests/commands/at_most_once_options.ts
+++ b/packages/core/src/requests/commands/at_most_once_options.ts
@@ -9,23 +9,28 @@
 } from '../../types';
 import type {AnswerLimits, CreateDigester} from '../types';
 
-/** Bounds of one not-repeatable request. */
+/** Bounds of one at-most-once request. */
 export interface AtMostOnceLimits extends AnswerLimits {
   /** Answers up to this size are kept in the claim row itself. */
   readonly inlineAnswerBytes: Bytes;
-  /** Most targets that one call tries, each after proof from the last. */
+  /**
+   * Maximum number of targets that one call tries, each only after proof that
+   * the previous attempt did not run.
+   */
   readonly maxTargets: number;
-  /** Most writes of one claim or record, lost replies included. */
+  /**
+   * Maximum number of writes of one claim or record, including lost replies.
+   */
   readonly maxWriteAttempts: number;
-  /** Longest wait for a tombstone's answer. */
+  /** Maximum wait for the answer to a tombstone request. */
   readonly tombstoneTimeout: Milliseconds;
-  /** Pause between looks at an attempt whose stream broke off. */
+  /** Poll interval for an attempt whose stream broke off. */
   readonly pollInterval: Milliseconds;
-  /** When to come back, where nobody else says so. */
+  /** Retry delay for callers where no refusal gives one. */
   readonly retryAfter: Milliseconds;
 }
 
-/** Limits for a site of today's size. */
+/** Default limits of an at-most-once request. */
 export const DEFAULT_AT_MOST_ONCE_LIMITS: AtMostOnceLimits = {
   answerBytes: 4 * 1024 * 1024,
   // A group commit of a hundred such rows stays well under a megabyte.
@@ -33,14 +38,15 @@
   // One target and two more after refusals: a third refusal in a row means
   // that the service as a whole is full or leaving.
   maxTargets: 3,
-  // With replies lost independently at 10%, three leave one in a thousand.
+  // With 10% of the replies lost independently, all three are lost once in a
+  // thousand times.
   maxWriteAttempts: 3,
   tombstoneTimeout: 500,
   pollInterval: 100,
   retryAfter: 1000,
 };
 
-/** Input of one call that may not be repeated. */
+/** Input of one at-most-once call. */
 export interface AtMostOnceOptions {
   /** From `claimKey`. */
   readonly key: TableKey;
@@ -50,7 +56,7 @@
   readonly deadline: MonotonicInstant;
   readonly limits: AtMostOnceLimits;
   readonly now: () => MonotonicInstant;
-  /** Mints an attempt, never the same twice; see `createAttemptSource`. */
+  /** Creates a unique attempt; see `createAttemptSource`. */
   readonly createAttempt: () => AttemptId;
   readonly createDigester: CreateDigester;
 }
--- a/packages/core/src/requests/commands/attempt_memory.ts
+++ b/packages/core/src/requests/commands/attempt_memory.ts
@@ -4,32 +4,32 @@
 /** `closed`: refused or tombstoned, so never started. */
 export type FinalState = 'closed' | 'finished';
 
-/** What an agent knows of one attempt. */
+/** What an agent knows about one attempt. */
 export type AttemptState =
   | 'running'
   | FinalState
   | 'unseen'
-  /** May have run and be forgotten; never starts. */
+  /** May have run, its record was dropped: never starts. */
   | 'forgotten'
-  /** Never seen, and no room to remember it: never starts. */
+  /** Never seen, and there is no room to record it: never starts. */
   | 'barred';
 
 /** Bounds of an {@link AttemptMemory}. */
 export interface AttemptMemoryBounds {
-  /** Most attempts remembered besides those that run. */
+  /** Maximum number of attempts remembered besides the running ones. */
   readonly maximumRecords: number;
-  /** Most lives of entries that may send attempts to this life. */
+  /** Maximum number of entry incarnations that may send attempts. */
   readonly maximumSenders: number;
 }
 
-/** Attempts as one life of an agent remembers them. */
+/** The attempts recorded by one incarnation of an agent. */
 export interface AttemptMemory {
   readonly stateOf: (attempt: AttemptId, parts: AttemptParts) => AttemptState;
-  /** Records a start; to be called before the work is passed on. */
+  /** Records a start; must be called before the work is forwarded. */
   readonly started: (attempt: AttemptId, parts: AttemptParts) => void;
-  /** Makes sure that the attempt never starts. */
+  /** Ensures that the attempt never starts. */
   readonly close: (attempt: AttemptId, parts: AttemptParts) => void;
-  /** Notes how a running attempt ended; `false` if it was not running. */
+  /** Records how a running attempt ended; `false` if it was not running. */
   readonly ended: (attempt: AttemptId, as: FinalState) => boolean;
   readonly sizes: () => {
     readonly running: number;
@@ -39,10 +39,11 @@
 }
 
 /**
- * Creates the memory. It is bounded: a record may be forgotten only once its
- * sender's mark has reached its sequence, and nothing at or below the mark
- * ever starts; senders are never forgotten but limited in number. So a
- * forgotten attempt can't start again, whatever the clocks say.
+ * Creates the memory. Its size is bounded: dropping a record raises its
+ * sender's forgotten sequence to at least the record's, and no attempt at or
+ * below that sequence ever starts. Senders are never forgotten, but their
+ * number is limited. So a forgotten attempt can't start again, independently of
+ * any clock.
  */
 export function createAttemptMemory(
   bounds: AttemptMemoryBounds,
@@ -50,7 +51,7 @@
 ): AttemptMemory {
   const running = new Set<AttemptId>();
   const finalStates = new Map<AttemptId, FinalState>();
-  /** By sender: the highest sequence that may have been forgotten. */
+  /** By sender: the highest sequence whose record may have been dropped. */
   const forgottenSequences = new Map<string, number>();
 
   function addSender({sender}: AttemptParts): void {
@@ -84,13 +85,14 @@
       if (state !== undefined) return state;
       const forgottenSequence = forgottenSequences.get(parts.sender);
       if (forgottenSequence === undefined) {
-        // Once full, it stays full: an unknown sender's attempts never start.
+        // Senders are never removed, so attempts of unknown senders never start
+        // from here on.
         return forgottenSequences.size < bounds.maximumSenders
           ? 'unseen'
           : 'barred';
       }
-      // A record that was dropped may have been of a run: started again by a
-      // late second copy of its dispatch, the call would run twice.
+      // The dropped record may have been of an attempt that ran. If a late
+      // duplicate of its dispatch started it again, the call would run twice.
       if (parts.sequence <= forgottenSequence) return 'forgotten';
       return 'unseen';
     },
--- a/packages/core/src/requests/commands/attempt_registry.ts
+++ b/packages/core/src/requests/commands/attempt_registry.ts
@@ -12,49 +12,49 @@
 import {createAnswerCache} from './answer_cache';
 import {createAttemptMemory} from './attempt_memory';
 
-/** What the agent does with a dispatch that reached it. */
+/** What the agent does with a dispatch that it received. */
 export type StartDecision =
-  /** Recorded as started: pass it on to the target, once. */
+  /** Recorded as started: forward it to the target, once. */
   | {readonly kind: 'start'}
-  /** Never started and never will: answer with `Refused`. */
+  /** Never started and never will be: answer with `Refused`. */
   | {readonly kind: 'refused'; readonly event: RefusedEvent}
-  /** Finished before: send this answer again. */
+  /** Already finished: send this answer again. */
   | {readonly kind: 'replay'; readonly answer: WholeAnswer}
-  /** A second copy, or nothing is known of it: answer with `Failed`. */
+  /** A duplicate, or nothing is known about it: answer with `Failed`. */
   | {readonly kind: 'failed'; readonly detail: string};
 
 /** Options of {@link createAttemptRegistry}. */
 export interface AttemptRegistryOptions {
-  /** This agent's life; attempts for any other are not started. */
+  /** This agent's incarnation; attempts for any other are not started. */
   readonly incarnation: Incarnation;
-  /** Most attempts running at once; more are refused. */
+  /** Maximum number of attempts running at once; more are refused. */
   readonly maximumRunning: number;
-  /** Most attempts remembered besides those that run. */
+  /** Maximum number of attempts remembered besides the running ones. */
   readonly maximumRecords: number;
-  /** Most lives of entries that may send attempts to this life. */
+  /** Maximum number of entry incarnations that may send attempts. */
   readonly maximumSenders: number;
-  /** Most bytes of finished answers kept. */
+  /** Maximum total size of the finished answers that are kept. */
   readonly answerBytes: Bytes;
-  /** How long a finished answer is kept at most. */
+  /** Maximum time for which a finished answer is kept. */
   readonly answerRetention: Milliseconds;
-  /** When refused callers should come back. */
+  /** How long refused callers should wait before they retry. */
   readonly retryAfter: Milliseconds;
 }
 
-/** Bounds for an agent of today's size: about 10 MB when all are full. */
+/** Default bounds; about 10 MB of memory when all are reached. */
 export const DEFAULT_REGISTRY_BOUNDS = {
   maximumRunning: 512,
-  // At a hundred calls a second, an entry has over three minutes to ask
-  // about an attempt before it is forgotten.
+  // At a hundred calls a second, an entry has over three minutes to query an
+  // attempt before it is forgotten.
   maximumRecords: 20_000,
-  // Eight entries replaced every ten minutes for a month come to 35,000.
+  // Eight entries replaced every ten minutes for a month add up to 35,000.
   maximumSenders: 40_000,
   answerBytes: 8 * 1024 * 1024,
   answerRetention: 10 * 60_000,
   retryAfter: 1000,
 } as const;
 
-/** An agent's memory of attempts, for one life of the agent. */
+/** The attempts known to one incarnation of an agent. */
 export interface AttemptRegistry {
   /** Decides on a dispatch; `start` is recorded before it is returned. */
   readonly start: (
@@ -62,21 +62,24 @@
     incarnation: Incarnation,
     now: MonotonicInstant,
   ) => StartDecision;
-  /** Notes a started attempt's end; `undefined` if it has no whole answer. */
+  /**
+   * Records the end of a started attempt; `answer` is `undefined` if there is
+   * no complete one.
+   */
   readonly finish: (
     attempt: AttemptId,
     answer: WholeAnswer | undefined,
     now: MonotonicInstant,
   ) => void;
   /**
-   * Notes that the target itself refused a started attempt before any of its
-   * work; the attempt is closed. `undefined` if it was not running.
+   * Records that the target itself refused a started attempt before doing any
+   * of its work, and closes the attempt. `undefined` if it was not running.
    */
   readonly recordTargetRefusal: (
     attempt: AttemptId,
     reason: NotRunReason,
   ) => RefusedEvent | undefined;
-  /** Makes sure that the attempt never starts, or says that it has. */
+  /** Ensures that the attempt never starts, or reports that it has. */
   readonly tombstone: (
     attempt: AttemptId,
     incarnation: Incarnation,
@@ -87,9 +90,9 @@
     incarnation: Incarnation,
     now: MonotonicInstant,
   ) => WholeAnswer | undefined;
-  /** From now on starts nothing new (`true`), or does again (`false`). */
+  /** Stops (`true`) or resumes (`false`) the start of new attempts. */
   readonly setLeaving: (leaving: boolean) => void;
-  /** How much is remembered, for dumps and metrics. */
+  /** Current sizes, for dumps and metrics. */
   readonly sizes: () => {
     readonly running: number;
     readonly records: number;
@@ -98,7 +101,7 @@
   };
 }
 
-/** Creates the registry of one life of an agent. */
+/** Creates the registry of one incarnation of an agent. */
 export function createAttemptRegistry(
   options: AttemptRegistryOptions,
 ): AttemptRegistry {
@@ -119,12 +122,12 @@
   function startUnseen(attempt: AttemptId, parts: AttemptParts): StartDecision {
     const full = memory.sizes().running >= maximumRunning;
     if (leaving || full) {
-      // The caller is told "not run": a late second copy of the message must
-      // not start it when there is room again.
+      // The caller gets "not run", so a late duplicate of the message must not
+      // start the attempt once there is room again.
       memory.close(attempt, parts);
       return refuse(attempt, leaving ? 'targetLeaving' : 'queueFull');
     }
-    // Recorded before it is passed on, so that a second copy finds it.
+    // Recorded before it is forwarded, so that a duplicate finds it.
     memory.started(attempt, parts);
     return {kind: 'start'};
   }
@@ -159,8 +162,8 @@
 
   return {
     start(attempt, addressedTo, now) {
-      // A dispatch that was held up since before this agent's start may have
-      // run in its earlier life.
+      // A dispatch that was delayed since before this agent started may have
+      // run in its previous incarnation.
       if (addressedTo !== incarnation) {
         return {kind: 'failed', detail: 'addressed to another incarnation'};
       }
@@ -175,12 +178,12 @@
         case 'barred':
           return refuse(attempt, leaving ? 'targetLeaving' : 'queueFull');
         case 'closed':
-          // Tombstoned for another entry that met the same key.
+          // Tombstoned for another entry that found a claim of the same key.
           return refuse(attempt, leaving ? 'targetLeaving' : 'inProgress');
         case 'finished':
           return replay(attempt, now);
         case 'running':
-          // Not `refused`: the first copy runs.
+          // Not `refused`: the first copy is running.
           return {kind: 'failed', detail: 'started before'};
         case 'forgotten':
           return {kind: 'failed', detail: 'may have run before'};
@@ -193,14 +196,14 @@
       if (answer !== undefined) answers.keep(attempt, answer, now);
     },
     recordTargetRefusal(attempt, reason) {
-      // Closed, not forgotten: a second copy of the dispatch must not reach
-      // the target when it has room again.
+      // Closed, not forgotten: a duplicate of the dispatch must not reach the
+      // target once it has room again.
       if (!memory.ended(attempt, 'closed')) return undefined;
       return refusal(attempt, reason);
     },
     tombstone(attempt, addressedTo) {
       const parts = parseAttempt(attempt);
-      // A word about another life's attempt would be a guess.
+      // This incarnation knows nothing about the attempts of another.
       if (addressedTo !== incarnation || parts === undefined) {
         return {attempt, incarnation, state: 'otherIncarnation'};
       }
--- a/packages/core/src/requests/commands/attempt_resolution.ts
+++ b/packages/core/src/requests/commands/attempt_resolution.ts
@@ -12,21 +12,23 @@
 import {runToEnd} from './attempt_run';
 import {requestTombstone, perform, readRow} from './steps';
 
-/** What is known of an attempt that may have run. */
+/** What is known about an attempt that may have run. */
 export type Resolution =
   /** It never ran and never will. */
   | {readonly kind: 'neverRan'; readonly evidence: NotRunEvidence}
   | {readonly kind: 'running'}
   | {readonly kind: 'answered'; readonly answer: WholeAnswer}
-  /** It has run to its end, and the agent holds no answer. */
-  | {readonly kind: 'answerGone'}
-  /** Nobody can ever tell: the agent's life or its memory of it is over. */
+  /** It has finished, but the agent no longer has its answer. */
+  | {readonly kind: 'answerLost'}
+  /**
+   * Can never be known: the agent was restarted or has forgotten the attempt.
+   */
   | {readonly kind: 'unknowable'; readonly detail: string}
   | {readonly kind: 'unreachable'};
 
 /**
- * Asks the attempt's agent to make sure that it never starts, and learns what
- * became of it if it has.
+ * Asks the attempt's agent to ensure that it never starts, and finds out what
+ * became of it if it has started.
  */
 export function* resolveAttempt(
   options: AtMostOnceOptions,
@@ -40,18 +42,20 @@
   return yield* evaluateTombstone(options, address, answer);
 }
 
-/** A {@link Resolution} that more waiting would not change. */
+/** A {@link Resolution} that waiting longer would not change. */
 export type FinalResolution =
   | Exclude<Resolution, {readonly kind: 'running' | 'unreachable'}>
   | {readonly kind: 'undecided'};
 
-/** Resolves an attempt, looking again until it has ended or the deadline. */
+/**
+ * Resolves an attempt, polling until it has ended or the deadline is reached.
+ */
 export function* awaitResolution(
   options: AtMostOnceOptions,
   address: AttemptAddress,
 ): RequestFlow<FinalResolution> {
   const {limits, now, deadline} = options;
-  // Without this end a frozen agent would hold its callers for ever.
+  // Without this limit a frozen agent would block its callers forever.
   while (now() < deadline) {
     const found = yield* resolveAttempt(options, address);
     if (found.kind !== 'running' && found.kind !== 'unreachable') return found;
@@ -95,7 +99,7 @@
 ): RequestFlow<Resolution> {
   const until = replyDeadline(options);
   const end = yield* runToEnd({kind: 'collect', address, until}, options);
-  if (end.kind !== 'answered') return {kind: 'answerGone'};
+  if (end.kind !== 'answered') return {kind: 'answerLost'};
   return {kind: 'answered', answer: end.answer};
 }
 
--- a/packages/core/src/requests/commands/attempt_run.ts
+++ b/packages/core/src/requests/commands/attempt_run.ts
@@ -17,10 +17,10 @@
 export type RunEnd =
   | {readonly kind: 'answered'; readonly answer: WholeAnswer}
   | {readonly kind: 'refused'; readonly event: RefusedEvent}
-  /** It may have run; no whole answer came. */
+  /** It may have run; no complete answer arrived. */
   | {readonly kind: 'unclear'; readonly detail: string};
 
-/** Reads an attempt's whole answer from its stream. */
+/** Reads an attempt's complete answer from its stream. */
 export function* runToEnd(
   effect: DispatchEffect | CollectEffect,
   options: {
@@ -40,7 +40,7 @@
   for (;;) {
     const end = evaluateEvent(assembler, address, event);
     if (end !== undefined) return end;
-    // Frames of other attempts without end must not keep the flow for ever.
+    // Endless frames of other attempts must not keep the flow running forever.
     if (options.now() >= until) return {kind: 'unclear', detail: 'deadline'};
     event = yield* nextEvent({kind: 'awaitEvent', attempt, until});
   }
@@ -75,7 +75,8 @@
     case 'timedOut':
       return {kind: 'unclear', detail: 'deadline'};
     case 'callerGone':
-      // A run that may not be repeated is worth its record even so.
+      // The outcome of an at-most-once run is recorded even for a caller that
+      // has gone.
       return undefined;
     default:
       return unreachable(event);
--- a/packages/core/src/requests/commands/call_results.ts
+++ b/packages/core/src/requests/commands/call_results.ts
@@ -1,19 +1,19 @@
 import type {NotRunEvidence, NotRunReason} from '../../types';
 import type {RequestResult, WholeAnswer} from '../types';
 
-/** The final answer of a call whose answer is at hand. */
+/** The result of a call that was answered. */
 export function answered(answer: WholeAnswer): RequestResult {
   const {versionDigest, frames} = answer;
   const frameCount = frames.length;
   return {outcome: {kind: 'answered', versionDigest, frameCount}, answer};
 }
 
-/** The final answer of a call that may have run. */
+/** The result of a call that may have run. */
 export function outcomeUnknown(detail: string): RequestResult {
   return {outcome: {kind: 'outcomeUnknown', detail}, answer: undefined};
 }
 
-/** The final answer of a call that is proved not to have run. */
+/** The result of a call that is proved not to have run. */
 export function notRun(
   evidence: NotRunEvidence,
   reason: NotRunReason,
--- a/packages/core/src/requests/commands/call_step.ts
+++ b/packages/core/src/requests/commands/call_step.ts
@@ -7,9 +7,9 @@
 export type CallStep =
   /** Claim the key over `base`; `undefined`: over no row. */
   | {readonly kind: 'claim'; readonly base: FreeClaim | undefined}
-  /** See what the row that stands there means for this call. */
-  | {readonly kind: 'meet'; readonly row: TableRow}
-  /** Run the own attempt, whose claim stands at `version`. */
+  /** Decide by the row that already exists at the key. */
+  | {readonly kind: 'existingRow'; readonly row: TableRow}
+  /** Run the flow's own attempt, whose claim has `version`. */
   | {
       readonly kind: 'run';
       readonly own: OwnAttempt;
--- a/packages/core/src/requests/commands/caller_stream.ts
+++ b/packages/core/src/requests/commands/caller_stream.ts
@@ -6,28 +6,37 @@
 /** A frame for the caller. */
 export type CallerFrame = EmitEffect['frame'];
 
-/** The frames to send; `differs`: the caller was sent something else. */
+/** The frames to send; `differs` if the caller was sent a different answer. */
 export type CallerFrames = readonly CallerFrame[] | 'differs';
 
-/** The part of one answer that its caller has been sent. */
+/** Tracks which part of one answer was sent to its caller. */
 export interface CallerStream {
-  /** What to send for a frame; nothing if an earlier try sent an equal one. */
+  /**
+   * The frames to send for a received one; none if an earlier attempt sent an
+   * equal one.
+   */
   readonly take: (
     frame: Extract<FrameResult, {kind: 'started' | 'data' | 'complete'}>,
   ) => CallerFrames;
-  /** The version of the frames that the caller has, if it has any. */
+  /** The version of the frames that the caller has received, if any. */
   readonly startedVersion: () => VersionDigest | undefined;
 }
 
 const NO_FRAMES: CallerFrames = [];
 
-/** Sends one answer over several tries, each frame once. */
+/**
+ * Creates the stream of one answer over several attempts; each frame is sent
+ * once.
+ */
 export function createCallerStream(): CallerStream {
   const sent: Uint8Array[] = [];
   let version: VersionDigest | undefined;
   let hasStarted = false;
 
-  /** The start goes out with the first content: until then, any version. */
+  /**
+   * The start is sent with the first content: until then, any version may serve
+   * the answer.
+   */
   function withStart(frame: CallerFrame): CallerFrames {
     if (hasStarted) return [frame];
     hasStarted = true;
@@ -35,7 +44,7 @@
   }
 
   function takeStarted(versionDigest: VersionDigest | undefined): CallerFrames {
-    // The rest of an answer from another version would mix two versions.
+    // Continuing with another version would mix two versions in one answer.
     if (hasStarted && version !== versionDigest) return 'differs';
     version = versionDigest;
     return NO_FRAMES;
@@ -47,7 +56,7 @@
       sent.push(content);
       return withStart({kind: 'data', sequence, content});
     }
-    // Two runs may word one answer differently; spliced, neither is whole.
+    // Two runs may word one answer differently; spliced, they are neither.
     return equalBytes(earlier, content) ? NO_FRAMES : 'differs';
   }
 
@@ -57,7 +66,7 @@
       if (frame.kind === 'started') return takeStarted(frame.versionDigest);
       if (frame.kind === 'data') return takeData(frame.sequence, frame.content);
       const {frames, digest} = frame.answer;
-      // The caller has more than this whole answer: another answer.
+      // The caller has more frames than this answer, so it has another one.
       if (frames.length < sent.length) return 'differs';
       return withStart({kind: 'end', frameCount: frames.length, digest});
     },
--- a/packages/core/src/requests/commands/claim_records.ts
+++ b/packages/core/src/requests/commands/claim_records.ts
@@ -5,16 +5,16 @@
 import type {AtMostOnceOptions} from './at_most_once_options';
 import {attemptOf, writeClaimRow} from './claim_writes';
 
-/** A key that is free: its row is released, or its attempt never runs. */
+/** A key that is free: its row is released, or its attempt will never run. */
 export interface FreeClaim {
   readonly version: number;
-  /** The attempt that still stands in the row, proved never to run. */
+  /** The attempt that the row still names, proved never to run. */
   readonly claimed: AttemptId | undefined;
 }
 
 /**
- * Marks the key free, so that a retry needs no word from the agent. Gives the
- * row of another call that has taken the key over, if one has.
+ * Marks the key as free, so that a retry need not contact the agent. Returns
+ * the row of another call if one has taken over the key.
  */
 export function* releaseClaim(
   options: AtMostOnceOptions,
@@ -28,7 +28,7 @@
   return write.kind === 'other' ? write.row : undefined;
 }
 
-/** Records the answer as well as can be; the caller gets it either way. */
+/** Records the answer, best effort: the caller gets it in any case. */
 export function* recordAnswer(
   options: AtMostOnceOptions,
   version: number,
@@ -48,7 +48,7 @@
   });
 }
 
-/** Records that nobody will ever know whether the attempt ran. */
+/** Records that it can never be known whether the attempt ran. */
 export function* recordOutcomeUnknown(
   options: AtMostOnceOptions,
   version: number,
@@ -60,7 +60,7 @@
   yield* overwriteOwnClaim(options, version, row);
 }
 
-/** Writes an end over the claim of the same attempt, and over no other. */
+/** Overwrites the claim of the same attempt with its end, and no other row. */
 function* overwriteOwnClaim(
   options: AtMostOnceOptions,
   version: number,
@@ -70,7 +70,7 @@
   if (write.kind !== 'other') return;
   const found = readClaim(write.row.value);
   if (found.err || found.val.kind !== 'claimed') return;
-  // A claim of another attempt, or an end, must stay as it is.
+  // A claim of another attempt, or a recorded end, must not be overwritten.
   if (attemptOf(found.val) !== attemptOf(row)) return;
   yield* writeClaimRow(options, write.row.version, row);
 }
--- a/packages/core/src/requests/commands/claim_writes.ts
+++ b/packages/core/src/requests/commands/claim_writes.ts
@@ -4,17 +4,19 @@
 import type {AtMostOnceOptions} from './at_most_once_options';
 import {commit, readRow} from './steps';
 
-/** What came of writing the claim row. */
+/** The result of writing the claim row. */
 export type ClaimWrite =
-  /** The row holds what was to be written, at this version. */
+  /** The row has the intended state, at this version. */
   | {readonly kind: 'written'; readonly version: number}
-  /** Somebody else's state stands there. */
+  /** The row has another state. */
   | {readonly kind: 'other'; readonly row: TableRow}
-  /** Not known to be written: it may be there, or land later. */
+  /**
+   * Not known to be written: the write may have taken effect or still do so.
+   */
   | {readonly kind: 'undecided'; readonly retryAfter: number};
 
-// Version of a row's first write; if a table counts otherwise, the first
-// versioned write fails and its reply tells the version.
+// Version of a row after its first write. If a table counts differently, the
+// next conditional write fails and its reply contains the actual version.
 const FIRST_VERSION = 1;
 
 function hasSameState(row: TableRow, claim: ClaimRow): boolean {
@@ -24,7 +26,7 @@
   return attemptOf(found.val) === attemptOf(claim);
 }
 
-/** The attempt that a claim row speaks of. */
+/** The attempt that a claim row names. */
 export function attemptOf(claim: ClaimRow): string {
   return claim.kind === 'claimed' ? claim.address.attempt : claim.attempt;
 }
@@ -37,8 +39,8 @@
   const {key} = options;
   return {
     conditions: [
-      // Two entries that meet one key at once would both dispatch it; the
-      // condition lets one of them win.
+      // Two entries that claim one key at the same time would both dispatch it;
+      // the condition lets only one of them succeed.
       base === undefined
         ? {kind: 'absent', key}
         : {kind: 'versionIs', key, version: base},
@@ -48,9 +50,9 @@
 }
 
 /**
- * Writes the claim row over version `base` (`undefined`: over no row).
- * A lost reply is resolved by reading back; the write is repeated only under
- * its unchanged condition, so that a late copy of it fails.
+ * Writes the claim row if its version is `base` (`undefined`: if there is no
+ * row). A lost reply is resolved by reading the row back. The write is retried
+ * only under its unchanged condition, so that a late duplicate of it fails.
  */
 export function* writeClaimRow(
   options: AtMostOnceOptions,
@@ -80,7 +82,7 @@
     }
     const found = yield* readRow(options.key);
     if (found.err) return {kind: 'undecided', retryAfter: limits.retryAfter};
-    // A row unchanged so far is no proof that the lost write won't land.
+    // An unchanged row does not prove that the lost write won't take effect.
     if (found.val?.version === base) continue;
     return evaluateExistingRow(found.val, claim, limits.retryAfter);
   }
--- a/packages/core/src/requests/commands/existing_claim.ts
+++ b/packages/core/src/requests/commands/existing_claim.ts
@@ -10,7 +10,7 @@
 import {recordAnswer, recordOutcomeUnknown} from './claim_records';
 import type {OwnAttempts} from './own_attempts';
 
-/** What the row that stands at the key means for a call that meets it. */
+/** Decides how a call continues when its key already has a row. */
 export function* handleExistingClaim(
   options: AtMostOnceOptions,
   attempts: OwnAttempts,
@@ -19,7 +19,7 @@
   const found = readClaim(row.value);
   if (found.err) return end(outcomeUnknown('the key has an unknown record'));
   const state = found.val;
-  // One key for two calls would hand one call the other's answer.
+  // One key for two different calls would give one call the other's answer.
   if (state.fingerprint !== options.fingerprint) {
     return end(attempts.endNotRun('keyReused', options.limits.retryAfter));
   }
@@ -58,8 +58,8 @@
       return {kind: 'claim', base: {version, claimed: address.attempt}};
     case 'running':
       return end(attempts.endNotRun('inProgress', options.limits.retryAfter));
-    case 'answerGone':
-      // Its own entry may hold the answer and be about to record it.
+    case 'answerLost':
+      // Its own entry may have the answer and be about to record it.
       return end(outcomeUnknown('the call has run; no answer is recorded'));
     case 'unreachable':
       return end(outcomeUnknown('the target that may run it is silent'));
@@ -71,7 +71,7 @@
   }
 }
 
-/** Records an end that was learnt from the agent or about it. */
+/** Records how an attempt ended, as resolved with its agent. */
 export function* recordEnd(
   options: AtMostOnceOptions,
   version: number,
--- a/packages/core/src/requests/commands/group_commit.ts
+++ b/packages/core/src/requests/commands/group_commit.ts
@@ -8,16 +8,18 @@
   TableTransaction,
 } from '../../types';
 
-/** Identifies one transaction within a group commit, given by its user. */
+/**
+ * Identifies one transaction within a group commit; chosen by the submitter.
+ */
 export type MemberId = number;
 
-/** Several independent transactions as one, to be committed by the driver. */
+/** Several independent transactions merged into one that the driver commits. */
 export interface CommitBatch {
   readonly batch: number;
   readonly transaction: TableTransaction;
 }
 
-/** One transaction's own result. */
+/** The result of one transaction. */
 export interface MemberResult {
   readonly member: MemberId;
   readonly result: Result<CommitOutcome, PlatformError>;
@@ -25,29 +27,34 @@
 
 /** Options of {@link createGroupCommit}. */
 export interface GroupCommitOptions {
-  /** Most rows of one batch; the table allows at most 100. */
+  /** Maximum number of rows in one batch; the table allows at most 100. */
   readonly maximumRows: number;
-  /** How long a transaction waits for company. */
+  /** How long a transaction waits for others to join its batch. */
   readonly window: Milliseconds;
-  /** Most batches on their way at once; more wait, and grow. */
+  /** Maximum number of batches in flight; the next ones wait and grow. */
   readonly maximumInFlight: number;
 }
 
-/** Puts small transactions together; every result goes to its own member. */
+/** Batches small transactions; each member gets its own result. */
 export interface GroupCommit {
   readonly submit: (
     member: MemberId,
     transaction: TableTransaction,
     now: MonotonicInstant,
   ) => void;
-  /** Batches to commit now; each must be settled. */
+  /** Returns the batches to commit now; each must be passed to `settle`. */
   readonly takeDue: (now: MonotonicInstant) => readonly CommitBatch[];
-  /** Takes a batch's reply; members without result go out again at once. */
+  /**
+   * Handles a batch's reply; members without a result are sent again at once.
+   */
   readonly settle: (
     batch: number,
     result: Result<CommitOutcome, PlatformError>,
   ) => readonly MemberResult[];
-  /** When to call `takeDue` next; `undefined`: not before an event. */
+  /**
+   * When to call `takeDue` next; `undefined`: not before the next `submit` or
+   * `settle`.
+   */
   readonly nextDue: () => MonotonicInstant | undefined;
 }
 
@@ -79,7 +86,9 @@
 export function createGroupCommit(options: GroupCommitOptions): GroupCommit {
   const {maximumRows, window, maximumInFlight} = options;
   let waiting: readonly Member[] = [];
-  /** Rests of batches, to go out again by themselves. */
+  /**
+   * What remains of batches that failed in part, to be sent again separately.
+   */
   const retries: (readonly Member[])[] = [];
   const inFlight = new Map<number, readonly Member[]>();
   let batchCount = 0;
@@ -89,8 +98,8 @@
     const selected: Member[] = [];
     const keys = new Set<TableKey>();
     for (const member of waiting) {
-      // Two claims of one key in one transaction would both find the row
-      // absent and both be told that they won: they go out one by one.
+      // Two claims of one key in one transaction would both find the row absent
+      // and both be reported as successful, so they go into separate batches.
       const overlaps = [...member.keys].some(key => keys.has(key));
       if (overlaps) continue;
       const full = keys.size + member.keys.size > maximumRows;
@@ -117,7 +126,9 @@
     return members;
   }
 
-  /** Tells the members that failed, and sends the others again. */
+  /**
+   * Reports the members whose conditions failed and queues the others again.
+   */
   function split(
     members: readonly Member[],
     failed: FailedRows,
@@ -125,8 +136,8 @@
     const atFault = members.filter(
       member => failuresOf(member, failed).length > 0,
     );
-    // A reply that names no member's row can't be acted on; sending the
-    // batch again could go on for ever.
+    // A reply that names no member's row can't be assigned to a member, and
+    // resending the batch could go on forever.
     if (atFault.length === 0) {
       const detail = 'a failed condition without its row';
       return members.map(({member}) => ({
@@ -161,13 +172,13 @@
     },
     settle(batch, result) {
       const members = inFlight.get(batch);
-      // A reply that comes twice must not give a member two results.
+      // A duplicate reply must not give a member two results.
       if (members === undefined) return [];
       inFlight.delete(batch);
       if (result.ok && result.val.kind === 'conditionFailed') {
         return split(members, result.val.failed);
       }
-      // Committed, refused or lost: the same for each, as one transaction.
+      // Committed, refused or lost: one result for all, as for one transaction.
       return members.map(({member}) => ({member, result}));
     },
     nextDue() {
--- a/packages/core/src/requests/commands/own_attempts.ts
+++ b/packages/core/src/requests/commands/own_attempts.ts
@@ -3,22 +3,22 @@
 import type {RequestResult} from '../types';
 import {notRun, outcomeUnknown} from './call_results';
 
-/** The attempts of one call, one after another, and what is proved of them. */
+/** The successive attempts of one call and what is proved about them. */
 export interface OwnAttempts {
-  /** Closes the latest attempt and mints the next. */
+  /** Closes the latest attempt and creates the next. */
   readonly next: () => OwnAttempt;
-  /** Notes proof that the latest attempt never ran. */
+  /** Records proof that the latest attempt never ran. */
   readonly recordNotRun: (evidence: NotRunEvidence) => void;
-  /** Notes why the latest attempt may have run. */
+  /** Records why the latest attempt may have run. */
   readonly recordMayHaveRun: (detail: string) => void;
-  /** `notRun` if every attempt is proved not to run, unknown otherwise. */
+  /** `notRun` if every attempt is proved not to run, otherwise unknown. */
   readonly endNotRun: (
     reason: NotRunReason,
     retryAfter: number,
   ) => RequestResult;
 }
 
-/** Keeps account of a call's attempts. */
+/** Tracks the attempts of one call. */
 export function createOwnAttempts(createAttempt: () => AttemptId): OwnAttempts {
   let latest = createOwnAttempt(createAttempt());
   let proof: NotRunEvidence | undefined;
@@ -26,7 +26,7 @@
 
   function closeLatest(): void {
     proof = latest.disown() ?? proof;
-    // One attempt that may run makes "not run" a lie for the whole call.
+    // If one attempt may run, the call must not be reported as "not run".
     if (proof === undefined) mayHaveRun ??= 'an attempt may have run';
   }
 
--- a/packages/core/src/requests/commands/repeatable_flow.ts
+++ b/packages/core/src/requests/commands/repeatable_flow.ts
@@ -31,7 +31,7 @@
 import type {RepeatableOptions} from './repeatable_options';
 import {chooseTarget, nextEvent} from './steps';
 
-/** How one try ended. */
+/** How one attempt ended. */
 type AttemptEnd =
   | {readonly kind: 'answered'; readonly answer: WholeAnswer}
   | {
@@ -43,7 +43,7 @@
   | {readonly kind: 'failed'; readonly detail: string}
   | {readonly kind: 'callerGone'};
 
-/** What one event means: frames for the caller, and the try's end. */
+/** The result of one event: frames for the caller, and the attempt's end. */
 interface EventOutcome {
   readonly frames: readonly CallerFrame[];
   readonly end: AttemptEnd | undefined;
@@ -62,9 +62,9 @@
 }
 
 /**
- * Serves a call that may be repeated. Frames go to the caller as they come
- * (`emit`); an answer begun is finished with equal frames of the same version
- * or ends without its end frame. Ends by the deadline.
+ * Serves a repeatable call. Frames are sent to the caller as they arrive
+ * (`emit`). An answer that has started is completed with identical frames of
+ * the same version, or ends without its end frame. Ends at the deadline.
  */
 export function* createRepeatableFlow(
   options: RepeatableOptions,
@@ -78,7 +78,7 @@
 
   for (let attempted = 0; attempted < limits.maxAttempts; attempted += 1) {
     if (now() >= deadline) break;
-    // Retries of everybody at once would keep a struggling site down.
+    // Simultaneous retries of all callers would keep an overloaded site down.
     if (attempted > 0 && !options.spendRetry()) {
       return attempts.endNotRun('retryBudgetSpent', retryAfter);
     }
@@ -108,8 +108,8 @@
         ({reason, retryAfter} = attemptEnd);
         break;
       case 'failed':
-        // It may have run: without this note a later refusal elsewhere would
-        // pass for "not run".
+        // It may have run. Without this record, a later refusal by another
+        // target would be reported as "not run".
         attempts.recordMayHaveRun(attemptEnd.detail);
         break;
       default:
@@ -153,7 +153,7 @@
       yield* cancelUnlessEnded(eventOutcome.end, effect.address);
       return eventOutcome.end;
     }
-    // Frames of other attempts must not keep the call past its deadline.
+    // Frames of other attempts must not extend the call past its deadline.
     if (now() >= deadline) {
       yield {kind: 'cancel', address: effect.address};
       return failed('no end by the deadline');
@@ -167,7 +167,7 @@
   }
 }
 
-/** Stops the work for an answer that nobody waits for any more. */
+/** Cancels an attempt whose answer is no longer needed. */
 function* cancelUnlessEnded(
   attemptEnd: AttemptEnd,
   address: AttemptAddress,
@@ -215,12 +215,12 @@
   return {kind: 'refused', evidence, reason, retryAfter};
 }
 
-/** Passes what the assembler accepted to the caller. */
+/** Forwards to the caller what the assembler accepted. */
 function forwardFrame(stream: CallerStream, result: FrameResult): EventOutcome {
   if (result.kind === 'dropped') return CONTINUE;
   if (result.kind === 'broken') return endWith(failed(result.detail));
   const frames = stream.take(result);
-  if (frames === 'differs') return endWith(failed('another answer than begun'));
+  if (frames === 'differs') return endWith(failed('another answer was begun'));
   if (result.kind !== 'complete') return {frames, end: undefined};
   return {frames, end: {kind: 'answered', answer: result.answer}};
 }
--- a/packages/core/src/requests/commands/repeatable_options.ts
+++ b/packages/core/src/requests/commands/repeatable_options.ts
@@ -3,15 +3,15 @@
 
 /** Bounds of one repeatable request. */
 export interface RepeatableLimits extends AnswerLimits {
-  /** Most targets tried, the first included. */
+  /** Maximum number of targets tried, including the first. */
   readonly maxAttempts: number;
-  /** Longest silence of a stream before the request goes elsewhere. */
+  /** Maximum silence of a stream before another target is tried. */
   readonly silence: Milliseconds;
-  /** When to come back, where nobody else says so. */
+  /** Retry delay for callers where no refusal gives one. */
   readonly retryAfter: Milliseconds;
 }
 
-/** Limits for a site of today's size. */
+/** Default limits of a repeatable request. */
 export const DEFAULT_REPEATABLE_LIMITS: RepeatableLimits = {
   answerBytes: 4 * 1024 * 1024,
   maxAttempts: 3,
@@ -20,14 +20,14 @@
   retryAfter: 1000,
 };
 
-/** Input of one call that may be repeated. */
+/** Input of one repeatable call. */
 export interface RepeatableOptions {
   readonly deadline: MonotonicInstant;
   readonly limits: RepeatableLimits;
   readonly now: () => MonotonicInstant;
-  /** Mints an attempt, never the same twice; see `createAttemptSource`. */
+  /** Creates a unique attempt; see `createAttemptSource`. */
   readonly createAttempt: () => AttemptId;
   readonly createDigester: CreateDigester;
-  /** Asks the retry budget for one more try; `false` if it is spent. */
+  /** Takes one retry from the retry budget; `false` if it is exhausted. */
   readonly spendRetry: () => boolean;
 }
--- a/packages/core/src/requests/commands/steps.ts
+++ b/packages/core/src/requests/commands/steps.ts
@@ -50,13 +50,13 @@
     {readonly kind: 'dispatch' | 'collect' | 'awaitEvent'}
   >,
 ): RequestFlow<AttemptEvent> {
-  // Written out: this step runs once for each token.
+  // Does without `perform`, since this step runs once for each token.
   const reply = yield effect;
   if (reply.kind === 'event') return reply.event;
   throw new Error(`${effect.kind} was replied to with ${reply.kind}`);
 }
 
-/** Asks for a tombstone; `undefined` if no answer came. */
+/** Requests a tombstone; `undefined` if no answer arrived in time. */
 export function* requestTombstone(
   effect: TombstoneEffect,
 ): RequestFlow<TombstoneAnswer | undefined> {
--- a/packages/core/src/requests/evidence.ts
+++ b/packages/core/src/requests/evidence.ts
@@ -12,8 +12,8 @@
 declare const builtByOwnAttempt: unique symbol;
 
 /**
- * Sends an attempt to its agent. Built only by {@link OwnAttempt}, so that
- * nothing can be dispatched without the attempt remembering it.
+ * Sends an attempt to its agent. Only {@link OwnAttempt} builds it, so that
+ * every dispatch is recorded in its attempt.
  */
 export interface DispatchEffect {
   readonly [builtByOwnAttempt]: true;
@@ -21,9 +21,11 @@
   readonly address: AttemptAddress;
   /** The driver replies `timedOut` at this instant. */
   readonly until: MonotonicInstant;
-  /** End of the caller's interest; the agent gets what is left of it. */
+  /** The caller's deadline. The agent is sent the time that remains. */
   readonly deadline: MonotonicInstant;
-  /** Present if the rest of an answer begun is asked for: no other version. */
+  /**
+   * Set to resume an answer that has started: no other version may serve it.
+   */
   readonly versionDigest: VersionDigest | undefined;
 }
 
@@ -34,7 +36,7 @@
   readonly incarnation: Incarnation;
 }
 
-/** An attempt that this flow minted: it alone can dispatch or disown it. */
+/** An attempt created by this flow, which alone can dispatch or disown it. */
 export interface OwnAttempt {
   readonly attempt: AttemptId;
   /** Builds the dispatch, once. Throws if disowned or already dispatched. */
@@ -42,9 +44,14 @@
     destination: AttemptDestination,
     terms: Pick<DispatchEffect, 'until' | 'deadline' | 'versionDigest'>,
   ) => DispatchEffect;
-  /** Gives the attempt up for good; `undefined` once it was dispatched. */
+  /**
+   * Abandons the attempt for good; `undefined` if it was already dispatched.
+   */
   readonly disown: () => NotRunEvidence | undefined;
-  /** `undefined` unless the refusal is for this attempt at this incarnation. */
+  /**
+   * Evidence from a refusal; `undefined` unless the refusal is for this attempt
+   * at the addressed incarnation.
+   */
   readonly refused: (event: RefusedEvent) => NotRunEvidence | undefined;
 }
 
@@ -53,14 +60,15 @@
   | {readonly kind: 'disowned'}
   | {readonly kind: 'dispatched'; readonly address: AttemptAddress};
 
-/** Takes charge of a newly minted attempt. */
+/** Wraps a newly created attempt. */
 export function createOwnAttempt(attempt: AttemptId): OwnAttempt {
   let state: OwnAttemptState = {kind: 'fresh'};
   return {
     attempt,
     dispatch(destination, terms) {
       // A disowned attempt was reported as not run, and a second dispatch of
-      // one attempt could reach another agent: both would falsify evidence.
+      // the same attempt could reach another agent. Either would invalidate the
+      // evidence.
       if (state.kind !== 'fresh') {
         throw new Error(`attempt ${attempt} is ${state.kind}`);
       }
@@ -77,8 +85,8 @@
     },
     refused(event) {
       if (state.kind !== 'dispatched') return undefined;
-      // A refusal by another incarnation says nothing about the one that was
-      // addressed: a doubled message may have started the attempt there.
+      // A refusal by another incarnation proves nothing about the addressed
+      // one, where a duplicate of the message may have started the attempt.
       if (event.incarnation !== state.address.incarnation) return undefined;
       if (event.attempt !== attempt) return undefined;
       const {incarnation} = event;
@@ -92,15 +100,15 @@
 }
 
 /**
- * Evidence from an agent's answer to a tombstone; `undefined` unless that
- * same incarnation confirmed it for that same attempt.
+ * Evidence from an agent's answer to a tombstone request; `undefined` unless
+ * the addressed incarnation confirmed the tombstone for this attempt.
  */
 export function evidenceOfTombstone(
   address: AttemptAddress,
   answer: TombstoneAnswer,
 ): NotRunEvidence | undefined {
   if (answer.state !== 'tombstoned') return undefined;
-  // Another incarnation knows nothing of what this one started.
+  // Another incarnation does not know what the addressed one has started.
   if (answer.incarnation !== address.incarnation) return undefined;
   if (answer.attempt !== address.attempt) return undefined;
   const {attempt, incarnation} = address;
--- a/packages/core/src/requests/queries/answer_encoding.ts
+++ b/packages/core/src/requests/queries/answer_encoding.ts
@@ -1,6 +1,6 @@
 const LENGTH_PREFIX_BYTES = 4;
 
-/** All frames in one piece: each with its length before it. */
+/** Encodes all frames into one array, each prefixed with its length. */
 export function encodeFrames(frames: readonly Uint8Array[]): Uint8Array {
   const size = frames.reduce(
     (sum, frame) => sum + LENGTH_PREFIX_BYTES + frame.length,
@@ -17,7 +17,9 @@
   return encoded;
 }
 
-/** The frames of {@link encodeFrames}; `undefined` if not whole. */
+/**
+ * Decodes the result of {@link encodeFrames}; `undefined` if it is truncated.
+ */
 export function decodeFrames(
   encoded: Uint8Array,
 ): readonly Uint8Array[] | undefined {
@@ -39,14 +41,14 @@
   return frames;
 }
 
-/** Bytes as base64 text. */
+/** Encodes bytes as base64. */
 export function toBase64(bytes: Uint8Array): string {
   let text = '';
   for (const byte of bytes) text += String.fromCharCode(byte);
   return btoa(text);
 }
 
-/** Bytes of a base64 text; `undefined` if it is none. */
+/** Decodes base64; `undefined` if the text is not valid. */
 export function fromBase64(base64: string): Uint8Array | undefined {
   try {
     return Uint8Array.from(atob(base64), character => character.charCodeAt(0));
--- a/packages/core/src/requests/queries/attempt_id.ts
+++ b/packages/core/src/requests/queries/attempt_id.ts
@@ -1,21 +1,23 @@
 import type {AttemptId} from '../../types';
 
-/** An attempt's parts: who minted it and as its how-manieth. */
+/**
+ * The parts of an attempt's identifier: who created it, and a sequence number.
+ */
 export interface AttemptParts {
-  /** One life of one entry; never used again by another. */
+  /** One incarnation of one entry; never reused by another. */
   readonly sender: string;
-  /** Rises with each attempt that the sender mints. */
+  /** Increases with each attempt that the sender creates. */
   readonly sequence: number;
 }
 
 const SEPARATOR = '#';
 
-/** Writes an attempt's identifier. */
+/** Formats an attempt's identifier. */
 export function formatAttempt(parts: AttemptParts): AttemptId {
   return `${parts.sender}${SEPARATOR}${parts.sequence}`;
 }
 
-/** Reads an attempt's parts; `undefined` if it is not well formed. */
+/** Parses an attempt's identifier; `undefined` if it is malformed. */
 export function parseAttempt(attempt: AttemptId): AttemptParts | undefined {
   const at = attempt.lastIndexOf(SEPARATOR);
   if (at <= 0) return undefined;
@@ -27,8 +29,8 @@
 }
 
 /**
- * Mints attempts for one life of an entry. `sender` must never be used by
- * another life: the entry's instance name with a random part.
+ * Creates unique attempts for one incarnation of an entry. `sender` must never
+ * be used by another: it is the entry's instance name with a random part.
  */
 export function createAttemptSource(sender: string): () => AttemptId {
   let sequence = 0;
--- a/packages/core/src/requests/queries/claim_row.ts
+++ b/packages/core/src/requests/queries/claim_row.ts
@@ -10,12 +10,12 @@
 } from '../../types';
 import type {AttemptAddress} from '../types';
 
-/** Where a recorded answer's bytes are. */
+/** Where the bytes of a recorded answer are stored. */
 export type RecordedBody =
   | {readonly kind: 'inline'; readonly base64: string}
   | {readonly kind: 'object'; readonly key: string; readonly digest: Digest};
 
-/** What the table says about one key of one workspace. */
+/** The state of one key of one workspace, as stored in the table. */
 export type ClaimRow = {
   /** Digest of operation and body: the same key must mean the same call. */
   readonly fingerprint: Digest;
@@ -61,18 +61,18 @@
   return `agents/${instance}`;
 }
 
-/** The incarnation in an agent's row; `undefined` if it holds none. */
+/** The incarnation in an agent's row; `undefined` if it has none. */
 export function readIncarnation(value: JsonValue): number | undefined {
   const {incarnation} = fieldsOf(value);
   return typeof incarnation === 'number' ? incarnation : undefined;
 }
 
-/** The row's value as stored. */
+/** Encodes a claim as the value of its row. */
 export function writeClaim(claim: ClaimRow): JsonValue {
   return JSON.parse(JSON.stringify(claim)) as JsonValue;
 }
 
-/** Reads a row's value. */
+/** Decodes the value of a claim row. */
 export function readClaim(value: JsonValue): Result<ClaimRow, MalformedClaim> {
   const fields = fieldsOf(value);
   const {fingerprint} = fields;
--- a/packages/core/src/requests/types.ts
+++ b/packages/core/src/requests/types.ts
@@ -20,25 +20,25 @@
 import type {Result} from 'ts-results';
 import type {DispatchEffect} from './evidence';
 
-/** Hashes bytes as they come; `finish` may be called once. */
+/** Hashes bytes incrementally; `finish` may be called once. */
 export interface Digester {
   readonly update: (bytes: Uint8Array) => void;
   readonly finish: () => Digest;
 }
 
-/** Starts a SHA-256 digest; given in, since core has no I/O. */
+/** Starts a SHA-256 digest; injected, since core does no I/O. */
 export type CreateDigester = () => Digester;
 
-/** The one agent life that may start an attempt. */
+/** The one agent incarnation that may start an attempt. */
 export interface AttemptAddress {
   readonly attempt: AttemptId;
   readonly target: TargetName;
-  /** The agent's instance; its incarnation is the row `agents/<instance>`. */
+  /** The agent's instance; the row `agents/<instance>` has its incarnation. */
   readonly instance: InstanceName;
   readonly incarnation: Incarnation;
 }
 
-/** A whole answer, checked against its end frame. */
+/** A complete answer, checked against its end frame. */
 export interface WholeAnswer {
   readonly attempt: AttemptId;
   readonly versionDigest: VersionDigest | undefined;
@@ -48,7 +48,7 @@
   readonly digest: Digest;
 }
 
-/** What an agent sends for an attempt; equals `ServeFrame` on the wire. */
+/** A frame that an agent sends for an attempt; `ServeFrame` on the wire. */
 export type AttemptFrame =
   | {
       readonly kind: 'started';
@@ -60,7 +60,7 @@
   | {
       readonly kind: 'data';
       readonly attempt: AttemptId;
-      /** Rises by one from 0. */
+      /** Increases by one from 0. */
       readonly sequence: number;
       readonly content: Uint8Array;
     }
@@ -71,7 +71,9 @@
       readonly digest: Digest;
     };
 
-/** The agent's word that it has not started the attempt and never will. */
+/**
+ * The agent's confirmation that it has not started the attempt and never will.
+ */
 export interface RefusedEvent {
   readonly kind: 'refused';
   readonly attempt: AttemptId;
@@ -92,23 +94,23 @@
     }
   /** The stream broke off, or could not be opened. It may have run. */
   | {readonly kind: 'cut'; readonly detail: string}
-  /** Nothing came until the instant that the effect named. */
+  /** No event arrived before the instant that the effect names. */
   | {readonly kind: 'timedOut'}
   | {readonly kind: 'callerGone'};
 
-/** An agent's answer to a tombstone, about one attempt. */
+/** An agent's answer to a tombstone request for one attempt. */
 export interface TombstoneAnswer {
   readonly attempt: AttemptId;
-  /** Of the agent that answers. */
+  /** Incarnation of the agent that answers. */
   readonly incarnation: Incarnation;
   readonly state:
-    /** Never started, and from now on never will. */
+    /** Never started, and never will. */
     | 'tombstoned'
     | 'started'
     | 'finished'
-    /** No record any more: it may have run, and never will from now on. */
+    /** The record was dropped: it may have run, but won't from now on. */
     | 'forgotten'
-    /** The agent lives another life and cannot know. */
+    /** The agent is another incarnation and can't know. */
     | 'otherIncarnation';
 }
 
@@ -127,13 +129,13 @@
   readonly until: MonotonicInstant;
 }
 
-/** Ends interest in an attempt; the agent may stop its work. */
+/** Cancels an attempt; the agent may stop its work. */
 export interface CancelEffect {
   readonly kind: 'cancel';
   readonly address: AttemptAddress;
 }
 
-/** Asks the agent to make sure that the attempt never starts. */
+/** Asks the agent to ensure that the attempt never starts. */
 export interface TombstoneEffect {
   readonly kind: 'tombstone';
   readonly address: AttemptAddress;
@@ -147,16 +149,19 @@
   readonly duration: Milliseconds;
 }
 
-/** Asks routing for a target; the driver may queue it until `until`. */
+/**
+ * Requests a target from routing; the driver may queue the request until
+ * `until`.
+ */
 export interface ChooseTargetEffect {
   readonly kind: 'chooseTarget';
   readonly exclude: readonly TargetName[];
-  /** Present once a version is settled: only targets that serve it. */
+  /** Set once the answer has a version: only targets that serve it qualify. */
   readonly versionDigest: VersionDigest | undefined;
   readonly until: MonotonicInstant;
 }
 
-/** Passes a frame of the answer to the caller. */
+/** Sends a frame of the answer to the caller. */
 export interface EmitEffect {
   readonly kind: 'emit';
   readonly frame:
@@ -189,7 +194,7 @@
   readonly key: string;
 }
 
-/** Everything that a request flow asks of its driver. */
+/** All effects that a request flow yields to its driver. */
 export type RequestEffect =
   | ReadRowEffect
   | CommitEffect
@@ -228,7 +233,7 @@
   | {readonly kind: 'event'; readonly event: AttemptEvent}
   | {
       readonly kind: 'tombstone';
-      /** `undefined`: no answer came. */
+      /** `undefined` if no answer arrived. */
       readonly answer: TombstoneAnswer | undefined;
     }
   | {readonly kind: 'choice'; readonly choice: TargetChoice}
@@ -240,10 +245,10 @@
       readonly result: Result<Uint8Array, PlatformError>;
     };
 
-/** A step or flow of this part. */
+/** A request flow or a step of one. */
 export type RequestFlow<Outcome> = Flow<RequestEffect, RequestReply, Outcome>;
 
-/** A request's final answer, with the bytes if it was answered. */
+/** The result of a request, with the answer's bytes if there are any. */
 export interface RequestResult {
   readonly outcome: RequestOutcome;
   /** Present if answered by a flow that does not emit. */
@@ -252,6 +257,6 @@
 
 /** Bounds on one answer. */
 export interface AnswerLimits {
-  /** An answer above this fails. */
+  /** Maximum size of an answer; a larger one fails. */
   readonly answerBytes: Bytes;
 }
--- a/test/requests/answer_assembler.test.ts
+++ b/test/requests/answer_assembler.test.ts
@@ -58,10 +58,11 @@
 ];
 const anyFrame = fc.constantFrom(...mine, ...mine, ...mine, ...stray);
 
-// Answers come late, doubled and crossed on one connection, and streams break
-// off. What is passed on as an answer must be all of it and nothing else.
+// Frames arrive late, duplicated and interleaved on one connection, and streams
+// break off. Whatever is forwarded as an answer must be complete and contain
+// nothing else.
 describe('an answer assembler', () => {
-  test('completes only the whole answer to its own attempt', () => {
+  test('completes only the complete answer to its own attempt', () => {
     fc.assert(
       fc.property(fc.array(anyFrame, {maxLength: 16}), frames => {
         for (const answer of completed(assemble(frames))) {
@@ -74,7 +75,7 @@
     );
   });
 
-  test('completes in spite of foreign and doubled frames', () => {
+  test('completes an answer despite foreign and duplicate frames', () => {
     const foreign = framesOf('theirs#1', 'version-b');
     fc.assert(
       fc.property(fc.array(fc.nat(4), {minLength: 5, maxLength: 5}), extras => {
@@ -98,7 +99,7 @@
     ['a frame changed', mine.toSpliced(2, 1, stray.at(-2)!)],
     ['a second version', mine.toSpliced(2, 0, stray[5]!)],
     ['a start by another incarnation', [stray.at(-1)!, ...mine.slice(1)]],
-  ])('makes no answer of a stream with %s', (_name, frames) => {
+  ])('completes no answer from a stream with %s', (_name, frames) => {
     expect(completed(assemble(frames))).toEqual([]);
   });
 });
--- a/test/requests/at_most_once.test.ts
+++ b/test/requests/at_most_once.test.ts
@@ -39,12 +39,11 @@
   return call.result?.outcome.kind === 'answered';
 }
 
-// A dealer sends a settlement notice; the answer is late and the dealer sends
-// it again through another entry. Meanwhile replies of the table get lost,
-// entries are killed or paused, agents restart, messages come late or twice.
-// Two loans on one vehicle would be the end of it; a "not run" that runs
-// later, or the answer to another notice, are as bad.
-describe('a call that may not be repeated', () => {
+// A caller retries a call through another entry because its answer is late.
+// Meanwhile table replies get lost, entries are killed or paused, agents
+// restart, and messages arrive late or twice. The call must not run twice, run
+// after it was reported as not run, or return the answer to another call.
+describe('an at-most-once call', () => {
   test('runs at most once per key', () => {
     checkEverySimulation(({runs}) => expect(runs).toBeLessThanOrEqual(1));
   });
@@ -58,7 +57,7 @@
     });
   });
 
-  test('gets exactly its own whole answer or none', () => {
+  test('gets exactly its own complete answer or none', () => {
     checkEverySimulation(({calls}) => {
       for (const call of calls.filter(isAnswered)) {
         const {attempt} = call.result!.answer!;
@@ -76,7 +75,7 @@
     });
   });
 
-  test('is answered the same once its answer is recorded', () => {
+  test('returns the same answer to every caller once it is recorded', () => {
     checkEverySimulation(({calls, recorded, lastRetry}) => {
       expect(new Set(recorded).size).toBeLessThanOrEqual(1);
       const answers = calls.filter(isAnswered).map(textsOf);
@@ -86,7 +85,7 @@
   });
 });
 
-test('the worlds reach every kind of end', () => {
+test('the simulations reach every kind of end', () => {
   const seen = new Map<string, number>();
   fc.assert(
     fc.property(choices, bounds, (chosen, bound) => {
--- a/test/requests/attempt_registry.test.ts
+++ b/test/requests/attempt_registry.test.ts
@@ -28,10 +28,10 @@
   answered: fc.boolean(),
 });
 
-// Messages to an agent come late and twice. An agent that forgot a finished or
-// tombstoned attempt, to keep its memory bounded, would run it again.
+// Messages to an agent arrive late and twice. An agent that forgets a finished
+// or tombstoned attempt, to bound its memory, would run it again.
 describe('an attempt registry', () => {
-  test('starts each attempt once at most and never after saying it will not', () => {
+  test('starts each attempt at most once and never after reporting it as not run', () => {
     fc.assert(
       fc.property(bounds, fc.array(step, {maxLength: 60}), (options, steps) => {
         const registry = createAttemptRegistry(options);
@@ -90,7 +90,7 @@
     );
   });
 
-  test('starts nothing new once it is leaving, and finishes what runs', () => {
+  test('starts no new attempts while leaving, but finishes the running ones', () => {
     const registry = createAttemptRegistry({
       incarnation: INCARNATION,
       maximumRunning: 9,
@@ -113,7 +113,7 @@
     expect(registry.collect('entry#1', INCARNATION, 52)).toBeUndefined();
   });
 
-  test('reads back every attempt identifier that it can write', () => {
+  test('parses every attempt identifier that it can format', () => {
     fc.assert(
       fc.property(
         fc.string({minLength: 1}),
--- a/test/requests/evidence.test.ts
+++ b/test/requests/evidence.test.ts
@@ -33,20 +33,20 @@
 }
 
 describe('evidence that an attempt did not run', () => {
-  test('is had of an attempt that was never dispatched, and seals it', () => {
+  test('exists for an attempt that was never dispatched and no longer can be', () => {
     const own = createOwnAttempt('entry#1');
     expect(own.disown()).toMatchObject({kind: 'neverDispatched'});
     expect(() => own.dispatch(destination, terms)).toThrow('disowned');
   });
 
-  test('is not had by disowning a dispatched attempt, dispatched once only', () => {
+  test('does not exist after disowning a dispatched attempt, which is dispatched only once', () => {
     const own = createOwnAttempt('entry#1');
     own.dispatch(destination, terms);
     expect(own.disown()).toBeUndefined();
     expect(() => own.dispatch(destination, terms)).toThrow('dispatched');
   });
 
-  test('is had of a refusal by the addressed life for this attempt only', () => {
+  test('exists for a refusal only by the addressed incarnation and for this attempt', () => {
     const own = createOwnAttempt('entry#1');
     expect(own.refused(refusal('entry#1', 4))).toBeUndefined();
     own.dispatch(destination, terms);
@@ -55,7 +55,7 @@
     expect(own.refused(refusal('entry#1', 4))).toBeDefined();
   });
 
-  test('is had of a tombstone by the addressed life for this attempt only', () => {
+  test('exists for a tombstone only of the addressed incarnation and for this attempt', () => {
     const answer = {
       attempt: 'entry#1',
       incarnation: 4,
@@ -73,7 +73,7 @@
     ).toBeUndefined();
   });
 
-  test('is built in one file only', () => {
+  test('is created in one file only', () => {
     const files = readdirSync('packages', {
       recursive: true,
       encoding: 'utf8',
@@ -86,7 +86,7 @@
 });
 
 describe('a claim row', () => {
-  test('is read back as it was written', () => {
+  test('decodes to what was encoded', () => {
     const text = fc.string();
     const fields = {fingerprint: text, attempt: text};
     const body = fc.oneof(
@@ -136,7 +136,7 @@
   });
 });
 
-/** Runs a call against a fixed world: one target, the given events. */
+/** Runs a call against one target with the given events. */
 function runCall(
   events: (now: number) => AttemptEvent,
   objectContent?: Uint8Array,
@@ -197,17 +197,17 @@
   return {outcome, now, effects};
 }
 
-// A target is frozen: it takes the call and says nothing more. The counter
-// must hear something by its deadline and not stand there for the morning.
+// A frozen target takes the call and sends nothing. Without the deadline the
+// caller would wait forever.
 test('a call whose target is frozen ends at its deadline', () => {
   const cut = runCall(() => ({kind: 'cut', detail: ''}));
   expect(cut).toMatchObject({outcome: 'outcomeUnknown'});
   expect(cut.now).toBeLessThan(1200);
 });
 
-// An entry is paused between its claim and its dispatch. When it wakes, the
-// dealer has long gone to another counter; a call that starts now would
-// surprise everybody. The key is freed for the next retry.
+// An entry is paused between its claim and its dispatch. When it resumes, the
+// caller has given up, so the call must not start. The key is freed for the
+// next retry.
 test('a call that was paused past its deadline dispatches nothing', () => {
   const paused = runCall(
     () => ({kind: 'timedOut'}),
@@ -219,17 +219,18 @@
   expect(paused.effects).toEqual(['chooseTarget', 'commit', 'commit']);
 });
 
-// Frames of another call keep coming on this call's stream, without end.
-test('a call that gets foreign frames only ends at its deadline', () => {
+// Frames of another call keep arriving on this call's stream. Without the
+// deadline check the call would never end.
+test('a call that receives only foreign frames ends at its deadline', () => {
   const foreign = {kind: 'failed', attempt: 'another#1', detail: ''} as const;
   const ended = runCall(() => foreign);
   expect(ended).toMatchObject({outcome: 'outcomeUnknown'});
   expect(ended.now).toBeLessThan(1200);
 });
 
-// A recorded answer was damaged in the object store. A retry that is shown
-// the damaged bytes would book another sum than the first caller did.
-test('a recorded answer whose bytes are damaged is not passed off as one', () => {
+// A recorded answer was corrupted in the object store. Without the digest check
+// a retry would get another answer than the first caller did.
+test('a recorded answer whose bytes are corrupted is not returned', () => {
   const frames = [bytesOf('settled: 100')];
   const row = {
     kind: 'answered',
--- a/test/requests/fake_agent.ts
+++ b/test/requests/fake_agent.ts
@@ -9,7 +9,7 @@
 } from '@hibiscusbeam/core';
 import {bytesOf, digestOf} from './sha256_digester';
 
-/** A dispatch on its way, with the text that its run would answer. */
+/** A dispatch in flight, with the text that its run would answer. */
 export interface Dispatch {
   readonly address: AttemptAddress;
   readonly text: string;
@@ -21,26 +21,28 @@
   readonly life: AttemptRegistry;
 }
 
-/** The bounds that a world's agents work with. */
+/** The bounds of the agents of a simulation. */
 export interface FakeAgentBounds {
   readonly maximumRecords: number;
   readonly maximumRunning: number;
   readonly answerBytes: number;
 }
 
-/** One target's agent over its lives, the latest last. */
+/** One target's agent over several incarnations. */
 export interface FakeAgent {
   readonly instance: string;
   readonly incarnation: () => number;
-  /** Delivers to the latest life, or to a paused one that has woken. */
-  readonly deliver: (dispatch: Dispatch, toOldLife: boolean) => void;
+  /**
+   * Delivers to the latest incarnation, or to a paused one that has resumed.
+   */
+  readonly deliver: (dispatch: Dispatch, toOldIncarnation: boolean) => void;
   readonly tombstone: (
     address: AttemptAddress,
-    toOldLife: boolean,
+    toOldIncarnation: boolean,
   ) => TombstoneAnswer;
   readonly collect: (address: AttemptAddress, reply: Dispatch['reply']) => void;
-  /** Starts a new life; a paused old one stays able to act. */
-  readonly restart: (oldLife: 'killed' | 'paused') => void;
+  /** Starts a new incarnation; a paused old one can still act. */
+  readonly restart: (oldIncarnation: 'killed' | 'paused') => void;
   readonly toggleLeaving: () => void;
   readonly runs: () => readonly Run[];
   readonly finish: (run: Run, how: 'answered' | 'failed') => void;
@@ -95,9 +97,9 @@
     });
   }
 
-  function life(old: boolean): AttemptRegistry {
+  function registryOf(old: boolean): AttemptRegistry {
     const found = old ? registries[0] : registries.at(-1);
-    if (found === undefined) throw new Error('no life');
+    if (found === undefined) throw new Error('no such incarnation');
     return found;
   }
 
@@ -105,10 +107,10 @@
     instance,
     incarnation: () => incarnation,
     runs: () => runs,
-    deliver(dispatch, toOldLife) {
+    deliver(dispatch, toOldIncarnation) {
       const {address, reply} = dispatch;
       const {attempt} = address;
-      const registry = life(toOldLife);
+      const registry = registryOf(toOldIncarnation);
       const decision = registry.start(attempt, address.incarnation, now());
       switch (decision.kind) {
         case 'start':
@@ -123,20 +125,22 @@
           return reply({kind: 'failed', attempt, detail: decision.detail});
       }
     },
-    tombstone: ({attempt, incarnation: addressed}, toOldLife) =>
-      life(toOldLife).tombstone(attempt, addressed),
+    tombstone: ({attempt, incarnation: addressed}, toOldIncarnation) =>
+      registryOf(toOldIncarnation).tombstone(attempt, addressed),
     collect({attempt, incarnation: addressed}, reply) {
-      const answer = life(false).collect(attempt, addressed, now());
+      const answer = registryOf(false).collect(attempt, addressed, now());
       if (answer === undefined) {
         return reply({kind: 'failed', attempt, detail: 'not kept'});
       }
       framesOf(answer, addressed).forEach(reply);
     },
-    restart(oldLife) {
+    restart(oldIncarnation) {
       incarnation += 1;
-      const old = life(false);
+      const old = registryOf(false);
       registries =
-        oldLife === 'paused' ? [old, createRegistry()] : [createRegistry()];
+        oldIncarnation === 'paused'
+          ? [old, createRegistry()]
+          : [createRegistry()];
       runs = runs.filter(run => registries.includes(run.life));
       onIncarnation(incarnation);
     },
--- a/test/requests/group_commit.test.ts
+++ b/test/requests/group_commit.test.ts
@@ -35,11 +35,11 @@
   {maxLength: 20},
 );
 
-// Two counters claim the same key within one window. If both claims went into
-// one transaction, both would be told that the key is theirs, and both would
-// send the settlement notice.
+// Two entries claim the same key within one window. If both claims went into
+// one transaction, both would be reported as successful and the call would run
+// twice.
 describe('group commit', () => {
-  test('gives each member its own one result and each key one winner', () => {
+  test('gives each member exactly one result and each key one winner', () => {
     fc.assert(
       fc.property(
         members,
@@ -110,7 +110,7 @@
     );
   });
 
-  test('lets nobody wait for a batch whose failure names no member', () => {
+  test('fails all members of a batch whose failure names none of them', () => {
     const group = createGroupCommit({
       maximumRows: MAX_ROWS,
       window: 0,
--- a/test/requests/repeatable.test.ts
+++ b/test/requests/repeatable.test.ts
@@ -23,14 +23,14 @@
 
 /** What one target does with the request. */
 interface Script {
-  readonly kind: 'serves' | 'refuses' | 'refusesAsOtherLife' | 'fails';
+  readonly kind: 'serves' | 'refuses' | 'refusesAsOtherIncarnation' | 'fails';
   readonly version: string;
   /** Engines may word an answer differently each time. */
   readonly wording: string;
   readonly damage: readonly Damage[];
 }
 
-interface Log {
+interface CallLog {
   readonly frames: readonly EmitEffect['frame'][];
   readonly dispatched: readonly AttemptAddress[];
   readonly cancelled: readonly AttemptAddress[];
@@ -54,7 +54,7 @@
     return [{kind: 'failed', attempt, detail: 'engine fault'}];
   }
   if (script.kind !== 'serves') {
-    const other = script.kind === 'refusesAsOtherLife' ? 1 : 0;
+    const other = script.kind === 'refusesAsOtherIncarnation' ? 1 : 0;
     return [
       {
         kind: 'refused',
@@ -101,12 +101,12 @@
   }
 }
 
-/** Runs the flow against one script per target, the caller staying or not. */
+/** Runs the flow against one script per target; the caller may leave. */
 function serve(
   scripts: readonly Script[],
   callerLeavesAt: number,
   retryBudget: number,
-): Log {
+): CallLog {
   let now = 0;
   let retries = 0;
   let events: AttemptEvent[] = [];
@@ -145,7 +145,8 @@
           (script, target) =>
             !effect.exclude.includes(`target-${target}`) &&
             (effect.versionDigest === undefined ||
-              // Routing's view may be old: a target may have swapped.
+              // Routing's view may be outdated: a target may have swapped
+              // versions.
               script.wording === 'swapped' ||
               script.version === effect.versionDigest),
         );
@@ -205,7 +206,7 @@
     'serves',
     'serves',
     'refuses',
-    'refusesAsOtherLife',
+    'refusesAsOtherIncarnation',
     'fails',
   ),
   version: fc.constantFrom('version-a', 'version-a', 'version-b'),
@@ -214,7 +215,9 @@
 });
 const scripts = fc.array(script, {maxLength: 6});
 
-function everyCase(check: (log: Log, chosen: readonly Script[]) => void): void {
+function checkEveryCase(
+  check: (log: CallLog, chosen: readonly Script[]) => void,
+): void {
   fc.assert(
     fc.property(
       scripts,
@@ -229,13 +232,13 @@
   );
 }
 
-// A call centre reads an answer while it is written. Its target dies half way
-// and the request goes elsewhere; frames get lost, doubled or crossed, and the
-// next target may serve another version or word the answer differently. A
-// spliced answer would look whole and be wrong.
-describe('a call that may be repeated', () => {
-  test('sends one whole answer of one version, or no end frame', () => {
-    everyCase(({frames, result}) => {
+// A caller reads an answer while it is generated. Its target fails halfway and
+// the request goes to another one. Frames get lost, duplicated or mixed up, and
+// the next target may serve another version or word the answer differently. A
+// spliced answer would look complete and be wrong.
+describe('a repeatable call', () => {
+  test('sends one complete answer of one version, or no end frame', () => {
+    checkEveryCase(({frames, result}) => {
       const [start, ...rest] = frames;
       const data = rest.filter(frame => frame.kind === 'data');
       expect(data.map(frame => frame.sequence)).toEqual(
@@ -259,8 +262,8 @@
     });
   });
 
-  test('sends no frame of two versions', () => {
-    everyCase(({frames}) => {
+  test('never sends frames of two versions', () => {
+    checkEveryCase(({frames}) => {
       const texts = frames.flatMap(frame =>
         frame.kind === 'data' ? [new TextDecoder().decode(frame.content)] : [],
       );
@@ -269,8 +272,8 @@
     });
   });
 
-  test('is reported as not run only if every try was refused', () => {
-    everyCase(({dispatched, result}, chosen) => {
+  test('is reported as not run only if every attempt was refused', () => {
+    checkEveryCase(({dispatched, result}, chosen) => {
       if (result.outcome.kind !== 'notRun') return;
       for (const {target} of dispatched) {
         const position = Number(target.slice('target-'.length));
@@ -279,8 +282,8 @@
     });
   });
 
-  test('keeps to its tries, its retry budget and its deadline', () => {
-    everyCase(({dispatched, retries, endedAt}) => {
+  test('stays within its attempts, its retry budget and its deadline', () => {
+    checkEveryCase(({dispatched, retries, endedAt}) => {
       expect(dispatched.length).toBeLessThanOrEqual(
         Math.min(MAX_ATTEMPTS, retries + 1),
       );
@@ -290,8 +293,8 @@
     });
   });
 
-  test('cancels every try that is given up', () => {
-    everyCase(({dispatched, cancelled, result}, chosen) => {
+  test('cancels every attempt that is given up', () => {
+    checkEveryCase(({dispatched, cancelled, result}, chosen) => {
       const open = dispatched.filter(({target}) => {
         const position = Number(target.slice('target-'.length));
         return chosen[position]?.kind !== 'refuses';
@@ -303,9 +306,9 @@
   });
 });
 
-// Another caller's frames keep coming on this caller's stream, without end:
-// the caller waits long past its deadline for an answer that never comes.
-test('a stream of foreign frames ends at the deadline', () => {
+// Another caller's frames keep arriving on this caller's stream. Without the
+// deadline check the caller would wait long past its deadline.
+test('a stream of only foreign frames ends at the deadline', () => {
   let now = 0;
   const flow = createRepeatableFlow({
     deadline: DEADLINE,
--- a/test/requests/request_simulation.ts
+++ b/test/requests/request_simulation.ts
@@ -21,11 +21,12 @@
 
 const DEADLINE = 1000;
 const MAX_CALLS = 6;
-// A benign run takes some 30 steps; this leaves room for every bounded retry.
+// A run without faults takes some 30 steps; this leaves room for every bounded
+// retry.
 const MAX_STEPS_PER_CALL = 400;
 const NO_FAULT = 15;
 const FOREIGN = answerTo('another#1', 'another call');
-// Made once: each Err records its stack, which takes most of a step.
+// Created once: each Err records its stack, which takes most of a step's time.
 const UNAVAILABLE = Err({kind: 'unavailable', detail: ''} as const);
 const REPLY_LOST = Err({kind: 'replyLost', detail: ''} as const);
 
@@ -47,17 +48,17 @@
   readonly how: number;
 }
 
-/** What a world's checks look at. */
+/** The result of a simulation, to be checked. */
 export interface SimulationReport {
   readonly calls: readonly Call[];
   readonly runsOf: (attempt: AttemptId) => number;
   /** Runs of the one key that all calls share. */
   readonly runs: number;
-  /** Bytes of every answer that the table ever recorded, as JSON. */
+  /** Every answer that was recorded in the table, as JSON. */
   readonly recorded: readonly string[];
-  /** A call that came after everything else, with nothing failing. */
+  /** A call made after all others, without faults. */
   readonly lastRetry: Call;
-  /** Calls without an end when all but a frozen agent had healed. */
+  /** Calls without an end after all faults but a frozen agent have ended. */
   readonly waiting: number;
 }
 
@@ -79,9 +80,9 @@
 }
 
 /**
- * Two entries, two agents, one table, and callers that retry one key. Each
- * choice steps one of them, or makes something fail. After the choices the
- * world heals and runs to its end, late messages included.
+ * Simulates two entries, two agents, one table, and callers that retry one key.
+ * Each choice steps one of them or injects a fault. After the choices the
+ * faults end and everything runs to its end, late messages included.
  */
 export function runSimulation(
   choices: readonly Choice[],
@@ -89,7 +90,7 @@
 ): SimulationReport {
   let now = 0;
   let outageSteps = 0;
-  /** An agent that takes everything and answers nothing until the end. */
+  /** An agent that accepts messages but does not answer until the end. */
   let frozen: string | undefined;
   const held: (() => void)[] = [];
   const late: (() => void)[] = [];
@@ -122,7 +123,9 @@
     return found;
   }
 
-  /** Acts on an agent, or leaves the message with a frozen one. */
+  /**
+   * Delivers a message to an agent, or holds it back if the agent is frozen.
+   */
   function reach(instance: string, message: () => void): void {
     if (frozen === instance) held.push(message);
     else message();
@@ -180,7 +183,7 @@
     call.pending = step.value;
     if (step.value.kind !== 'dispatch') return;
     const {address} = step.value;
-    // The whole answer to another attempt comes first on this connection.
+    // The complete answer to another attempt arrives first on this connection.
     if (calls.indexOf(call) % 2 === 0) {
       call.inbox.push(...framesOf(FOREIGN, address.incarnation));
     }
@@ -189,7 +192,7 @@
     const {instance} = address;
     const agent = agentOf(instance);
     late.push(() => reach(instance, () => agent.deliver(dispatch, false)));
-    // A second copy of the message, which may reach a woken old life.
+    // A duplicate of the message, which may reach a resumed old incarnation.
     late.push(() => reach(instance, () => agent.deliver(dispatch, true)));
   }
 
@@ -218,9 +221,9 @@
         const {address} = effect;
         const agent = agentOf(address.instance);
         const {instance} = address;
-        const lay = () => void agent.tombstone(address, false);
-        if (fault === 'lostLate') late.push(() => reach(instance, lay));
-        if (frozen === instance) held.push(lay);
+        const tombstone = () => void agent.tombstone(address, false);
+        if (fault === 'lostLate') late.push(() => reach(instance, tombstone));
+        if (frozen === instance) held.push(tombstone);
         if (frozen === instance) return {kind: 'tombstone', answer: undefined};
         if (fault === 'lostAfter') agent.tombstone(address, false);
         if (fault !== 'none' && !outage) {
@@ -243,7 +246,7 @@
           return {kind: 'choice', choice};
         }
         const {instance} = agent;
-        // Routing may still know an earlier life.
+        // Routing may still know an earlier incarnation.
         const incarnation = agent.incarnation() - (how % 16 === 5 ? 1 : 0);
         const choice = {
           kind: 'target',
@@ -375,7 +378,7 @@
   const lastRetry = startCall(1, standing?.fingerprint ?? 'body');
   endWithoutFaults();
   const waiting = live().length;
-  // The frozen agent wakes last of all, with everything that was sent to it.
+  // The frozen agent resumes last, with everything that was sent to it.
   frozen = undefined;
   late.push(...held);
   endWithoutFaults();
