--- a/packages/core/src/orders/commands/give_orders.ts
+++ b/packages/core/src/orders/commands/give_orders.ts
@@ -17,7 +17,9 @@
   ReconcilerSettings,
 } from '../types';
 
-/** Sends the plan's orders one by one, each only while we are in charge. */
+/**
+ * Sends the plan's orders one by one, each only while this agent is in charge.
+ */
 export function* giveOrders(
   settings: ReconcilerSettings,
   memory: ReconcilerMemory,
@@ -58,7 +60,7 @@
   return {kind: 'given', observed: yield* readReport(), refused, failed};
 }
 
-/** Whether an order may go out at `now`. */
+/** Whether an order may be sent at `now`. */
 export function mayOrder(
   settings: ReconcilerSettings,
   memory: ReconcilerMemory,
@@ -66,9 +68,9 @@
 ): boolean {
   if (memory.fencingSupport === 'checked') return true;
   if (settings.checkLease === undefined) return false;
-  // Guards against an order from an agent that was paused and replaced, to a
-  // target that does not check: shows as a version that comes and goes. The
-  // lease ran out during the pause, and this is read right before sending.
+  // Without this, an agent that was paused and replaced could send an order to
+  // a target that does not check fencing, and versions would come and go there.
+  // The lease has expired during the pause; it is read right before sending.
   return settings.checkLease(now).kind === 'mayAct';
 }
 
--- a/packages/core/src/orders/commands/plan_loads.ts
+++ b/packages/core/src/orders/commands/plan_loads.ts
@@ -6,8 +6,8 @@
 /** Adds the loads that the engine has room for. */
 export function planLoads(pass: Pass): void {
   for (const versionDigest of pass.wanted.versions.values()) {
-    // Guards against partial weights: an order names only a version whose
-    // every chunk is verified on the engine. The engine checks again.
+    // An order names only a version whose every chunk is verified on the
+    // engine, so that no partial weights are loaded. The engine checks again.
     const manifest = pass.input.verified.get(versionDigest);
     if (manifest === undefined) continue;
     if (isLoadedOrLoading(pass, versionDigest)) continue;
@@ -30,8 +30,8 @@
 }
 
 /**
- * Tells a target that checks fencing our number by an order that changes
- * nothing, once in each life of the engine.
+ * Sends our fencing number to a target that checks it, by an order that changes
+ * nothing, once in each incarnation of the engine.
  */
 function announceFencing(pass: Pass): void {
   const {memory, observed, wanted, input} = pass;
--- a/packages/core/src/orders/commands/plan_pass.ts
+++ b/packages/core/src/orders/commands/plan_pass.ts
@@ -25,7 +25,7 @@
   withoutRoom: [],
 };
 
-/** Compares wanted and reported state. */
+/** Compares the wanted with the reported state. */
 export function planPass(
   settings: ReconcilerSettings,
   memory: ReconcilerMemory,
@@ -89,11 +89,12 @@
     pass.memory.closed.delete(version.versionDigest);
     return;
   }
-  // Closing comes before the count is taken and lasts until the version is
-  // gone, so that no request begins on it after its unload was decided.
+  // The version is closed before its running requests are counted and stays
+  // closed until it is gone, so that no request starts on it after its unload
+  // was decided.
   pass.memory.closed.add(version.versionDigest);
-  // Guards against cutting a request in progress, which would show as an
-  // answer without its end: the version goes only after its last request.
+  // The version is unloaded only after its last request: cutting a request in
+  // progress would leave an answer without its end.
   if ((pass.input.requestsRunning.get(version.versionDigest) ?? 0) > 0) {
     pass.draining.push(version.versionDigest);
     return;
@@ -108,13 +109,13 @@
   if (wanted === undefined) {
     if (!pass.wanted.servedElsewhere.has(model)) return true;
   } else {
-    // Until the new version is whole here, the old one serves on.
+    // Until the new version is complete here, the old one continues to serve.
     const manifest = pass.input.verified.get(wanted);
     if (manifest === undefined) return false;
     if (fitsAlongside(pass, wanted, manifest)) return false;
   }
-  // Guards against too many targets without a version at once, which would
-  // show as capacity under the floor.
+  // Without the permit, too many targets could be without a version of the
+  // model at once, and its capacity would fall below the floor.
   if (pass.input.permits.has(model)) return true;
   pass.needsPermit.add(model);
   return false;
@@ -122,9 +123,9 @@
 
 function isPermitDone(pass: Pass, model: ModelName): boolean {
   if (pass.wanted.versions.has(model)) return servesWanted(pass, model);
-  // Guards against a permit returned while the unload is still under way: the
-  // target would count as serving and then go. Only the report itself says
-  // that the version is gone.
+  // If the permit were returned while the unload is still in flight, the target
+  // would count as serving until the version goes. Only the report shows that
+  // the version is gone.
   return !pass.observed.report.loaded.some(version => version.model === model);
 }
 
--- a/packages/core/src/orders/create_target_reconciler.ts
+++ b/packages/core/src/orders/create_target_reconciler.ts
@@ -4,8 +4,8 @@
 import type {ReconcilerSettings, TargetReconciler} from './types';
 
 /**
- * A reconciler for one target. Its driver answers each effect, with `failed`
- * for an order that got no answer in time.
+ * Creates the reconciler of one target. Its driver answers each effect, with
+ * `failed` for an order that got no answer in time.
  */
 export function createTargetReconciler(
   settings: ReconcilerSettings,
--- a/packages/core/src/orders/pass.ts
+++ b/packages/core/src/orders/pass.ts
@@ -9,10 +9,10 @@
   WantedState,
 } from './types';
 
-/** The wanted state of a target that shall serve. */
+/** The wanted state of a target that is to serve. */
 export type Serving = Extract<WantedState, {kind: 'serve'}>;
 
-/** One pass over a target that shall serve. */
+/** One reconcile pass over a target that is to serve. */
 export interface Pass {
   readonly settings: ReconcilerSettings;
   readonly memory: ReconcilerMemory;
@@ -33,7 +33,7 @@
   );
 }
 
-/** Whether the configuration wants this very version. */
+/** Whether the configuration wants exactly this version. */
 export function isWanted(pass: Pass, version: ReportedVersion): boolean {
   return pass.wanted.versions.get(version.model) === version.versionDigest;
 }
--- a/packages/core/src/orders/queries/engine_memory.ts
+++ b/packages/core/src/orders/queries/engine_memory.ts
@@ -8,8 +8,8 @@
 }
 
 /**
- * Whether a version fits beside all that the engine has or is given.
- * A version that is not known here counts as filling the engine's memory.
+ * Whether a version fits alongside everything that the engine has or is ordered
+ * to load. A version unknown here counts as filling the engine's memory.
  */
 export function fitsAlongside(
   pass: Pass,
@@ -24,9 +24,9 @@
   }
   let used = sizeOf(manifest);
   for (const versionDigest of present) {
-    const beside = verified.get(versionDigest);
-    if (beside === undefined) return false;
-    used += sizeOf(beside);
+    const other = verified.get(versionDigest);
+    if (other === undefined) return false;
+    used += sizeOf(other);
   }
   return used <= engineMemory;
 }
--- a/packages/core/src/orders/queries/wanted_state.ts
+++ b/packages/core/src/orders/queries/wanted_state.ts
@@ -6,14 +6,14 @@
 } from '../../types';
 import type {WantedState} from '../types';
 
-/** What the configuration wants of one target. */
+/** What the configuration wants one target to do. */
 export function wantedState(
   configuration: SiteConfiguration,
   target: TargetName,
 ): WantedState {
   const described = configuration.targets[target];
-  // Guards against two order givers during a move: shows as a target that
-  // flips between the versions of two systems.
+  // During a move only one system may give orders. Otherwise the target would
+  // flip between the versions of both.
   if (described === undefined || described.owner !== 'hibiscusbeam') {
     return {kind: 'notOurs'};
   }
--- a/packages/core/src/orders/reconciler_memory.ts
+++ b/packages/core/src/orders/reconciler_memory.ts
@@ -8,20 +8,20 @@
 
 /** What a reconciler remembers between passes. */
 export interface ReconcilerMemory {
-  /** The engine's life in the last report. */
+  /** The engine's incarnation in the last report. */
   life: string | undefined;
   /** When the last load or unload of a version was answered. */
   readonly answeredAt: Map<string, MonotonicInstant>;
-  /** Versions that get no new requests any more. */
+  /** Versions that get no new requests. */
   readonly closed: Set<VersionDigest>;
   routable: readonly ReportedVersion[];
-  /** The engine's life in which it accepted our fencing number. */
+  /** The engine's incarnation that accepted our fencing number. */
   fencedEngineIncarnation: string | undefined;
   fencingSupport: FencingSupport | undefined;
   replaced: boolean;
 }
 
-/** Memory of a reconciler that has not seen its target yet. */
+/** Creates the memory of a reconciler that has not seen its target yet. */
 export function createReconcilerMemory(): ReconcilerMemory {
   return {
     life: undefined,
@@ -45,13 +45,13 @@
   }
 }
 
-/** Notes an order as under way: no report shows its effect for certain. */
+/** Records an order as in flight: no report is certain to show its effect. */
 export function recordSent(memory: ReconcilerMemory, order: EngineOrder): void {
-  const name = orderKey(order.kind, order.versionDigest);
-  memory.answeredAt.set(name, Number.POSITIVE_INFINITY);
+  const key = orderKey(order.kind, order.versionDigest);
+  memory.answeredAt.set(key, Number.POSITIVE_INFINITY);
 }
 
-/** Notes when an order was answered. */
+/** Records when an order was answered. */
 export function recordAnswered(
   memory: ReconcilerMemory,
   order: EngineOrder,
@@ -60,7 +60,7 @@
   memory.answeredAt.set(orderKey(order.kind, order.versionDigest), now);
 }
 
-/** Whether a report is too old to show what an order came to. */
+/** Whether a report is too old to show the effect of an order. */
 export function isEffectPending(
   memory: ReconcilerMemory,
   kind: EngineOrder['kind'],
@@ -71,14 +71,14 @@
   return answeredAt !== undefined && takenAt <= answeredAt;
 }
 
-/** The versions that a report shows as loaded, less those ordered away since. */
+/** The versions that a report shows as loaded, without those unloaded since. */
 export function loadedVersions(
   memory: ReconcilerMemory,
   observed: ObservedReport,
 ): readonly ReportedVersion[] {
-  // Guards against a late report: it still shows a version that we unloaded
-  // after its snapshot. Believed, the version that serves in its place would
-  // be unloaded too, or requests would go to a version that is gone.
+  // A late report still shows a version that was unloaded after its snapshot.
+  // If it were trusted, the version that serves in its place would be unloaded
+  // too, or requests would go to a version that is gone.
   return observed.report.loaded.filter(
     ({versionDigest}) =>
       !isEffectPending(memory, 'unload', versionDigest, observed.takenAt),
--- a/packages/core/src/orders/types.ts
+++ b/packages/core/src/orders/types.ts
@@ -11,13 +11,13 @@
   VersionDigest,
 } from '../types';
 
-/** A version that an engine reports as whole and loaded. */
+/** A version that an engine reports as complete and loaded. */
 export interface ReportedVersion {
   readonly model: ModelName;
   readonly versionDigest: VersionDigest;
 }
 
-/** What an engine says of itself; late. */
+/** What an engine reports about itself; may be outdated. */
 export interface EngineReport {
   /** Changes when the engine restarts. */
   readonly life: string;
@@ -25,18 +25,18 @@
   readonly loading: readonly VersionDigest[];
 }
 
-/** A report with the instant of its snapshot on our own clock. */
+/** A report with the time of its snapshot on our own clock. */
 export interface ObservedReport {
   readonly report: EngineReport;
-  /** When the report was asked for, less the age it states. */
+  /** When the report was requested, minus the age that it states. */
   readonly takenAt: MonotonicInstant;
 }
 
-/** What the configuration in force wants of one target. */
+/** What the configuration in force wants one target to do. */
 export type WantedState =
-  /** The older system gives the orders, or the target is not known. */
+  /** The older system gives the orders, or the target is unknown. */
   | {readonly kind: 'notOurs'}
-  /** No new work and no orders; what runs may finish. */
+  /** No new work and no orders; running requests may finish. */
   | {readonly kind: 'leaving'}
   | {
       readonly kind: 'serve';
@@ -55,29 +55,29 @@
     }
   | {readonly kind: 'unload'; readonly versionDigest: VersionDigest};
 
-/** What one pass compares. */
+/** The input of one pass. */
 export interface ReconcileInput {
   readonly wanted: WantedState;
   /** Absent until the engine has reported once. */
   readonly observed: ObservedReport | undefined;
-  /** Versions of which the engine holds every chunk, verified. */
+  /** Versions whose every chunk the engine holds, verified. */
   readonly verified: ReadonlyMap<VersionDigest, Manifest>;
-  /** Requests in progress by the version they began with. */
+  /** Number of requests in progress, by the version they started on. */
   readonly requestsRunning: ReadonlyMap<VersionDigest, number>;
   /** Models for which this target holds the permit to stop serving. */
   readonly permits: ReadonlySet<ModelName>;
 }
 
-/** What one pass came to. */
+/** The result of one pass. */
 export interface ReconcilePlan {
   readonly orders: readonly EngineOrder[];
-  /** Versions that may be given to new requests. */
+  /** Versions that new requests may use. */
   readonly routable: readonly ReportedVersion[];
   /** Models that need a permit before the next step. */
   readonly needsPermit: readonly ModelName[];
-  /** Models whose permit has served its purpose. */
+  /** Models whose permit is no longer needed. */
   readonly permitDone: readonly ModelName[];
-  /** Versions that wait for their last requests. */
+  /** Versions that wait for their last requests to finish. */
   readonly draining: readonly VersionDigest[];
   /** Wanted, verified versions for which the engine has no room. */
   readonly withoutRoom: readonly VersionDigest[];
@@ -93,9 +93,9 @@
 /** How the target answered an order. */
 export type OrderOutcome =
   | {readonly kind: 'accepted'}
-  /** The target has seen a higher number: this agent is replaced. */
+  /** The target has seen a higher number: this agent has been replaced. */
   | {readonly kind: 'staleFencing'; readonly highest: Incarnation}
-  /** The engine lacks chunks of the version or holds bad ones. */
+  /** The engine lacks chunks of the version or has corrupted ones. */
   | {readonly kind: 'incomplete'; readonly missing: readonly Digest[]}
   /** The order may or may not have taken effect. */
   | {readonly kind: 'failed'; readonly detail: string};
@@ -117,17 +117,19 @@
   readonly observed: ObservedReport | undefined;
 }
 
-/** What an order flow asks of its driver. */
+/** The effects that an order flow yields to its driver. */
 export type OrderEffect = ReadClockEffect | SendOrderEffect | ReadReportEffect;
 
-/** What the driver answers to an order flow. */
+/** The driver's replies to an order flow. */
 export type OrderEffectReply = ClockReply | OrderReply | ReportReply;
 
 /** How a round of orders ended. */
 export type OrderRound =
   | {
       readonly kind: 'given';
-      /** The target's state read back; the next pass mends what differs. */
+      /**
+       * The target's state read back; the next pass corrects any difference.
+       */
       readonly observed: ObservedReport | undefined;
       readonly refused: readonly {
         readonly versionDigest: VersionDigest;
@@ -137,46 +139,46 @@
     }
   /** Nothing more was sent: the configuration changed since the plan. */
   | {readonly kind: 'overtaken'}
-  /** Nothing more was sent: the lease is not held at this moment. */
+  /** Nothing more was sent: the lease is not held at this time. */
   | {readonly kind: 'withoutLease'}
-  /** For good: another agent gives this target's orders. */
+  /** Final: another agent gives this target's orders. */
   | {readonly kind: 'replaced'};
 
-/** A round of orders. */
+/** The flow of one round of orders. */
 export type OrderFlow = Flow<OrderEffect, OrderEffectReply, OrderRound>;
 
-/** What a reconciler is for. */
+/** The settings of a reconciler. */
 export interface ReconcilerSettings {
-  /** The agent's incarnation, on every order. */
+  /** The agent's incarnation, sent as the fencing number of every order. */
   readonly fencing: Incarnation;
   /**
    * The agent's own lease. Without one, a target that ignores fencing gets no
    * order.
    */
   readonly checkLease: ((now: MonotonicInstant) => LeaseCheck) | undefined;
-  /** Memory for weights; absent: one version of each model at a time. */
+  /** Memory for weights; if absent, one version of each model at a time. */
   readonly engineMemory: Bytes | undefined;
 }
 
-/** Gives one target the orders that bring it to the wanted state. */
+/** Sends one target the orders that bring it to the wanted state. */
 export interface TargetReconciler {
-  /** Compares wanted and reported state; closes versions that shall go. */
+  /** Compares the wanted with the reported state; closes versions to unload. */
   readonly plan: (input: ReconcileInput) => ReconcilePlan;
   /**
-   * Sends the plan's orders; begin it in the same turn as {@link plan}.
-   * `stillInForce` is asked before each order.
+   * Sends the plan's orders; must be started in the same turn of the event loop
+   * as {@link plan}. `stillInForce` is checked before each order.
    */
   readonly giveOrders: (
     plan: ReconcilePlan,
     stillInForce: () => boolean,
   ) => OrderFlow;
-  /** Whether a new request may begin on a version at this moment. */
+  /** Whether a new request may start on a version now. */
   readonly mayStart: (versionDigest: VersionDigest) => boolean;
   /**
-   * Whether no earlier agent's order can reach the engine any more: it has
+   * Whether an earlier agent's orders can no longer reach the engine: it has
    * accepted our number, or it ignores numbers and our lease is held.
    */
   readonly isFenced: (now: MonotonicInstant) => boolean;
-  /** True once the target refused our number; no order is given any more. */
+  /** True once the target refused our number; no more orders are given. */
   readonly isReplaced: () => boolean;
 }
--- a/test/orders/fake_engine.ts
+++ b/test/orders/fake_engine.ts
@@ -19,26 +19,26 @@
   return {model, label, chunks};
 }
 
-/** Something that must never happen to a target. */
+/** A state that a target must never reach. */
 export type Violation = 'cutRequest' | 'partialVersion' | 'emptied';
 
-/** An engine in memory; late reports come from its snapshots. */
+/** An in-memory engine; late reports are taken from its snapshots. */
 export interface FakeEngine {
   readonly order: (order: EngineOrder, fencing: Incarnation) => OrderOutcome;
   readonly loaded: () => readonly ReportedVersion[];
-  /** Ends every load under way. */
+  /** Completes every load in progress. */
   readonly finishLoads: () => void;
   readonly restart: () => void;
   readonly begin: (versionDigest: VersionDigest) => boolean;
   readonly finish: () => void;
   readonly running: () => ReadonlyMap<VersionDigest, number>;
-  /** Keeps what a report taken at `now` shows. */
+  /** Takes the snapshot that a report of `now` shows. */
   readonly snapshot: (now: number) => void;
   /** The report `lag` snapshots ago. */
   readonly report: (lag: number) => ObservedReport | undefined;
 }
 
-/** How the engine behaves and what it tells of itself. */
+/** How the engine behaves and what it reports about itself. */
 export interface FakeEngineOptions {
   readonly fencing: FencingSupport;
   /** Whether the engine holds all chunks of a version. */
@@ -48,7 +48,7 @@
   readonly onViolation: (violation: Violation) => void;
 }
 
-/** An engine that has just started. */
+/** Creates an engine that has just started. */
 export function createFakeEngine(options: FakeEngineOptions): FakeEngine {
   let life = 1;
   let highest = 0;
--- a/test/orders/fencing.test.ts
+++ b/test/orders/fencing.test.ts
@@ -75,7 +75,7 @@
       engineMemory: undefined,
     }),
   );
-  // The earlier agent still has an old configuration.
+  // The earlier agent still has an outdated configuration.
   agents.forEach((agent, index) => {
     agent.wanted = serve(fencing, `notes-${index + 1}`);
     agent.permits.add('notes');
@@ -86,7 +86,7 @@
 
 interface Step {
   readonly agent: number;
-  readonly kind: 'pass' | 'hop' | 'observe' | 'acquire' | 'renew' | 'loads';
+  readonly kind: 'pass' | 'advance' | 'observe' | 'acquire' | 'renew' | 'loads';
   readonly elapsed: number;
 }
 
@@ -95,9 +95,9 @@
   kind: fc.constantFrom<Step['kind']>(
     'pass',
     'pass',
-    'hop',
-    'hop',
-    'hop',
+    'advance',
+    'advance',
+    'advance',
     'observe',
     'observe',
     'acquire',
@@ -112,7 +112,7 @@
 
 const steps = fc.array(step, {minLength: 20, maxLength: 120});
 
-function take(site: Site, next: Step): void {
+function applyStep(site: Site, next: Step): void {
   site.now += next.elapsed;
   const {now, engine, table} = site;
   const agent = site.agents[next.agent];
@@ -123,7 +123,7 @@
       agent.permits.add('notes');
       agent.pass();
       break;
-    case 'hop': {
+    case 'advance': {
       const before = agent.nextEffect();
       agent.advance(now, 'none', 0);
       const after = agent.nextEffect();
@@ -151,24 +151,28 @@
   engine.snapshot(now);
 }
 
-/** The later agent works on alone, without faults. */
+/** Lets the later agent continue alone, without faults. */
 function settle(site: Site): void {
   const later = 1;
   for (let round = 0; round < 12; round += 1) {
     for (const kind of ['acquire', 'renew', 'observe', 'pass'] as const) {
-      take(site, {agent: later, kind, elapsed: round === 0 ? DURATION : 1});
+      applyStep(site, {
+        agent: later,
+        kind,
+        elapsed: round === 0 ? DURATION : 1,
+      });
     }
-    for (let hop = 0; hop < 10; hop += 1) {
-      take(site, {agent: later, kind: 'hop', elapsed: 1});
+    for (let count = 0; count < 10; count += 1) {
+      applyStep(site, {agent: later, kind: 'advance', elapsed: 1});
     }
-    take(site, {agent: later, kind: 'loads', elapsed: 1});
+    applyStep(site, {agent: later, kind: 'loads', elapsed: 1});
   }
 }
 
 describe('an agent that was paused and replaced', () => {
-  // A target that checks: an operator sees an old version come back after a
-  // restart of the agent, because the paused agent woke and gave its orders.
-  test('is refused by a target that checks, once the next one is fenced', () => {
+  // A paused agent resumes after it was replaced and sends its orders. Without
+  // fencing, the target would return to an old version.
+  test('is refused by a target that checks fencing, once the next agent is fenced', () => {
     fc.assert(
       fc.property(steps, taken => {
         const site = createSite('checked');
@@ -176,7 +180,7 @@
         for (const next of taken) {
           const fenced = later?.reconciler.isFenced(site.now);
           const before = site.accepted.length;
-          take(site, next);
+          applyStep(site, next);
           const since = site.accepted.slice(before);
           if (fenced && since.includes(1)) throw new Error('old order taken');
         }
@@ -185,16 +189,24 @@
     );
   });
 
-  test('gives no order any more after it was refused once', () => {
+  test('gives no more orders once it was refused', () => {
     const site = createSite('checked');
     const [earlier, later] = site.agents;
     const go = (agent: number, kinds: readonly Step['kind'][]): void => {
-      for (const kind of kinds) take(site, {agent, kind, elapsed: 1});
+      for (const kind of kinds) applyStep(site, {agent, kind, elapsed: 1});
     };
-    go(0, ['observe', 'pass', 'hop']);
+    go(0, ['observe', 'pass', 'advance']);
     expect(earlier?.nextEffect()?.kind).toBe('sendOrder');
-    go(1, ['observe', 'pass', 'hop', 'hop', 'hop', 'hop', 'loads']);
-    go(0, ['hop', 'hop']);
+    go(1, [
+      'observe',
+      'pass',
+      'advance',
+      'advance',
+      'advance',
+      'advance',
+      'loads',
+    ]);
+    go(0, ['advance', 'advance']);
     expect(earlier?.lastRound()).toEqual({kind: 'replaced'});
     expect(earlier?.reconciler.isReplaced()).toBe(true);
     go(0, ['observe', 'pass']);
@@ -204,14 +216,14 @@
     expect(later?.reconciler.mayStart('notes-2')).toBe(true);
   });
 
-  // A target that ignores fencing: an operator sees versions come and go. The
-  // paused agent woke with an order in hand and sent it, since nothing but its
-  // own lease could stop it.
-  test('sends nothing to a target that ignores, once its lease ran out', () => {
+  // The target ignores fencing, and a paused agent resumes with an order that
+  // is ready to be sent. Only its own lease can stop it; without that check,
+  // versions would come and go.
+  test('sends nothing to a target that ignores fencing, once its lease has expired', () => {
     fc.assert(
       fc.property(steps, taken => {
         const site = createSite('ignored');
-        for (const next of taken) take(site, next);
+        for (const next of taken) applyStep(site, next);
         const numbers = site.sent.map(each => each.lease ?? 0);
         expect(numbers).not.toContain(0);
         expect(numbers).toEqual([...numbers].sort((a, b) => a - b));
@@ -220,13 +232,13 @@
     );
   });
 
-  // What remains possible: the order left in time and came late. The engine
-  // then has the wrong version until the next pass has read it and mended it.
-  test('is mended where its last order came late to one that ignores', () => {
+  // Remaining case: the order was sent in time and arrived late. The engine
+  // then has the wrong version until the next pass reads and corrects it.
+  test('has its late last order corrected at a target that ignores fencing', () => {
     fc.assert(
       fc.property(steps, fc.boolean(), (taken, lateOrder) => {
         const site = createSite('ignored');
-        for (const next of taken) take(site, next);
+        for (const next of taken) applyStep(site, next);
         settle(site);
         if (lateOrder) {
           site.engine.order({kind: 'unload', versionDigest: 'notes-2'}, 1);
--- a/test/orders/reconciler_property.test.ts
+++ b/test/orders/reconciler_property.test.ts
@@ -17,9 +17,10 @@
 } from './reconciler_simulation';
 
 describe('the reconciler of a target', () => {
-  // An earlier agent wakes and unloads what its successor counts as serving:
-  // nothing differed, so the successor had never told the engine its number.
-  test('tells a target that checks its number though nothing differs', () => {
+  // An earlier agent resumes and unloads a version that its successor counts as
+  // serving. The successor found no difference and so had never sent the engine
+  // its fencing number.
+  test('sends its fencing number to a target that checks it even if nothing differs', () => {
     const run = startSimulation(undefined);
     const next = createSteppedAgent(run.engine, run.verified, {
       fencing: 8,
@@ -38,10 +39,10 @@
     expect(refused).toEqual({kind: 'staleFencing', highest: 8});
   });
 
-  // A dealer's summary stops in mid-sentence, or a model answers nowhere for
-  // a minute: a version was unloaded under a request, or the last version went
-  // on the word of a late report, or a version was loaded before it was whole.
-  test('never cuts a request, loads a partial version or empties unpermitted', () => {
+  // An answer breaks off or a model is not served for a minute, because a
+  // version was unloaded during a request, the last version was unloaded
+  // because of a late report, or a version was loaded before it was complete.
+  test('never cuts a request, loads a partial version or unloads the last version without a permit', () => {
     fc.assert(
       fc.property(engineMemories, steps, (engineMemory, taken) => {
         const run = startSimulation(engineMemory);
@@ -51,8 +52,8 @@
     );
   });
 
-  // A request begins on a version at the moment its unload is on the way, and
-  // its answer breaks off.
+  // A request starts on a version whose unload is already in flight, and its
+  // answer breaks off.
   test('keeps a version closed from the plan of its unload until it is gone', () => {
     const run = startSimulation(4 * VERSION_SIZE);
     const mayStart = (): boolean => run.agent.reconciler.mayStart('notes-1');
@@ -72,9 +73,9 @@
     expect(mayStart()).toBe(false);
   });
 
-  // The same sight when operators change their minds: the version that was
-  // just ordered away is wanted again, and a late report still shows it.
-  test('holds while two versions are wanted in turns', () => {
+  // The same failure when operators change their minds: a version that was just
+  // unloaded is wanted again, and a late report still shows it.
+  test('stays correct while two versions are wanted alternately', () => {
     const turn: fc.Arbitrary<Step> = fc.oneof(
       {
         weight: 2,
@@ -113,8 +114,9 @@
     );
   });
 
-  // An operator's confirmed intent never arrives on one engine: an order was
-  // lost, the engine restarted, and nothing compared the two again.
+  // An order was lost or the engine restarted. If wanted and reported state
+  // were not compared again, the confirmed configuration would never reach the
+  // engine.
   test('brings the engine to the wanted state once faults end', () => {
     fc.assert(
       fc.property(engineMemories, steps, (engineMemory, taken) => {
@@ -133,9 +135,9 @@
     );
   });
 
-  // During a move an engine flips between two systems' versions: both gave it
-  // orders, one of them in the middle of a round that had begun before.
-  test('gives no order to what the older system owns', () => {
+  // During a move between systems an engine flips between both systems'
+  // versions, because a round of orders that started before the move continued.
+  test('gives no order to a target that the older system owns', () => {
     fc.assert(
       fc.property(engineMemories, steps, (engineMemory, taken) => {
         const run = startSimulation(engineMemory);
--- a/test/orders/reconciler_simulation.ts
+++ b/test/orders/reconciler_simulation.ts
@@ -20,7 +20,7 @@
   type SteppedAgent,
 } from './stepped_agent';
 
-/** Orders and replies that all go through. */
+/** Fates of orders and replies that are all delivered. */
 export const NO_FAULTS: readonly OrderFate[] = new Array<OrderFate>(12).fill(
   'none',
 );
@@ -48,7 +48,7 @@
         'permit' | 'finishLoads' | 'finish' | 'restart' | 'older' | 'request';
     };
 
-/** Milliseconds between two steps. */
+/** How many snapshots old a report is. */
 export const lag = fc.oneof(
   fc.constant(0),
   fc.nat({max: 4}),
@@ -142,12 +142,12 @@
   readonly verified: Map<VersionDigest, Manifest>;
   needsPermit: readonly ModelName[];
   olderOwns: boolean;
-  /** The effect seen last, to tell a new one. */
+  /** The effect seen last, to recognize a new one. */
   effect: OrderEffect | undefined;
   now: number;
 }
 
-/** An engine and its agent; the engine's memory bounds what it holds. */
+/** Starts an engine and its agent; the engine's memory bounds what it holds. */
 export function startSimulation(
   engineMemory: number | undefined,
 ): SimulationRun {
@@ -178,7 +178,7 @@
     effect: undefined,
     now: 0,
   };
-  // The engine serves the first version, which was loaded in peace.
+  // The engine serves the first version, which was loaded without faults.
   for (const [version, manifest] of VERSIONS) {
     if (version !== 'notes-3') verified.set(version, manifest);
   }
@@ -190,7 +190,7 @@
   return run;
 }
 
-/** An order to a target of the older system must not go out. */
+/** Fails if an order is sent to a target of the older system. */
 function checkEffect(run: SimulationRun): void {
   const effect = run.agent.nextEffect();
   const isNew = effect !== run.effect;
@@ -200,7 +200,7 @@
   }
 }
 
-/** Takes one step. */
+/** Applies one step. */
 export function applyStep(run: SimulationRun, next: Step): void {
   const {engine, agent, verified} = run;
   run.now += 1;
@@ -255,7 +255,7 @@
   engine.snapshot(run.now);
 }
 
-/** Lets all orders land, without faults. */
+/** Lets all orders take effect, without faults. */
 export function settle(run: SimulationRun): void {
   for (const version of VERSIONS.keys()) {
     applyStep(run, {kind: 'verify', version});
@@ -268,13 +268,13 @@
   }
 }
 
-/** Memories of engines to run with. */
+/** Memory sizes of the engines to run with. */
 export const engineMemories = fc.constantFrom(
   undefined,
   2 * VERSION_SIZE,
   4 * VERSION_SIZE,
 );
-/** Runs of steps. */
+/** Sequences of steps. */
 export const steps = fc.array(step, {minLength: 5, maxLength: 50});
 
 /** Digests that a wanted state names. */
--- a/test/orders/stepped_agent.ts
+++ b/test/orders/stepped_agent.ts
@@ -14,15 +14,18 @@
 } from '@hibiscusbeam/core';
 import type {FakeEngine} from './fake_engine';
 
-/** What befalls an order: `lost` takes effect without an answer. */
+/**
+ * What happens to an order. `lost` takes effect but its answer is lost;
+ * `dropped` never arrives.
+ */
 export type OrderFate = 'none' | 'lost' | 'dropped';
 
-/** An agent whose passes and calls a test steps. */
+/** An agent that a test runs step by step. */
 export interface SteppedAgent {
   readonly reconciler: TargetReconciler;
   wanted: WantedState;
   readonly permits: Set<ModelName>;
-  /** Plans, and begins a round of orders if none is under way. */
+  /** Plans, and starts a round of orders if none is in progress. */
   readonly pass: () => ReconcilePlan;
   readonly advance: (now: number, fate: OrderFate, lag: number) => void;
   readonly observe: (lag: number) => void;
@@ -30,7 +33,7 @@
   readonly nextEffect: () => OrderEffect | undefined;
 }
 
-/** An agent beside an engine. */
+/** Creates the agent of an engine. */
 export function createSteppedAgent(
   engine: FakeEngine,
   verified: ReadonlyMap<VersionDigest, Manifest>,
