--- a/packages/core/src/event_stream/event_splitter.ts
+++ b/packages/core/src/event_stream/event_splitter.ts
@@ -1,4 +1,4 @@
-/** One whole event of a stream of server-sent events, byte for byte. */
+/** One complete event of a stream of server-sent events, byte for byte. */
 export interface StreamEvent {
   /** The event's `id` field; undefined if it has none. */
   readonly id: string | undefined;
@@ -6,11 +6,11 @@
   readonly bytes: Buffer;
 }
 
-/** Cuts a stream's bytes into whole events. */
+/** Splits a stream's bytes into complete events. */
 export interface EventSplitter {
-  /** Takes bytes as they come; returns the events that are whole now. */
+  /** Adds received bytes; returns the events that are now complete. */
   readonly push: (bytes: Buffer) => readonly StreamEvent[];
-  /** Bytes of an event that is not whole yet. */
+  /** Bytes of an event that is not complete yet. */
   readonly rest: () => Buffer;
 }
 
@@ -20,7 +20,7 @@
 
 /**
  * Creates a splitter. A target may stop in the middle of an event, and a part
- * of one that was passed on could never be joined to another target's events.
+ * that was already forwarded could not be joined to another target's events.
  */
 export function createEventSplitter(): EventSplitter {
   let rest: Buffer = Buffer.alloc(0);
@@ -40,7 +40,7 @@
   return {push, rest: () => rest};
 }
 
-/** Offset after the first empty line, if there is one. */
+/** Offset just after the first empty line, if there is one. */
 function endOfEvent(bytes: Buffer): number | undefined {
   let lineFeed = bytes.indexOf(LINE_FEED);
   while (lineFeed !== -1) {
--- a/packages/core/src/forwarding/forward_request.ts
+++ b/packages/core/src/forwarding/forward_request.ts
@@ -12,31 +12,31 @@
 } from './types';
 
 /**
- * Sends beyond the attempts of the route that a request may take when targets
- * refuse it unrun. Two suffice where lists of targets are a second old; more
- * would let a full service be asked by everybody.
+ * Attempts beyond those of the route that a request may make when targets
+ * refuse it without running it. Two suffice where lists of targets are a second
+ * old; with more, every request would go to every target of a full service.
  */
 const EXTRA_ATTEMPTS = 2;
 
-/** How far a request has come. */
+/** Progress of one request. */
 interface Progress<Target> {
   tried: Target[];
-  /** Sends, but for those whose targets were not reached. */
+  /** Attempts, without those whose targets were not reached. */
   reached: number;
-  /** Sends that may have run, those under way included. */
+  /** Attempts that may have run, including those in flight. */
   possibleRuns: number;
-  /** Sends under way, as of the last report. */
+  /** Attempts in flight, as of the last report. */
   attemptsInFlight: number;
-  /** Why nothing is known of the last send that may have run. */
+  /** Why the outcome of the last attempt that may have run is unknown. */
   lastCause: UnknownCause;
   /** Set once events have reached the caller. */
   streamBegun: boolean;
   lastEventId: string | undefined;
-  /** Whether a whole answer of an earlier send is at hand. */
+  /** Whether a complete answer of an earlier attempt is available. */
   hasAnswer: boolean;
-  /** Whether a repeat has been taken that no send has used. */
+  /** Whether a retry was taken from the budget that no attempt has used yet. */
   retryTaken: boolean;
-  /** Whether a repeat was denied that the sends under way still call for. */
+  /** Whether a denied retry is still wanted for the attempts in flight. */
   wantsRetry: boolean;
 }
 
@@ -50,10 +50,10 @@
 
 /**
  * Decides what happens to one request, from the first target to the final
- * answer. A send that is silent is not given up: another one may be begun
- * beside it, and the first that has something for the caller wins.
- * Only evidence that nothing ran leads to a second send of a request that may not
- * be repeated, and only it leads to the answer "not run".
+ * answer. A silent attempt is not given up: another one may be started
+ * alongside it, and the first that has something for the caller wins. A request
+ * that may not be retried is sent again only on evidence that nothing ran, and
+ * only such evidence leads to the answer "not run".
  */
 export function* forwardRequest<Target>(
   request: ForwardedRequest,
@@ -94,7 +94,7 @@
   }
 }
 
-/** Looks for a target and sends the request there. */
+/** Chooses a target and sends the request there. */
 function* chooseTargetAndSend<Target>(
   request: ForwardedRequest,
   progress: Progress<Target>,
@@ -117,7 +117,10 @@
   return yield* afterReport(request, progress, report);
 }
 
-/** Goes on after a report: with another send, by waiting, or with an answer. */
+/**
+ * Continues after a report: with another attempt, by waiting, or with an
+ * answer.
+ */
 function* afterReport<Target>(
   request: ForwardedRequest,
   progress: Progress<Target>,
@@ -140,11 +143,10 @@
 }
 
 /**
- * Goes on after a repeat that was allowed late.
- *
- * Failure: the budget is used up for a moment when a target falls silent. The
- * request then waits for it until its deadline, though others may repeat again
- * 50 ms later.
+ * Continues after a late decision on a denied retry. Without this, a request
+ * whose target falls silent while the budget is briefly exhausted would wait
+ * for that target until its deadline, though retries are allowed again 50 ms
+ * later.
  */
 function afterRetryReply<Target>(
   progress: Progress<Target>,
@@ -155,13 +157,13 @@
   return {kind: allowed ? 'search' : 'wait'};
 }
 
-/** Whether anything of the request may have reached the target of a send. */
+/** Whether any part of the request may have reached the attempt's target. */
 function mayHaveReachedTarget(outcome: AttemptOutcome): boolean {
   if (outcome.kind !== 'notRun') return true;
   return outcome.cause !== 'outdated' && !isUnreached(outcome.cause);
 }
 
-/** Whether there was no connection to the target of a send. */
+/** Whether no connection to the attempt's target was established. */
 function isUnreached(cause: NotRunCause): boolean {
   switch (cause) {
     case 'notConnected':
@@ -185,14 +187,14 @@
   return progress.retryTaken;
 }
 
-/** What follows from a report. */
+/** How a request continues after a report. */
 type Consequence =
   | {readonly kind: 'end'; readonly result: ForwardResult}
   | {
       readonly kind: 'open';
-      /** Whether the request may be sent once more. */
+      /** Whether the request may be sent again. */
       readonly mayRetry: boolean;
-      /** The answer if it isn't, and no send is under way. */
+      /** The answer if it isn't, and no attempt is in flight. */
       readonly otherwise: ForwardResult;
     };
 
@@ -246,7 +248,7 @@
   progress: Progress<Target>,
   success: boolean,
 ): Consequence {
-  // A stream that has begun keeps its headers: another status cannot follow.
+  // A stream that has begun has sent its headers: its status can't change.
   if (progress.streamBegun) {
     progress.lastCause = 'malformedAnswer';
     return {...withoutAnswer(request, progress), mayRetry: false};
@@ -256,7 +258,7 @@
   return withoutAnswer(request, progress);
 }
 
-/** What follows if a send that may have run has nothing for the caller. */
+/** How a request continues if an attempt that may have run has no answer. */
 function withoutAnswer<Target>(
   request: ForwardedRequest,
   progress: Progress<Target>,
@@ -268,7 +270,7 @@
   };
 }
 
-/** Notes that events have reached the caller. */
+/** Records that events have reached the caller. */
 function recordEvents<Target>(
   progress: Progress<Target>,
   lastEventId: string | undefined,
@@ -277,7 +279,7 @@
   progress.lastEventId = lastEventId ?? progress.lastEventId;
 }
 
-/** Whether a request may be sent once more if its last send has not run. */
+/** Whether a request may be sent again if its last attempt has not run. */
 function maySendAgain<Target>(
   request: ForwardedRequest,
   progress: Progress<Target>,
@@ -286,7 +288,7 @@
   return !progress.streamBegun || progress.lastEventId !== undefined;
 }
 
-/** Whether a request that may have run may be sent once more. */
+/** Whether a request that may have run may be sent again. */
 function mayRunAgain<Target>(
   request: ForwardedRequest,
   progress: Progress<Target>,
@@ -337,7 +339,7 @@
   return {kind: 'timedOut', mayHaveRun};
 }
 
-/** The answer when nothing more is tried; "not run" only if nothing ran. */
+/** The answer if no attempt is left; "not run" only if nothing ran. */
 function giveUp<Target>(
   progress: Progress<Target>,
   ifNothingRan: ForwardResult,
--- a/packages/core/src/forwarding/types.ts
+++ b/packages/core/src/forwarding/types.ts
@@ -1,43 +1,45 @@
 import type {RouteKind} from '../routes';
 import type {Milliseconds} from '../types';
 
-/** What is known of a request when it is to be forwarded. */
+/** What is known about a request that is to be forwarded. */
 export interface ForwardedRequest {
   readonly kind: RouteKind;
   readonly resumable: boolean;
-  /** Most targets that may run it. */
+  /** Maximum number of targets that may run it. */
   readonly attempts: number;
 }
 
-/** Why a target has surely not run a request. */
+/** Why it is certain that a target has not run a request. */
 export type NotRunCause =
   /** No byte of the request left this process. */
   | 'notConnected'
-  /** The same, since nothing listens at the target's address. */
+  /**
+   * No byte left this process, since nothing listens at the target's address.
+   */
   | 'connectionRefused'
-  /** By the time it could be sent, it might not begin there any more. */
+  /** It was no longer allowed to begin there by the time it could be sent. */
   | 'outdated'
-  /** The target says so and is full or leaving. */
+  /** The target reports that it did not run it; it is full or leaving. */
   | 'refusedByTarget'
   /** Another target, or another version, answers at the address. */
   | 'misdirected';
 
-/** Why nothing is known of a request that was sent. */
+/** Why the outcome of a request that was sent is unknown. */
 export type UnknownCause =
   'connectionLost' | 'malformedAnswer' | 'foreignAnswer';
 
-/** What became of one send to a target. */
+/** The end or the current state of one attempt at a target. */
 export type AttemptOutcome = AttemptEnd | AttemptState;
 
-/** How one send to a target ended. */
+/** How one attempt at a target ended. */
 export type AttemptEnd =
-  /** A whole answer is at hand, not yet passed on. */
+  /** A complete answer is available, not yet forwarded. */
   | {readonly kind: 'answered'; readonly success: boolean}
-  /** A stream was passed on to its end. */
+  /** A stream was forwarded to its end. */
   | {readonly kind: 'streamed'}
   | {readonly kind: 'notRun'; readonly cause: NotRunCause}
   | {readonly kind: 'unknown'; readonly cause: UnknownCause}
-  /** Events were passed on, then the stream broke. */
+  /** Events were forwarded, then the stream broke. */
   | {
       readonly kind: 'broken';
       readonly cause: UnknownCause;
@@ -46,88 +48,89 @@
   | {readonly kind: 'timedOut'}
   | {readonly kind: 'callerGone'};
 
-/** What is seen of a send that is still under way. */
+/** The state of an attempt that is still in flight. */
 export type AttemptState =
-  /** Nothing has come for a while; its target is suspected to have ended. */
+  /** Nothing has arrived for a while; its target is suspected to have ended. */
   | {
       readonly kind: 'silent';
       /** Whether events have reached the caller, and the last one's id. */
       readonly streamBegun: boolean;
       readonly lastEventId: string | undefined;
     }
-  /** Bytes come again. */
+  /** Bytes arrive again. */
   | {readonly kind: 'goesOn'}
   /**
-   * Its target is to load weights, so that the stream should go on elsewhere.
-   * The repeat that this takes is already paid.
+   * Its target is to load weights, so the stream should continue at another
+   * one. The retry that this takes is already charged.
    */
   | {readonly kind: 'handedOn'; readonly lastEventId: string};
 
-/** What choosing a target came to. */
+/** The result of choosing a target. */
 export type SlotReply<Target> =
   | {readonly kind: 'place'; readonly target: Target}
   | {
       readonly kind: 'noPlace';
       readonly reason: NoSlotReason;
-      /** When a caller should come back. */
+      /** How long the caller should wait before it retries. */
       readonly retryAfter: Milliseconds;
     }
   | {readonly kind: 'timedOut'}
   | {readonly kind: 'callerGone'};
 
-/** Why no target takes a request. */
+/** Why no target accepts a request. */
 export type NoSlotReason =
   | 'noTarget'
   | 'allFull'
-  /** All targets of the service leave. */
+  /** All targets of the service are leaving. */
   | 'targetsLeaving'
-  /** All that stay are in zones that are being evacuated. */
+  /** All remaining targets are in zones that are being evacuated. */
   | 'targetsEvacuated'
   /** Its route and its workspace allow no region in common. */
   | 'noAllowedRegion'
-  /** All that stay want no request of this entry for a while. */
+  /** All remaining targets have asked this entry to back off. */
   | 'targetsBackingOff'
   | 'leaving'
   | 'outdatedTargets'
-  /** Callers ask for more than the engines give, and others go first. */
+  /** Demand exceeds the engines' capacity, and other requests go first. */
   | 'belowLevel'
-  /** Targets have ended under it, here or at other entries. */
+  /** Targets have ended while running it, here or at other entries. */
   | 'quarantined';
 
-/** What the flow asks of its driver. */
+/** The effects that the flow yields to its driver. */
 export type ForwardEffect<Target> =
   | {readonly kind: 'choosePlace'; readonly tried: readonly Target[]}
   | {
       readonly kind: 'send';
       readonly target: Target;
       /**
-       * Go on after this event, or a later one that has reached the caller
-       * since; undefined for a run from the start.
+       * Resume after this event, or after a later one that has reached the
+       * caller since; undefined for a run from the start.
        */
       readonly resumeAfter: string | undefined;
     }
-  /** Waits for the next report of the sends under way. */
+  /** Waits for the next report of the attempts in flight. */
   | {
       readonly kind: 'wait';
-      /** Whether a repeat that was denied is wanted as soon as it is allowed. */
+      /** Whether a denied retry is wanted as soon as it is allowed. */
       readonly wantsRetry: boolean;
     }
-  /** Asks whether the site's budget allows one more send. */
+  /** Asks whether the site's retry budget allows one more attempt. */
   | {readonly kind: 'takeRepeat'};
 
-/** A report of one of the request's sends. */
+/** A report of one of the request's attempts. */
 export interface AttemptReport {
   readonly kind: 'sent';
   readonly outcome: AttemptOutcome;
-  /** Sends of the request that are still under way. */
+  /** Attempts of the request that are still in flight. */
   readonly attemptsInFlight: number;
   /** How many of these are silent. */
   readonly silent: number;
 }
 
 /**
- * Answers to the flow's effects. A report may also answer `choosePlace`; the
- * wait for a place is then withdrawn. A repeat answers `wait` if it is wanted.
+ * Replies to the flow's effects. A report may also answer `choosePlace`; the
+ * wait for a slot is then withdrawn. `repeat` answers `takeRepeat`, and also
+ * `wait` if a retry is wanted.
  */
 export type ForwardReply<Target> =
   | {readonly kind: 'placed'; readonly place: SlotReply<Target>}
@@ -136,7 +139,7 @@
 
 /** The final answer of a request. */
 export type ForwardResult =
-  /** Pass on the last whole answer. */
+  /** Forward the last complete answer. */
   | {readonly kind: 'passOn'}
   | {readonly kind: 'streamed'}
   | {
--- a/test/event_stream/event_splitter.test.ts
+++ b/test/event_stream/event_splitter.test.ts
@@ -5,7 +5,7 @@
 
 const text = 'id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\nevent: c\ndata: c\n\n';
 
-test('cuts a stream into the same events however its bytes arrive', () => {
+test('splits a stream into the same events however its bytes arrive', () => {
   fc.assert(
     fc.property(fc.array(fc.integer({min: 1, max: 9})), sizes => {
       const splitter = createEventSplitter();
@@ -24,9 +24,9 @@
   );
 });
 
-// A target dies within an event. What came of it must not reach the caller,
-// who would see it run into the next target's events.
-test('keeps an unfinished event back', () => {
+// A target fails within an event. The received part must not reach the caller,
+// where it would run into the next target's events.
+test('holds back an incomplete event', () => {
   const splitter = createEventSplitter();
   const events = splitter.push(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'));
   expect(events).toHaveLength(1);
--- a/test/forwarding/forward_request.test.ts
+++ b/test/forwarding/forward_request.test.ts
@@ -56,7 +56,7 @@
   }),
 );
 
-/** What a send reports; `from` picks one of those under way. */
+/** What an attempt reports; `from` picks one of those in flight. */
 interface ScriptedReport {
   readonly from: number;
   readonly outcome: ForwardAttemptOutcome;
@@ -65,12 +65,16 @@
 interface Script {
   readonly request: ForwardedRequest;
   readonly reports: readonly ScriptedReport[];
-  /** Whether a report comes before a place, by searches; then, never. */
+  /**
+   * For each search, whether a report arrives before a slot; never after these.
+   */
   readonly interrupted: readonly boolean[];
-  /** Sends for which a place is found. */
+  /** Number of attempts for which a slot is found. */
   readonly places: number;
   readonly repeats: number;
-  /** Repeats that are allowed after they were denied, while sends are silent. */
+  /**
+   * Retries that are allowed after they were denied, while attempts are silent.
+   */
   readonly lateRepeats: number;
 }
 
@@ -97,31 +101,33 @@
   lateRepeats: fc.integer({min: 0, max: 3}),
 });
 
-interface PlayedAttempt {
-  /** Undefined while it is under way, or if another one has won. */
+interface SentAttempt {
+  /** Undefined while it is in flight, or if another one has won. */
   end: ForwardAttemptEnd | undefined;
   isSilent: boolean;
   readonly resumeAfter: string | undefined;
-  /** Earlier sends that may have run when it was made. */
-  readonly besides: number;
+  /** Number of earlier attempts that may have run when it was made. */
+  readonly earlierRuns: number;
   readonly streamBegun: boolean;
 }
 
-interface Played {
+interface ScriptResult {
   readonly result: ForwardResult;
-  readonly sent: readonly PlayedAttempt[];
+  readonly sent: readonly SentAttempt[];
   readonly streamBegun: boolean;
   readonly lastReport: ForwardAttemptOutcome | undefined;
-  readonly leftUnderWay: number;
-  /** Repeats and moves that the site's budget was charged. */
+  readonly leftInFlight: number;
+  /** Retries and moves that were charged to the site's budget. */
   readonly charged: number;
 }
 
-/** Runs the flow against a script of reports; then the deadline comes. */
-function play(script: Script): Played {
+/**
+ * Runs the flow against a script of reports, after which the deadline passes.
+ */
+function runScript(script: Script): ScriptResult {
   const flow = forwardRequest<string>(script.request);
-  const sent: PlayedAttempt[] = [];
-  let underWay: PlayedAttempt[] = [];
+  const sent: SentAttempt[] = [];
+  let inFlight: SentAttempt[] = [];
   let streamBegun = false;
   let lastReport: ForwardAttemptOutcome | undefined;
   let [reports, searches, repeats, moves, late] = [0, 0, 0, 0, 0];
@@ -130,25 +136,25 @@
     if (steps > MAX_STEPS) throw new Error('the flow does not end');
     step = flow.next(reply(step.value));
   }
-  const leftUnderWay = underWay.length;
+  const leftInFlight = inFlight.length;
   const charged = Math.min(repeats, script.repeats) + moves + late;
-  const ending = {lastReport, leftUnderWay, charged};
+  const ending = {lastReport, leftInFlight, charged};
   return {result: step.value, sent, streamBegun, ...ending};
 
   function reply(effect: ForwardEffect<string>): ForwardReply<string> {
     switch (effect.kind) {
       case 'choosePlace':
-        return choosePlace();
+        return chooseSlot();
       case 'send': {
-        const send: PlayedAttempt = {
+        const attempt: SentAttempt = {
           end: undefined,
           isSilent: false,
           resumeAfter: effect.resumeAfter,
-          besides: sent.filter(mayHaveRun).length,
+          earlierRuns: sent.filter(mayHaveRun).length,
           streamBegun,
         };
-        sent.push(send);
-        underWay.push(send);
+        sent.push(attempt);
+        inFlight.push(attempt);
         return report();
       }
       case 'wait':
@@ -161,10 +167,10 @@
     }
   }
 
-  function choosePlace(): ForwardReply<string> {
+  function chooseSlot(): ForwardReply<string> {
     const isInterrupted = script.interrupted[searches] === true;
     searches += 1;
-    if (isInterrupted && underWay.length > 0) return report();
+    if (isInterrupted && inFlight.length > 0) return report();
     const place =
       sent.length < script.places
         ? ({kind: 'place', target: 'target'} as const)
@@ -173,60 +179,60 @@
   }
 
   function report(): AttemptReport {
-    if (underWay.length === 0) throw new Error('waits for nothing');
+    if (inFlight.length === 0) throw new Error('waits for nothing');
     const {from, outcome} = script.reports[reports] ?? {
       from: 0,
       outcome: {kind: 'timedOut'},
     };
     reports += 1;
     lastReport = outcome;
-    recordOutcome(underWay[from % underWay.length]!, outcome);
-    const silent = underWay.filter(({isSilent}) => isSilent).length;
-    return {kind: 'sent', outcome, attemptsInFlight: underWay.length, silent};
+    recordOutcome(inFlight[from % inFlight.length]!, outcome);
+    const silent = inFlight.filter(({isSilent}) => isSilent).length;
+    return {kind: 'sent', outcome, attemptsInFlight: inFlight.length, silent};
   }
 
   function recordOutcome(
-    send: PlayedAttempt,
+    attempt: SentAttempt,
     outcome: ForwardAttemptOutcome,
   ): void {
     if (outcome.kind === 'silent') {
-      send.isSilent = true;
+      attempt.isSilent = true;
       streamBegun ||= outcome.streamBegun;
     } else if (outcome.kind === 'goesOn') {
-      send.isSilent = false;
+      attempt.isSilent = false;
     } else if (outcome.kind === 'handedOn') {
       streamBegun = true;
       moves += 1;
     } else {
-      recordEnd(send, outcome);
+      recordEnd(attempt, outcome);
     }
   }
 
-  function recordEnd(send: PlayedAttempt, end: ForwardAttemptEnd): void {
-    send.end = end;
+  function recordEnd(attempt: SentAttempt, end: ForwardAttemptEnd): void {
+    attempt.end = end;
     streamBegun ||= end.kind === 'broken';
     const hasWon =
       end.kind === 'streamed' || (end.kind === 'answered' && end.success);
-    underWay = hasWon ? [] : underWay.filter(other => other !== send);
+    inFlight = hasWon ? [] : inFlight.filter(other => other !== attempt);
   }
 }
 
 const UNREACHED = ['notConnected', 'connectionRefused'];
 
-/** Whether there was a connection to the send's target. */
-function isReached({end}: PlayedAttempt): boolean {
+/** Whether a connection to the attempt's target was established. */
+function isReached({end}: SentAttempt): boolean {
   return end?.kind !== 'notRun' || !UNREACHED.includes(end.cause);
 }
 
-/** Whether anything of the request may have reached the send's target. */
-function mayHaveReachedTarget(send: PlayedAttempt): boolean {
-  if (send.end?.kind === 'notRun' && send.end.cause === 'outdated') {
+/** Whether any part of the request may have reached the attempt's target. */
+function mayHaveReachedTarget(attempt: SentAttempt): boolean {
+  if (attempt.end?.kind === 'notRun' && attempt.end.cause === 'outdated') {
     return false;
   }
-  return isReached(send);
+  return isReached(attempt);
 }
 
-const mayHaveRun = ({end}: PlayedAttempt): boolean => end?.kind !== 'notRun';
+const mayHaveRun = ({end}: SentAttempt): boolean => end?.kind !== 'notRun';
 
 function silentFor(request: Partial<ForwardedRequest> = {}): Script {
   const silent = {kind: 'silent', streamBegun: false} as const;
@@ -240,23 +246,23 @@
   };
 }
 
-test('a request that may not repeat is never sent again after it may have run', () => {
+test('a request that may not be retried is never sent again after it may have run', () => {
   fc.assert(
     fc.property(scripts, script => {
       const {kind, resumable} = script.request;
       fc.pre(kind === 'unsafe' || (kind === 'stream' && !resumable));
-      const {sent} = play(script);
-      for (const {besides} of sent) expect(besides).toBe(0);
+      const {sent} = runScript(script);
+      for (const {earlierRuns} of sent) expect(earlierRuns).toBe(0);
       expect(sent.slice(0, -1).filter(mayHaveRun)).toEqual([]);
     }),
     propertyRuns,
   );
 });
 
-test('"not run" is only said if nothing may have run', () => {
+test('"not run" is reported only if nothing may have run', () => {
   fc.assert(
     fc.property(scripts, script => {
-      const {result, sent} = play(script);
+      const {result, sent} = runScript(script);
       if (result.kind === 'notRun') expect(sent.filter(mayHaveRun)).toEqual([]);
     }),
     propertyRuns,
@@ -264,7 +270,7 @@
 });
 
 test('names the cause of the attempt that may have run', () => {
-  const {result} = play({
+  const {result} = runScript({
     ...silentFor(),
     reports: [{from: 0, outcome: {kind: 'unknown', cause: 'foreignAnswer'}}],
     places: 1,
@@ -276,7 +282,7 @@
 test('a request runs at no more targets than its route allows', () => {
   fc.assert(
     fc.property(scripts, script => {
-      const {sent} = play(script);
+      const {sent} = runScript(script);
       const runs = sent.filter(mayHaveRun).length;
       expect(runs).toBeLessThanOrEqual(script.request.attempts);
       const reached = sent.filter(isReached).length;
@@ -286,10 +292,10 @@
   );
 });
 
-test('no more arrivals beyond the first than were charged as repeats', () => {
+test('no more attempts arrive beyond the first than were charged as retries', () => {
   fc.assert(
     fc.property(scripts, script => {
-      const {sent, charged} = play(script);
+      const {sent, charged} = runScript(script);
       const arrivals = sent.filter(mayHaveReachedTarget).length;
       expect(Math.max(0, arrivals - 1)).toBeLessThanOrEqual(charged);
     }),
@@ -297,14 +303,14 @@
   );
 });
 
-test('targets that are not reached cost no repeat', () => {
+test('targets that are not reached cost no retry', () => {
   const cause = 'connectionRefused';
   const refused = {from: 0, outcome: {kind: 'notRun', cause}} as const;
   const answered = {
     from: 0,
     outcome: {kind: 'answered', success: true},
   } as const;
-  const {result, sent, charged} = play({
+  const {result, sent, charged} = runScript({
     ...silentFor(),
     reports: [...Array.from({length: 6}, () => refused), answered],
     repeats: 0,
@@ -317,57 +323,57 @@
 test('a stream that has begun is resumed after its last event or cut', () => {
   fc.assert(
     fc.property(scripts, script => {
-      const {result, sent, streamBegun} = play(script);
+      const {result, sent, streamBegun} = runScript(script);
       if (!streamBegun) return;
       expect(['streamed', 'cut', 'timedOut', 'callerGone']).toContain(
         result.kind,
       );
-      for (const send of sent.filter(send => send.streamBegun)) {
-        expect(send.resumeAfter).toBeDefined();
+      for (const attempt of sent.filter(attempt => attempt.streamBegun)) {
+        expect(attempt.resumeAfter).toBeDefined();
       }
     }),
     propertyRuns,
   );
 });
 
-test('no send under way is given up but for an answer, the deadline or the caller', () => {
+test('no attempt in flight is given up except for an answer, the deadline or the caller', () => {
   fc.assert(
     fc.property(scripts, script => {
-      const {leftUnderWay, lastReport} = play(script);
-      if (leftUnderWay === 0) return;
+      const {leftInFlight, lastReport} = runScript(script);
+      if (leftInFlight === 0) return;
       expect(['timedOut', 'callerGone']).toContain(lastReport?.kind);
     }),
     propertyRuns,
   );
 });
 
-test('a request that may be repeated is sent elsewhere beside a silent send', () => {
-  expect(play(silentFor()).sent).toHaveLength(2);
+test('a request that may be retried is sent to another target alongside a silent attempt', () => {
+  expect(runScript(silentFor()).sent).toHaveLength(2);
 });
 
-test('a silent send that may not be repeated is waited for until the deadline', () => {
+test('a silent attempt that may not be retried is awaited until the deadline', () => {
   for (const changes of [{kind: 'unsafe'}, {attempts: 1}] as const) {
-    const {sent, result} = play(silentFor(changes));
+    const {sent, result} = runScript(silentFor(changes));
     expect(sent).toHaveLength(1);
     expect(result).toEqual({kind: 'timedOut', mayHaveRun: true});
   }
 });
 
-test('a silent send is waited for without a place or a repeat', () => {
+test('a silent attempt is awaited if there is no slot or no retry', () => {
   for (const changes of [{places: 1}, {repeats: 0}]) {
-    const {sent, result} = play({...silentFor(), ...changes});
+    const {sent, result} = runScript({...silentFor(), ...changes});
     expect(sent).toHaveLength(1);
     expect(result).toEqual({kind: 'timedOut', mayHaveRun: true});
   }
 });
 
-test('a repeat that was denied is made once it is allowed', () => {
-  const {sent} = play({...silentFor(), repeats: 0, lateRepeats: 1});
+test('a denied retry is made once it is allowed', () => {
+  const {sent} = runScript({...silentFor(), repeats: 0, lateRepeats: 1});
   expect(sent).toHaveLength(2);
 });
 
-test('a second send that fails leaves the silent one to answer', () => {
-  const {result} = play({
+test('a hedge that fails leaves the silent attempt to answer', () => {
+  const {result} = runScript({
     ...silentFor(),
     reports: [
       ...silentFor().reports,
@@ -378,8 +384,8 @@
   expect(result).toEqual({kind: 'passOn'});
 });
 
-test('an answer at hand is passed on at the deadline', () => {
-  const {result} = play({
+test('an available answer is forwarded at the deadline', () => {
+  const {result} = runScript({
     ...silentFor(),
     reports: [
       ...silentFor().reports,
@@ -389,8 +395,8 @@
   expect(result).toEqual({kind: 'passOn'});
 });
 
-test('a send that goes on while a place is waited for needs no other one', () => {
-  const {sent} = play({
+test('an attempt that resumes while a slot is awaited needs no hedge', () => {
+  const {sent} = runScript({
     ...silentFor(),
     reports: [
       ...silentFor().reports,
@@ -402,8 +408,8 @@
   expect(sent).toHaveLength(1);
 });
 
-test('a send that fails beside one that goes on is not replaced', () => {
-  const {sent} = play({
+test('an attempt that fails alongside one that resumes is not replaced', () => {
+  const {sent} = runScript({
     ...silentFor({attempts: 3}),
     reports: [
       ...silentFor().reports,
@@ -415,8 +421,8 @@
   expect(sent).toHaveLength(2);
 });
 
-test('a stream that finds no place away from its target stays there', () => {
-  const {sent, result} = play({
+test('a stream that finds no slot at another target stays where it is', () => {
+  const {sent, result} = runScript({
     ...silentFor({kind: 'stream', resumable: true}),
     reports: [
       {from: 0, outcome: {kind: 'handedOn', lastEventId: '1'}},
