--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -22,7 +22,7 @@
 export * from './utils/canonical_json';
 export * from './utils/hash';
 
-// Several parts use these names for types of their own.
+// Aliases, since several modules export types with these names.
 export type {TargetChoice as IntentTargets} from './configuration';
 export type {TargetChoice as DispatchTarget, WaitEffect} from './requests';
 export type {TargetChoice} from './routing';
--- a/packages/core/src/kernel/flow.ts
+++ b/packages/core/src/kernel/flow.ts
@@ -1,7 +1,7 @@
 /**
- * A decision with several steps: it yields typed effects for its driver to
- * carry out and receives typed replies. A daemon drives it with real I/O, a
- * test with scripted replies (lost, late, doubled, reordered, none).
+ * A decision in several steps that yields typed effects for its driver to
+ * perform and receives typed replies. A daemon drives it with real I/O, a test
+ * with scripted replies (lost, late, duplicate, reordered, none).
  */
 export type Flow<Effect, Reply, Outcome> = Generator<Effect, Outcome, Reply>;
 
--- a/packages/core/src/routes/destinations.ts
+++ b/packages/core/src/routes/destinations.ts
@@ -6,10 +6,12 @@
   | {readonly kind: 'anywhere'}
   | {readonly kind: 'regions'; readonly regions: ReadonlySet<RegionName>};
 
-/** The destinations of a request that no residency binds. */
+/** The destinations of a request without a residency restriction. */
 export const ANYWHERE: Destinations = {kind: 'anywhere'};
 
-/** Where a request may be served by its route and its workspace; both bind. */
+/**
+ * Where a request may be served; its route and its workspace both restrict it.
+ */
 export function destinationsOf(
   route: Pick<Route, 'allowedRegions'>,
   workspace: Pick<WorkspaceAccess, 'allowedRegions'> | undefined,
@@ -23,12 +25,14 @@
   return {kind: 'regions', regions: new Set(regions)};
 }
 
-/** Whether a request may be served nowhere at all. */
+/** Whether there is no region in which a request may be served. */
 export function areEmpty(destinations: Destinations): boolean {
   return destinations.kind === 'regions' && destinations.regions.size === 0;
 }
 
-/** Whether a request may be served in a region; undefined if it isn't known. */
+/**
+ * Whether a request may be served in `region`, which is undefined if unknown.
+ */
 export function mayBeServedIn(
   destinations: Destinations,
   region: RegionName | undefined,
--- a/packages/core/src/routes/residency.ts
+++ b/packages/core/src/routes/residency.ts
@@ -7,7 +7,7 @@
   readonly workspace: string;
 }
 
-/** Whether a configuration names regions at all. */
+/** Whether a configuration restricts any requests to regions. */
 export function restrictsRegions({
   routes,
   workspaces = [],
@@ -18,9 +18,9 @@
 }
 
 /**
- * Routes and workspaces whose requests can be served nowhere. Only the first
- * route and workspace of each pair of lists are named: a site has thousands of
- * pairs, and few lists.
+ * Routes and workspaces whose requests can't be served anywhere. Only the first
+ * route and workspace of each pair of region lists are reported: a site has
+ * thousands of pairs, but few lists.
  */
 export function findResidencyConflicts({
   routes,
@@ -34,8 +34,8 @@
 }
 
 /**
- * Regions that all routes with residency allow, of those given; undefined if
- * none of them has any.
+ * Regions allowed by all of the routes that restrict regions; undefined if none
+ * does.
  */
 export function commonRegions(
   routes: readonly Pick<Route, 'allowedRegions'>[],
--- a/packages/core/src/routes/route_table.ts
+++ b/packages/core/src/routes/route_table.ts
@@ -8,29 +8,32 @@
   WorkspaceAccess,
 } from './types';
 
-/** Who sends a request, as its key says. */
+/** Who sends a request, according to its key. */
 export type CallerAccess =
   | {readonly kind: 'workspace'; readonly workspace: WorkspaceAccess}
-  /** The route or the site asks for no key. */
+  /** The route or the site requires no key. */
   | {readonly kind: 'anonymous'}
-  /** No key, or one that no workspace holds. */
+  /** No key, or one that no workspace has. */
   | {readonly kind: 'denied'};
 
-/** Answers questions about one configuration. */
+/** Lookups in one configuration. */
 export interface RouteTable {
   readonly version: number;
   readonly configuration: RoutingConfiguration;
-  /** The route with the longest prefix that begins `path`. */
+  /** The route with the longest prefix that matches `path`. */
   readonly find: (host: string, path: string) => Route | undefined;
   readonly access: (route: Route, key: string | undefined) => CallerAccess;
   readonly service: (name: ServiceName) => ServiceDescription | undefined;
-  /** Whether the configuration names regions. */
+  /** Whether the configuration restricts requests to regions. */
   readonly restrictsRegions: boolean;
-  /** Regions that all routes of a host with residency allow, if any has. */
+  /**
+   * Regions that are allowed by all routes of a host that restrict regions, if
+   * any does.
+   */
   readonly regionsOf: (host: string) => ReadonlySet<RegionName> | undefined;
 }
 
-/** Prepares a configuration for look-ups. */
+/** Prepares a configuration for lookups. */
 export function createRouteTable(
   configuration: RoutingConfiguration,
 ): RouteTable {
@@ -83,8 +86,8 @@
 }
 
 /**
- * The service that takes a request of a split route. A hash of the request's
- * id decides, so that each further try goes to the same service.
+ * The service that serves a request of a split route. A hash of the request's
+ * id decides, so that each retry goes to the same service.
  */
 export function chooseService(
   route: Route,
--- a/packages/core/src/routes/types.ts
+++ b/packages/core/src/routes/types.ts
@@ -9,7 +9,7 @@
   ZoneName,
 } from '../types';
 
-/** What may be done with a request of a route more than once. */
+/** How often a request of a route may run. */
 export type RouteKind =
   /** Idempotent: may run any number of times. */
   | 'safe'
@@ -18,7 +18,7 @@
   /** Answered by a stream of events. */
   | 'stream';
 
-/** A service that takes a part of a route's requests. */
+/** A service that gets a share of a route's requests. */
 export interface RouteShare {
   readonly service: ServiceName;
   /** Relative to the other shares of the route. */
@@ -34,56 +34,65 @@
   readonly prefix: string;
   readonly kind: RouteKind;
   readonly shares: readonly RouteShare[];
-  /** Longest time to the end of the answer. */
+  /** Maximum time to the end of the answer. */
   readonly timeout: Milliseconds;
-  /** Time to the answer, or to a stream's first event, for full use. */
+  /**
+   * Time to the answer, or to a stream's first event, within which it has its
+   * full value.
+   */
   readonly objective: Milliseconds;
-  /** Longest pause between two events of a stream that is still on time. */
+  /** Maximum pause between two events of a stream that is still on time. */
   readonly pauseObjective: Milliseconds | undefined;
   /** 0 goes first. */
   readonly priority: number;
-  /** Most targets that may run one attempt of a caller. */
+  /** Maximum number of targets that may run one attempt of a caller. */
   readonly attempts: number;
   /** Whether callers need no key. */
   readonly anonymous: boolean;
-  /** Whether a broken stream may go on at another target. */
+  /** Whether a broken stream may resume at another target. */
   readonly resumable: boolean;
   /** Regions in which its requests may be served; undefined for all. */
   readonly allowedRegions: readonly RegionName[] | undefined;
 }
 
-/** How fast the engines of a service work. */
+/** The performance of a service's engines. */
 export interface EngineProfile {
   readonly slots: number;
   /** Time of one token step. */
   readonly stepTime: Milliseconds;
-  /** Added to a step by each request that writes. */
+  /** Added to a step by each request that generates output. */
   readonly stepTimePerRequest: Milliseconds;
-  /** Prompt tokens read in a second. */
+  /** Prompt tokens processed per second. */
   readonly prefillRate: number;
   /** Added for each million pairs of a prompt token and an earlier one. */
   readonly timePerMillionPairs: Milliseconds;
-  /** Token steps between two looks at waiting work. */
+  /** Token steps between two checks for waiting work. */
   readonly stride: number;
-  /** Most prompt tokens read within one step. */
+  /** Maximum number of prompt tokens processed within one step. */
   readonly prefillChunk: number;
   /** Time to load a staged version. */
   readonly loadTime: Milliseconds;
-  /** Added to a step by each thousand tokens of a writing request's context. */
+  /**
+   * Added to a step by each thousand tokens of the context of a request that
+   * generates output.
+   */
   readonly stepTimePerThousandTokens: Milliseconds;
-  /** Tokens that an engine's requests may hold; undefined if it is not named. */
+  /**
+   * Tokens that an engine's requests may hold in its memory; undefined if it
+   * isn't configured.
+   */
   readonly memoryTokens: number | undefined;
 }
 
-/** What the targets of a service bear right after a start. */
+/** The load that a service's targets can take right after a start. */
 export interface ColdStart {
   /** How long a target stays cold after a start during traffic. */
   readonly duration: Milliseconds;
-  /** Requests a second that a cold target takes from all entries together. */
+  /** Requests per second that a cold target gets from all entries together. */
   readonly sendsPerSecond: number;
 }
 
-/** The parts in which a model's weights are moved. */
+/** How a model's weights are divided for transfer. */
 export interface WeightLayout {
   readonly models: readonly ModelName[];
   readonly chunks: number;
@@ -91,12 +100,12 @@
   readonly layers: number;
 }
 
-/** A service that routes name, or the origin of weights. */
+/** A service that routes refer to, or the origin of weights. */
 export type ServiceDescription =
   | {
       readonly kind: 'plain';
       readonly name: ServiceName;
-      /** Undefined if its targets take their share from the start. */
+      /** Undefined if its targets take their full share from the start. */
       readonly coldStart: ColdStart | undefined;
     }
   | {
@@ -119,13 +128,13 @@
 export interface WorkspaceAccess {
   readonly name: WorkspaceName;
   readonly keys: readonly string[];
-  /** 0 goes first; goes before the route's priority where it is set. */
+  /** 0 goes first; overrides the route's priority if set. */
   readonly priority: number | undefined;
   /** Regions in which its requests may be served; undefined for all. */
   readonly allowedRegions: readonly RegionName[] | undefined;
 }
 
-/** What callers may send, and how long connections are kept. */
+/** Limits on what callers may send and on how long connections are kept. */
 export interface CallerLimits {
   readonly headerBytes: Bytes;
   readonly bodyBytes: Bytes;
@@ -135,7 +144,7 @@
 
 /** The operator's configuration of routes, services and workspaces. */
 export interface RoutingConfiguration {
-  /** Grows with each change, not always by one. */
+  /** Increases with each change, not always by one. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly ServiceDescription[];
--- a/packages/core/src/types/configuration.ts
+++ b/packages/core/src/types/configuration.ts
@@ -9,13 +9,13 @@
   ZoneName,
 } from './names';
 
-/** Which system gives orders and requests: the older one or ours. */
+/** Which system sends orders and requests: the older one or this one. */
 export type Owner = 'older-system' | 'hibiscusbeam';
 
 /** Whether a target refuses an order with an old fencing number. */
 export type FencingSupport = 'checked' | 'ignored';
 
-/** A target as the configuration in force describes it. */
+/** A target as described by the configuration in force. */
 export interface TargetConfiguration {
   readonly kind: 'modelEngine' | 'plainService';
   /** The plain service's name; absent for a model engine. */
@@ -26,7 +26,7 @@
   readonly state: 'joined' | 'leaving';
 }
 
-/** Which measure a rollout puts first. */
+/** What a rollout optimizes first. */
 export type RolloutPreference = 'time' | 'origin-bytes';
 
 /** One model served at one version on a set of targets. */
@@ -34,7 +34,7 @@
   readonly versionDigest: VersionDigest;
   readonly label: string;
   readonly targets: readonly TargetName[];
-  /** Fewest targets that serve the model while versions swap. */
+  /** Minimum number of targets that serve the model while versions swap. */
   readonly capacityFloor: number;
   readonly prefer: RolloutPreference;
 }
@@ -45,10 +45,10 @@
   readonly notRepeatable: readonly string[];
 }
 
-/** A workspace's owner, precedence and limits. */
+/** A workspace's owner, priority and limits. */
 export interface WorkspaceConfiguration {
   readonly owner: Owner;
-  /** Closed while it moves between systems: requests get `notRun`. */
+  /** False while it moves between systems: requests then get `notRun`. */
   readonly open: boolean;
   /** Lower numbers go first. */
   readonly priority: number;
@@ -56,7 +56,7 @@
   readonly requestsPerSecond: number;
 }
 
-/** Everything that is agreed about the site at one generation. */
+/** The configuration of the whole site at one generation. */
 export interface SiteConfiguration {
   readonly targets: {readonly [target: TargetName]: TargetConfiguration};
   readonly models: {readonly [model: ModelName]: ModelConfiguration};
@@ -64,11 +64,11 @@
   readonly workspaces: {
     readonly [workspace: WorkspaceName]: WorkspaceConfiguration;
   };
-  /** True once the older system is switched off for good. */
+  /** True once the older system is switched off permanently. */
   readonly olderSystemSwitchedOff: boolean;
 }
 
-/** A configuration with its place in the line. */
+/** A configuration with its position in the sequence of accepted ones. */
 export interface AcceptedConfiguration {
   readonly generation: Generation;
   /** SHA-256 over the canonical JSON of `planId` and `configuration`. */
--- a/packages/core/src/types/manifest.ts
+++ b/packages/core/src/types/manifest.ts
@@ -10,7 +10,7 @@
 /** The content of one version: its chunks in order. */
 export interface Manifest {
   readonly model: ModelName;
-  /** Label for people, for example `2026-12-02.1`. */
+  /** Human-readable label, for example `2026-12-02.1`. */
   readonly label: string;
   readonly chunks: readonly ManifestChunk[];
 }
--- a/packages/core/src/types/names.ts
+++ b/packages/core/src/types/names.ts
@@ -25,19 +25,21 @@
 /** SHA-256 digest of a version's manifest; identifies the version. */
 export type VersionDigest = Digest;
 
-/** Identifies one attempt to run one request. Unique for ever. */
+/** Identifies one attempt to run one request; never reused. */
 export type AttemptId = string;
 
-/** Names one life of a target, as its instance and its birth. */
+/** Identifies one incarnation of a target by its instance and its start. */
 export type TargetIncarnation = string;
 
-/** Names a request by its caller and content, the same at each attempt. */
+/**
+ * Identifies a request by its caller and content; the same for each attempt.
+ */
 export type RequestFingerprint = string;
 
-/** Number of an agent's life; raised in the table at each start. */
+/** Number of an agent's incarnation; raised in the table at each start. */
 export type Incarnation = number;
 
-/** Position of a configuration in the single line of accepted ones. */
+/** Position of a configuration in the sequence of accepted ones. */
 export type Generation = number;
 
 /** Identifies a plan that an operator may confirm. */
--- a/packages/core/src/types/outcome.ts
+++ b/packages/core/src/types/outcome.ts
@@ -4,9 +4,9 @@
 declare const evidenceOfNotRunning: unique symbol;
 
 /**
- * Why it is certain that an attempt did not run and never will. Built only by
- * the functions in `requests/evidence.ts`, so that no code can claim it
- * without having seen it.
+ * Proof that an attempt did not run and never will. Built only by the functions
+ * in `requests/evidence.ts`, so that no code can claim it without having seen
+ * it.
  */
 export type NotRunEvidence = {
   readonly [evidenceOfNotRunning]: true;
@@ -39,7 +39,7 @@
   'stopping',
 ] as const;
 
-/** Why a request was not run, for the caller. */
+/** Why a request was not run, as reported to the caller. */
 export type NotRunReason = (typeof NOT_RUN_REASONS)[number];
 
 /** Whether `text`, received from another process, names a reason. */
@@ -47,7 +47,7 @@
   return (NOT_RUN_REASONS as readonly string[]).includes(text);
 }
 
-/** The three final answers to a request; there is no fourth. */
+/** The three possible outcomes of a request. */
 export type RequestOutcome =
   | {
       readonly kind: 'answered';
--- a/packages/core/src/types/table.ts
+++ b/packages/core/src/types/table.ts
@@ -12,7 +12,7 @@
   | readonly JsonValue[]
   | {readonly [name: string]: JsonValue};
 
-/** A row as read. `version` rises by one with each write of the row. */
+/** A row as read. `version` increases by one with each write of the row. */
 export interface TableRow {
   readonly key: TableKey;
   readonly version: number;
@@ -33,18 +33,18 @@
   | {readonly kind: 'put'; readonly key: TableKey; readonly value: JsonValue}
   | {readonly kind: 'delete'; readonly key: TableKey};
 
-/** Takes effect whole or not at all, and only if every condition holds. */
+/** Takes effect completely or not at all, and only if every condition holds. */
 export interface TableTransaction {
   readonly conditions: readonly TableCondition[];
   readonly writes: readonly TableWrite[];
 }
 
-/** The table's answer to a transaction it has decided. */
+/** The table's decision on a transaction. */
 export type CommitOutcome =
   | {readonly kind: 'committed'}
   | {
       readonly kind: 'conditionFailed';
-      /** Every key whose condition failed, with the row as it stands. */
+      /** Every key whose condition failed, with its current row. */
       readonly failed: readonly {
         readonly key: TableKey;
         readonly row: TableRow | undefined;
--- a/packages/core/src/types/units.ts
+++ b/packages/core/src/types/units.ts
@@ -4,7 +4,7 @@
 /** An instant on the process's monotonic clock, in milliseconds. */
 export type MonotonicInstant = number;
 
-/** Milliseconds since 1970 by the clock of the machine that says it. */
+/** Milliseconds since 1970 on the clock of the machine that reports it. */
 export type EpochMilliseconds = number;
 
 /** An amount of data in bytes. */
--- a/packages/core/src/utils/canonical_json.ts
+++ b/packages/core/src/utils/canonical_json.ts
@@ -1,6 +1,9 @@
 import type {JsonValue} from '../types';
 
-/** JSON with the names of every object sorted, so that digests agree. */
+/**
+ * JSON with the names of every object sorted, so that equal values have equal
+ * digests.
+ */
 export function canonicalJson(value: JsonValue): string {
   return JSON.stringify(value, (_name, part: JsonValue) => {
     if (part === null || typeof part !== 'object' || Array.isArray(part)) {
--- a/packages/core/src/utils/hash.ts
+++ b/packages/core/src/utils/hash.ts
@@ -5,7 +5,7 @@
   return murmur(text, seed).result();
 }
 
-/** Candidates by rendezvous hash of (subject, candidate), best first. */
+/** Candidates by rendezvous hash of (subject, candidate), highest first. */
 export function rendezvousOrder<Candidate extends string>(
   subject: string,
   candidates: readonly Candidate[],
--- a/packages/core/src/utils/revisioned_rows.ts
+++ b/packages/core/src/utils/revisioned_rows.ts
@@ -2,23 +2,24 @@
 export interface ChangedRows<Row> {
   /** Oldest change first. */
   readonly rows: readonly Row[];
-  /** What to ask from next time. */
+  /** The revision to pass next time. */
   readonly revision: number;
 }
 
 /** Rows by key, in the order of their last change. */
 export interface RevisionedRows<Row> {
   readonly get: (key: string) => Row | undefined;
-  /** Keeps a row as the newest change. */
+  /** Stores a row as the newest change. */
   readonly set: (key: string, row: Row) => void;
   readonly values: () => Iterable<Row>;
-  /** Rows that changed after `revision`, no more than `most`. */
+  /** Rows that changed after `revision`, at most `max`. */
   readonly changedSince: (revision: number, max: number) => ChangedRows<Row>;
 }
 
 /**
- * Creates the rows; `mostRows` are held, and the one that `leastOf` names is
- * dropped for one more. The oldest change is the first of its rows.
+ * Creates the rows. At most `maxRows` are held: one more drops the row whose
+ * key `selectEvicted` returns, by default the one with the oldest change. It
+ * gets the rows in the order of their last change.
  */
 export function createRevisionedRows<Row>(
   maxRows: number,
--- a/test/kernel/hash.test.ts
+++ b/test/kernel/hash.test.ts
@@ -4,7 +4,7 @@
 import {propertySettings} from '../fixtures/property_settings';
 
 describe('rendezvous order', () => {
-  test('moves only the subjects of a candidate that leaves', () => {
+  test('reassigns only the subjects of a removed candidate', () => {
     fc.assert(
       fc.property(
         fc.string(),
--- a/test/routes/route_table.test.ts
+++ b/test/routes/route_table.test.ts
@@ -53,13 +53,13 @@
   expect(table.find('site.example', '/other')).toBeUndefined();
 });
 
-test('hosts are compared without case and port', () => {
+test('hosts are matched regardless of case and port', () => {
   const table = tableOf([route('one')]);
   expect(table.find('Site.Example:8080', '/')?.name).toBe('one');
   expect(table.find('other.example', '/')).toBeUndefined();
 });
 
-test('a key opens what its workspace may use, and no key nothing', () => {
+test("a key grants access to its workspace's routes, and no key grants none", () => {
   const shop = {
     name: 'shop',
     keys: ['k'],
