--- a/test/fleet/backoff.test.ts
+++ b/test/fleet/backoff.test.ts
@@ -3,12 +3,12 @@
 import {startHostEngine, type HostEngine} from './fixtures/host_engine';
 import {eventually, startHostSite, type HostSite} from './fixtures/host_site';
 
-const SECOND = 1_000;
-const PAUSE_BETWEEN_PAIRS = 25;
+const SECOND_MS = 1_000;
+const PAUSE_BETWEEN_PAIRS_MS = 25;
 
 const BACKOFF_SECONDS = 4;
 
-/** Requests that may still reach a target within the time. */
+/** Requests that may still reach the target during its backoff. */
 const MAX_ATTEMPTS = 2;
 
 let site: HostSite;
@@ -33,7 +33,7 @@
   await Promise.all([shedding, calm].map(engine => engine.close()));
 });
 
-/** Sends two requests at the same time, so that one target isn't enough. */
+/** Sends two requests at the same time, so that both targets are needed. */
 async function sendPair(): Promise<readonly number[]> {
   const replies = [send(address, '/safe/a'), send(address, '/safe/a')];
   return (await Promise.all(replies)).map(({status}) => status);
@@ -44,7 +44,7 @@
   const until = performance.now() + duration;
   while (performance.now() < until) {
     statuses.push(...(await sendPair()));
-    await new Promise(resolve => setTimeout(resolve, PAUSE_BETWEEN_PAIRS));
+    await new Promise(resolve => setTimeout(resolve, PAUSE_BETWEEN_PAIRS_MS));
   }
   return statuses;
 }
@@ -61,9 +61,9 @@
   shedding.setFault({kind: 'shedding', retryAfter: BACKOFF_SECONDS});
   await sendUntilItReaches(shedding);
   const refusedAt = shedding.arrivals.at(-1)!.at;
-  const statuses = await sendPairsFor(BACKOFF_SECONDS * SECOND);
+  const statuses = await sendPairsFor(BACKOFF_SECONDS * SECOND_MS);
   const within = shedding.arrivals.filter(
-    ({at}) => at > refusedAt && at < refusedAt + BACKOFF_SECONDS * SECOND,
+    ({at}) => at > refusedAt && at < refusedAt + BACKOFF_SECONDS * SECOND_MS,
   );
   expect(within.length).toBeLessThanOrEqual(MAX_ATTEMPTS);
   expect(new Set(statuses)).toEqual(new Set([200]));
--- a/test/fleet/buffered_bytes.test.ts
+++ b/test/fleet/buffered_bytes.test.ts
@@ -24,7 +24,10 @@
 const EVENTS = 80;
 const SLOW = 'slow';
 
-/** Over loopback by TCP, the system takes 3.9 MB for each reader that stalls. */
+/**
+ * A Unix socket, since over loopback TCP the system buffers 3.9 MB for each
+ * stalled reader.
+ */
 const PATH = join(tmpdir(), `hibiscusbeam-buffers-${process.pid}.sock`);
 
 const nothing = (): void => undefined;
@@ -34,7 +37,7 @@
 let sockets: Socket[];
 let server: ReturnType<typeof createServer>;
 
-/** Passes a stream of events on, as an entry does with its target's. */
+/** Relays a stream of events, as an entry does with its target's. */
 function relay(request: IncomingMessage, response: ServerResponse): void {
   const requestId = request.url?.slice(1);
   const body = new PassThrough();
@@ -91,7 +94,7 @@
   server.close();
 });
 
-function ask(name: string): Socket {
+function get(name: string): Socket {
   const socket = connect(PATH);
   socket.on('error', nothing);
   sockets.push(socket);
@@ -100,16 +103,17 @@
 }
 
 function readWhole(name: string): Promise<number> {
-  const socket = ask(name);
+  const socket = get(name);
   let size = 0;
   socket.on('data', bytes => (size += bytes.length));
   return new Promise(resolve => socket.on('close', () => resolve(size)));
 }
 
-// 250 callers stop reading their streams. What waits for them was bounded by the
-// memory of the process only, and it ended with the requests of all others.
-test('hundreds of slow readers are dropped down to the bound, and others served', async () => {
-  for (let count = 0; count < SLOW_READERS; count += 1) ask(`${SLOW}-${count}`);
+// 250 callers stop reading their streams. Without a bound the buffered bytes
+// would exhaust the memory of the process and end the requests of all other
+// callers too.
+test('hundreds of slow readers are dropped down to the bound, and others are served', async () => {
+  for (let count = 0; count < SLOW_READERS; count += 1) get(`${SLOW}-${count}`);
   await eventually(() => droppedLines.length > 0 && buffered.held() > 0);
   await eventually(() => buffered.held() <= MAX_BUFFERED_BYTES);
   const sizes = await Promise.all(
@@ -122,7 +126,7 @@
   expect(droppedLines.length).toBeLessThan(SLOW_READERS);
 });
 
-test('a whole answer counts until it is passed on', async () => {
+test('a complete answer counts until it is forwarded', async () => {
   const held = new Promise<number>(resolve => {
     server.removeAllListeners('request');
     server.on('request', (_, response) => {
--- a/test/fleet/call_progress.test.ts
+++ b/test/fleet/call_progress.test.ts
@@ -11,7 +11,10 @@
 
 afterEach(() => closing.splice(0).forEach(close => close()));
 
-/** A server that does `answer` with each connection. */
+/**
+ * Starts a server that calls `answer` with each connection; returns its
+ * address.
+ */
 async function serve(answer: (socket: Socket) => void): Promise<string> {
   const sockets = new Set<Socket>();
   const server = createServer(socket => {
@@ -43,7 +46,7 @@
   return reply.err ? reply.val.progress : undefined;
 }
 
-test('a server that takes a connection and sends nothing is silent', async () => {
+test('a server that accepts a connection and sends nothing is silent', async () => {
   expect(await progressOf(await serve(() => undefined))).toBe('silent');
 });
 
@@ -52,7 +55,7 @@
   expect(await progressOf(address, 5_000)).toBe('underWay');
 });
 
-test('an answer that has begun is under way', async () => {
+test('an answer that has begun is in progress', async () => {
   const address = await serve(socket => {
     socket.write('HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf');
   });
@@ -65,7 +68,7 @@
   expect(await progressOf(await freeAddress())).toBe('broken');
 });
 
-/** A server on a thread of its own that answers after a while. */
+/** Starts a server in a worker thread that answers after `delay`. */
 async function startServerInWorker(delay: number): Promise<string> {
   const worker = new Worker(
     `const {createServer} = require('node:http');
@@ -81,9 +84,9 @@
   return `127.0.0.1:${String(port)}`;
 }
 
-test('an answer that came while this process stood still counts', async () => {
+test('an answer that arrived while this process was stalled counts', async () => {
   const address = await startServerInWorker(200);
-  const ask = () =>
+  const call = () =>
     callHttp({
       address,
       method: 'GET',
@@ -91,11 +94,11 @@
       timeout: 600,
       connection: 'kept',
     });
-  (await ask()).unwrap();
-  const reply = ask();
+  (await call()).unwrap();
+  const reply = call();
   await new Promise(resolve => setTimeout(resolve, 50));
   await new Promise<void>(resolve =>
-    // What comes during it is read after the timers that have expired.
+    // Data that arrives meanwhile is read after the expired timers have run.
     setImmediate(() => {
       const until = performance.now() + 700;
       while (performance.now() < until);
@@ -105,7 +108,7 @@
   expect((await reply).unwrap().body.toString()).toBe('late');
 });
 
-/** Sends an answer in 30 parts, one each 50 ms. */
+/** Sends an answer in 30 parts, one every 50 ms. */
 async function serveSlowly(): Promise<string> {
   return serve(socket => {
     socket.write('HTTP/1.1 200 OK\r\ncontent-length: 30\r\n\r\n');
@@ -119,9 +122,9 @@
   });
 }
 
-// After a start of all processes a table of 0.4 MB takes a full link 4 s. Given up
-// after 0.8 s and asked for again, it never came through.
-test('a long answer is read as long as its bytes come', async () => {
+// After all processes were started, a table of 0.4 MB takes 4 s over a full
+// link. With a timeout of 0.8 s and retries it never arrived.
+test('a long answer is read as long as its bytes arrive', async () => {
   const call = {
     address: await serveSlowly(),
     method: 'GET',
--- a/test/fleet/caller_server.test.ts
+++ b/test/fleet/caller_server.test.ts
@@ -14,16 +14,16 @@
 const SHORT_TIME = 100;
 const LONG_TIME = 60_000;
 
-/** Longer than a connection with the short time is kept. */
+/** Longer than a connection is kept with the short idle time. */
 const OVER_SHORT_TIME = 1_600;
 
-let face: CallerServer;
+let server: CallerServer;
 let caller: Socket;
 let onRequest: (response: ServerResponse) => void;
 
 beforeEach(async () => {
   onRequest = response => response.end('yes');
-  face = createCallerServer(
+  server = createCallerServer(
     {
       handle: (request, response) => {
         request.resume().once('end', () => onRequest(response));
@@ -34,17 +34,17 @@
     monotonicClock,
   );
   const address = await freeAddress();
-  await face.listen(address);
+  await server.listen(address);
   caller = connect(Number(address.split(':')[1]), '127.0.0.1');
   caller.on('error', () => undefined);
 });
 
 afterEach(() => {
   caller.destroy();
-  face.close();
+  server.close();
 });
 
-/** The next bytes of the entry, or that it closed the connection. */
+/** The next bytes from the entry, or `closed` if it closed the connection. */
 function nextAnswer(): Promise<string> {
   if (caller.closed) return Promise.resolve('closed');
   return new Promise(resolve => {
@@ -53,7 +53,7 @@
   });
 }
 
-function ask(text = REQUEST): Promise<string> {
+function sendRequest(text = REQUEST): Promise<string> {
   caller.write(text);
   return nextAnswer();
 }
@@ -62,58 +62,58 @@
   return new Promise(resolve => setTimeout(resolve, duration));
 }
 
-function standStill(duration: number): void {
+function blockEventLoop(duration: number): void {
   const until = performance.now() + duration;
   while (performance.now() < until);
 }
 
 test('a connection that stays idle is closed', async () => {
-  face.setIdleTimeout(SHORT_TIME);
-  expect(await ask()).toContain('200 OK');
+  server.setIdleTimeout(SHORT_TIME);
+  expect(await sendRequest()).toContain('200 OK');
   expect(await nextAnswer()).toBe('closed');
 });
 
-test('a request that arrives while the loop stands still past the idle time is answered', async () => {
-  face.setIdleTimeout(SHORT_TIME);
-  expect(await ask()).toContain('200 OK');
-  const second = ask();
-  standStill(OVER_SHORT_TIME);
+test('a request that arrives while the event loop is stalled past the idle timeout is answered', async () => {
+  server.setIdleTimeout(SHORT_TIME);
+  expect(await sendRequest()).toContain('200 OK');
+  const second = sendRequest();
+  blockEventLoop(OVER_SHORT_TIME);
   expect(await second).toContain('200 OK');
 });
 
-test('a request whose beginning arrives while the loop stands still past the idle time is answered', async () => {
-  face.setIdleTimeout(SHORT_TIME);
-  expect(await ask()).toContain('200 OK');
-  const second = ask(HALF_REQUEST);
-  standStill(OVER_SHORT_TIME);
+test('a request whose beginning arrives while the event loop is stalled past the idle timeout is answered', async () => {
+  server.setIdleTimeout(SHORT_TIME);
+  expect(await sendRequest()).toContain('200 OK');
+  const second = sendRequest(HALF_REQUEST);
+  blockEventLoop(OVER_SHORT_TIME);
   await sleep(SHORT_TIME);
   caller.write(REQUEST.slice(HALF_REQUEST.length));
   expect(await second).toContain('200 OK');
 });
 
-test('an idle connection is kept as long as a longer idle time says that comes into force', async () => {
-  face.setIdleTimeout(SHORT_TIME);
-  expect(await ask()).toContain('200 OK');
-  face.setIdleTimeout(LONG_TIME);
+test('an idle connection is kept for a longer idle timeout that takes effect', async () => {
+  server.setIdleTimeout(SHORT_TIME);
+  expect(await sendRequest()).toContain('200 OK');
+  server.setIdleTimeout(LONG_TIME);
   await sleep(OVER_SHORT_TIME);
-  expect(await ask()).toContain('200 OK');
+  expect(await sendRequest()).toContain('200 OK');
 });
 
-test('an idle connection is kept as long as its caller was told though a shorter idle time is in force', async () => {
-  face.setIdleTimeout(LONG_TIME);
+test('an idle connection is kept for the announced idle timeout even if a shorter one takes effect', async () => {
+  server.setIdleTimeout(LONG_TIME);
   onRequest = response => {
-    face.setIdleTimeout(SHORT_TIME);
+    server.setIdleTimeout(SHORT_TIME);
     response.end('yes');
   };
-  expect(await ask()).toContain(`timeout=${LONG_TIME / 1_000}`);
+  expect(await sendRequest()).toContain(`timeout=${LONG_TIME / 1_000}`);
   await sleep(OVER_SHORT_TIME);
-  expect(await ask()).toContain('200 OK');
+  expect(await sendRequest()).toContain('200 OK');
 });
 
-test('a request that lasts longer than the idle time is answered', async () => {
-  face.setIdleTimeout(SHORT_TIME);
-  expect(await ask()).toContain('200 OK');
+test('a request that lasts longer than the idle timeout is answered', async () => {
+  server.setIdleTimeout(SHORT_TIME);
+  expect(await sendRequest()).toContain('200 OK');
   onRequest = response =>
     void setTimeout(() => response.end('late'), OVER_SHORT_TIME);
-  expect(await ask()).toContain('late');
+  expect(await sendRequest()).toContain('late');
 });
--- a/test/fleet/exchange.test.ts
+++ b/test/fleet/exchange.test.ts
@@ -10,7 +10,10 @@
   for (const close of closing.splice(0)) close();
 });
 
-/** A target that answers each connection by `answer`; returns its address. */
+/**
+ * Starts a target that answers each connection with `answer`; returns its
+ * address.
+ */
 async function startTarget(answer: (socket: Socket) => void): Promise<string> {
   const server = createServer(socket => {
     socket.on('error', () => undefined);
@@ -42,17 +45,17 @@
   return {text, isWhole: isWhole()};
 }
 
-test('a body that ends with its connection is whole', async () => {
+test('a body that ends with its connection is complete', async () => {
   const address = await startTarget(socket =>
     socket.end('HTTP/1.1 200 OK\r\n\r\nall of it'),
   );
   expect(await readAnswer(address)).toEqual({text: 'all of it', isWhole: true});
 });
 
-// A target crashes in the middle of an answer that has no length. The caller
-// would get half a body that looks complete: the reset ends the body as a
-// planned end of the connection does.
-test('a body without a length that is cut by a reset is not whole', async () => {
+// A target crashes in the middle of an answer without a length. The reset ends
+// the body like a regular end of the connection, so the caller would get half a
+// body that looks complete.
+test('a body without a length that is cut by a reset is not complete', async () => {
   const address = await startTarget(socket => {
     socket.write('HTTP/1.1 200 OK\r\n\r\nhalf', () =>
       setTimeout(() => socket.resetAndDestroy(), 50),
@@ -61,7 +64,7 @@
   expect(await readAnswer(address)).toMatchObject({isWhole: false});
 });
 
-test('a chunked body that ends without its last chunk is not whole', async () => {
+test('a chunked body that ends without its last chunk is not complete', async () => {
   const address = await startTarget(socket =>
     socket.end(
       'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n',
@@ -79,9 +82,9 @@
   });
 });
 
-// An entry stands still between the choice of an engine and the send. By then
-// the engine's version has passed its bound, and the request begins on it.
-test('sends nothing that may not begin any more once connected', async () => {
+// An entry stalls between choosing an engine and sending. By then the engine's
+// version has passed its staleness bound, and the request must not start on it.
+test('sends nothing if the request may no longer begin once connected', async () => {
   let connections = 0;
   let received = 0;
   const address = await startTarget(() => (received += 1));
@@ -95,18 +98,19 @@
   expect(received).toBe(0);
 });
 
-test('a connection that is up when the loop has stood still past the time to open one is used', async () => {
+test('a connection that opened while the event loop was stalled past the connect timeout is used', async () => {
   const address = await startTarget(socket =>
     socket.end('HTTP/1.1 200 OK\r\n\r\nall of it'),
   );
-  // In a turn that reads sockets, after which timers run before any is read.
+  // Continues in a turn of the event loop that reads sockets, after which
+  // timers run before any socket is read.
   await readFile('package.json');
   const answer = readAnswer(address);
-  process.nextTick(() => standStill(300));
+  process.nextTick(() => blockEventLoop(300));
   expect(await answer).toEqual({text: 'all of it', isWhole: true});
 });
 
-function standStill(duration: number): void {
+function blockEventLoop(duration: number): void {
   const until = performance.now() + duration;
   while (performance.now() < until);
 }
--- a/test/fleet/expected_run.test.ts
+++ b/test/fleet/expected_run.test.ts
@@ -47,7 +47,7 @@
   };
 }
 
-/** Expectations that have seen many answers of `tokens` tokens. */
+/** Creates expectations that have recorded many answers of `tokens` tokens. */
 function learnedRuns(tokens: number) {
   const runs = createExpectedRuns();
   for (let count = 0; count < 300; count += 1) {
@@ -56,15 +56,16 @@
   return runs;
 }
 
-test('no memory is asked for where the profile names none', () => {
+test('no memory is requested if the profile specifies none', () => {
   const runs = createExpectedRuns();
   const {memory} = runs.expect({...requestWith({}), table: tableOf(undefined)});
   expect(memory).toBeUndefined();
 });
 
-// A hint of 0 hides what an answer takes; one of 10^9 has room nowhere.
+// A hint of 0 would hide the memory that an answer takes; one of 10^9 would fit
+// no engine.
 test.each([0, 1e9, NaN, -1])(
-  'a hint of %d tokens counts as what was seen of its route',
+  'a hint of %d tokens counts as the recorded answers of its route',
   hint => {
     const {memory} = learnedRuns(200).expect(
       requestWith({expectedOutputTokens: hint, mostOutputTokens: 500}),
@@ -83,13 +84,13 @@
   expect(memory?.tokens).toBe(1_500);
 });
 
-test('a hint on a route not seen yet takes a quarter of an engine at most', () => {
+test('a hint on a route without recorded answers takes at most a quarter of an engine', () => {
   const runs = createExpectedRuns();
   const {memory} = runs.expect(requestWith({expectedOutputTokens: 1e9}));
   expect(memory?.output).toBe(MEMORY / 4);
 });
 
-test('a prompt of a malformed number of tokens counts as unknown', () => {
+test('a prompt with a malformed number of tokens counts as unknown', () => {
   const runs = createExpectedRuns();
   expect(runs.expect(requestWith({promptTokens: NaN})).tokens).toBe(0);
 });
--- a/test/fleet/hedge.test.ts
+++ b/test/fleet/hedge.test.ts
@@ -10,10 +10,12 @@
   type ShortObjectiveSite,
 } from './fixtures/short_objective_site';
 
-/** The same with the longer objective. */
+/**
+ * Longer than a target may be silent on the route with the longer objective.
+ */
 const LONG_SILENCE = 2_000;
 
-/** Longer than callers wait. */
+/** Longer than callers wait for an answer. */
 const LONG_STALL = 8_000;
 
 let quick: ShortObjectiveSite;
@@ -40,7 +42,10 @@
   });
 }
 
-/** Has the first and the second target that runs a request fail like this. */
+/**
+ * Sets each fault on the next target that runs a request; returns these
+ * targets.
+ */
 function injectFaultsInTurn(...faults: readonly EngineFault[]): HostEngine[] {
   const begun: HostEngine[] = [];
   quick.setOnRun(engine => {
@@ -56,7 +61,7 @@
 
 const lastRun = (engine: HostEngine | undefined) => engine?.runs.at(-1);
 
-/** How the last request's sends went, by its line in the log. */
+/** The fields of the last request's log line, which list its attempts. */
 function lastAttempts(): string {
   const lines = quick.site.lines.filter(
     ({message: sentence}) => sentence === 'request',
@@ -64,7 +69,7 @@
   return JSON.stringify(lines.at(-1)?.fields);
 }
 
-test('the second target answers in place of one that stays silent', async () => {
+test('a second target answers in place of one that stays silent', async () => {
   await serveByTwo();
   for (const route of ['quick', 'going']) {
     const begun = injectFaultsInTurn({kind: 'mute'});
@@ -75,7 +80,7 @@
   }
 });
 
-test('a silent target that goes on answers before a second one that is silent', async () => {
+test('a silent target that resumes answers before a second one that is silent', async () => {
   await serveByTwo();
   for (const route of ['quick', 'going']) {
     const begun = injectFaultsInTurn(silentFor(SILENCE_MS, 0), {kind: 'mute'});
@@ -86,7 +91,7 @@
   }
 });
 
-test('a stream whose target stays silent midway goes on at the second one', async () => {
+test('a stream whose target stays silent midway continues at a second one', async () => {
   await serveByTwo();
   const begun = injectFaultsInTurn(silentFor(LONG_STALL, 1));
   expect((await sendRequest('going')).text).toBe(
@@ -96,7 +101,7 @@
   await eventually(() => lastRun(begun[0])?.isCut());
 });
 
-test('a stream whose silent target goes on leaves a second one that is silent', async () => {
+test('a stream whose silent target resumes leaves a second one that is silent', async () => {
   await serveByTwo();
   const begun = injectFaultsInTurn(silentFor(SILENCE_MS, 1), {kind: 'mute'});
   expect((await sendRequest('going')).text).toBe(
@@ -106,7 +111,7 @@
   await eventually(() => lastRun(begun[1])?.isCut());
 });
 
-test('a plain answer that stops midway is asked for elsewhere', async () => {
+test('a plain answer that stops midway is requested from another target', async () => {
   await serveByTwo();
   const begun = injectFaultsInTurn(silentFor(LONG_STALL, 1));
   expect(await sendRequest('quick')).toMatchObject({status: 200});
@@ -138,23 +143,23 @@
   });
 });
 
-test('an answer that waits while the loop stands still is no silence of its target', async () => {
-  const onAnswered = (): void => standStill(300);
-  let isStanding = false;
+test('an answer that arrives while the event loop is stalled is not counted as silence of its target', async () => {
+  const onAnswered = (): void => blockEventLoop(300);
+  let isBlocking = false;
   const plain = await startTarget(
     'plain',
     {},
-    {onAnswered: () => isStanding && onAnswered()},
+    {onAnswered: () => isBlocking && onAnswered()},
   );
   await startTarget('model', AS_ENGINE);
   await serve();
   plain.setFault(silentFor(400, 0));
-  isStanding = true;
+  isBlocking = true;
   expect((await sendRequest('once')).status).toBe(200);
   expect(lastAttempts()).not.toContain('silent');
 });
 
-test('a caller that takes nothing makes no silent target', async () => {
+test('a caller that reads nothing does not make its target count as silent', async () => {
   await startTarget('plain');
   const options = {events: 40, eventSize: 500_000, pause: 1};
   await startTarget('model', AS_ENGINE, options);
@@ -173,7 +178,7 @@
   expect(lastAttempts()).not.toContain('silent');
 });
 
-function standStill(duration: number): void {
+function blockEventLoop(duration: number): void {
   const until = performance.now() + duration;
   while (performance.now() < until);
 }
@@ -193,7 +198,7 @@
   await pendingReply;
 });
 
-test('a place that comes up while the only target stays silent is used', async () => {
+test('a slot that becomes available while the only target stays silent is used', async () => {
   await Promise.all([startTarget('one'), startTarget('model', AS_ENGINE)]);
   await serve();
   const begun = injectFaultsInTurn({kind: 'mute'});
@@ -204,7 +209,7 @@
   expect((await answer).status).toBe(200);
 });
 
-test('a leaving target that takes no more connections finishes the request it runs', async () => {
+test('a leaving target that accepts no more connections finishes the request it runs', async () => {
   const plain = await startTarget('plain');
   await startTarget('model', AS_ENGINE);
   await serve();
--- a/test/fleet/leaving_answers.test.ts
+++ b/test/fleet/leaving_answers.test.ts
@@ -27,7 +27,7 @@
   await Promise.all([leaving, staying].map(engine => engine.close()));
 });
 
-/** Sends two requests at the same time, so that one target isn't enough. */
+/** Sends two requests at the same time, so that both targets are needed. */
 async function sendPair(): Promise<readonly number[]> {
   const replies = [send(address, '/safe/a'), send(address, '/safe/a')];
   return (await Promise.all(replies)).map(({status}) => status);
@@ -49,7 +49,7 @@
   });
 }
 
-test('a target that says in its answers that it leaves gets no more requests', async () => {
+test('a target that announces in its answers that it is leaving gets no more requests', async () => {
   leaving.setLeaving(true);
   await sendUntilItReaches(leaving);
   const before = leaving.arrivals.length;
--- a/test/fleet/long_timeout.test.ts
+++ b/test/fleet/long_timeout.test.ts
@@ -8,8 +8,8 @@
   type HostSite,
 } from './fixtures/host_site';
 
-/** Longer than a timer of Node can count. */
-const VERY_LONG = 4_000_000_000;
+/** Longer than the maximum delay of a Node timer. */
+const VERY_LONG_TIMEOUT = 4_000_000_000;
 
 const ANSWER_TIME = 100;
 
@@ -19,7 +19,7 @@
   Prefix: '/patient/',
   Kind: 'unsafe',
   Service: 'plain',
-  TimeoutMs: VERY_LONG,
+  TimeoutMs: VERY_LONG_TIMEOUT,
   TargetLatencyMs: 400,
 };
 
@@ -43,8 +43,8 @@
   await engine.close();
 });
 
-test('a request whose time is longer than a timer counts is not ended at once', async () => {
+test('a request with a timeout beyond the maximum timer delay is not ended at once', async () => {
   engine.setFault({kind: 'silent', after: 0, duration: ANSWER_TIME});
-  const patience = {'x-hibiscusbeam-deadline-ms': String(VERY_LONG)};
-  expect((await send(address, '/patient/a', patience)).status).toBe(200);
+  const headers = {'x-hibiscusbeam-deadline-ms': String(VERY_LONG_TIMEOUT)};
+  expect((await send(address, '/patient/a', headers)).status).toBe(200);
 });
--- a/test/fleet/request_failure.test.ts
+++ b/test/fleet/request_failure.test.ts
@@ -8,7 +8,7 @@
   type HostSite,
 } from './fixtures/host_site';
 
-/** A name that no header line can carry. */
+/** A name that can't be sent in a header line. */
 const UNWRITABLE_NAME = 'магазин';
 
 let site: HostSite;
@@ -46,13 +46,13 @@
   );
 }
 
-test('a request whose handling fails in the entry is answered 502', async () => {
+test('a request whose handling fails in the entry is answered with 502', async () => {
   site.configure({Tenants: [{Name: UNWRITABLE_NAME, ApiKeys: [KEY]}]});
   await eventually(() => isInForce(2));
   expect(await statusOf('/unsafe/a')).toBe(502);
 });
 
-test('requests whose handling failed in the entry keep no places', async () => {
+test('requests whose handling failed in the entry keep no slots', async () => {
   site.configure({Tenants: [{Name: UNWRITABLE_NAME, ApiKeys: [KEY]}]});
   await eventually(() => isInForce(2));
   for (let sent = 0; sent < 5; sent += 1) await statusOf('/unsafe/a');
--- a/test/fleet/request_fingerprint.test.ts
+++ b/test/fleet/request_fingerprint.test.ts
@@ -13,6 +13,6 @@
   {...request, workspace: undefined},
   {...request, path: '/a/c'},
   {...request, body: Buffer.from('other')},
-])('another caller, path or body has another: %o', other => {
+])('another caller, path or body has another fingerprint: %o', other => {
   expect(fingerprintOf(other)).not.toBe(fingerprintOf(request));
 });
--- a/test/fleet/request_run.test.ts
+++ b/test/fleet/request_run.test.ts
@@ -24,7 +24,7 @@
 
 const TIMEOUT = 60_000;
 
-/** Takes connections and never answers. */
+/** Accepts connections and never answers. */
 let server: Server;
 let connections: number;
 
@@ -47,7 +47,7 @@
   return plainTarget(instance, {address: `127.0.0.1:${port}`});
 }
 
-/** A run of a request that is quarantined and has been given its one trial. */
+/** Starts a run of a quarantined request that has got its one trial. */
 function startTrial(admission: EntryAdmission = NO_ADMISSION) {
   const registry = createTargetRegistry({instance: 'entry', zone: 'north'});
   registry.list([target('one'), target('two')], 0);
@@ -118,9 +118,9 @@
   });
 }
 
-// A quarantined request has its one trial and its target is silent. Sent a
-// second time beside it, the one trial would end two targets.
-test('nothing is sent beside the trial of a quarantined request', async () => {
+// The target of a quarantined request's one trial is silent. A hedge alongside
+// it could end a second target.
+test('nothing is sent alongside the trial of a quarantined request', async () => {
   const run = startTrial();
   const first = await run.perform({kind: 'choosePlace', tried: []});
   if (first.kind !== 'placed' || first.place.kind !== 'place') {
@@ -137,7 +137,7 @@
   });
 });
 
-test('a request below the level is refused before it waits or is sent', async () => {
+test('a request below the admission level is refused before it waits or is sent', async () => {
   const level = {shares: [], demand: 2, capacity: 1};
   const run = startTrial({
     ...NO_ADMISSION,
@@ -150,7 +150,7 @@
   });
 });
 
-test('a second send of an admitted request is never refused by the level', async () => {
+test('a second attempt of an admitted request is never refused by the admission level', async () => {
   let decided = 0;
   const run = startTrial({
     ...NO_ADMISSION,
--- a/test/fleet/silence_monitor.test.ts
+++ b/test/fleet/silence_monitor.test.ts
@@ -17,7 +17,7 @@
     maxSilence: MAX_SILENCE,
     now: () => Date.now(),
     onSilence: () => seen.push('silent'),
-    onResumed: () => seen.push('goesOn'),
+    onResumed: () => seen.push('resumed'),
   });
   return {watch, seen};
 }
@@ -34,7 +34,7 @@
   expect(seen).toEqual(['silent']);
 });
 
-test('each byte starts the wait anew', () => {
+test('each byte restarts the timeout', () => {
   const {watch, seen} = startMonitor();
   for (let count = 0; count < 5; count += 1) {
     advance(MAX_SILENCE - 1);
@@ -43,14 +43,14 @@
   expect(seen).toEqual([]);
 });
 
-test('a target that goes on can fall silent again', () => {
+test('a target that resumes can fall silent again', () => {
   const {watch, seen} = startMonitor();
   advance(MAX_SILENCE + 1);
   watch.recordBytes();
   advance(MAX_SILENCE - 1);
-  expect(seen).toEqual(['silent', 'goesOn']);
+  expect(seen).toEqual(['silent', 'resumed']);
   advance(2);
-  expect(seen).toEqual(['silent', 'goesOn', 'silent']);
+  expect(seen).toEqual(['silent', 'resumed', 'silent']);
 });
 
 test('no silence is counted while nothing is read', () => {
@@ -65,7 +65,7 @@
   expect(seen).toEqual(['silent']);
 });
 
-test('nothing is noticed after the end', () => {
+test('nothing is reported after the end', () => {
   const {watch, seen} = startMonitor();
   watch.stop();
   watch.resume();
--- a/test/fleet/silent_target.test.ts
+++ b/test/fleet/silent_target.test.ts
@@ -8,7 +8,7 @@
   type ShortObjectiveSite,
 } from './fixtures/short_objective_site';
 
-/** Together longer than a target may be silent; each of them is shorter. */
+/** Together longer than a target may be silent, but each of them shorter. */
 const SHORT_SILENCE = 400;
 const STALL = 300;
 
@@ -24,7 +24,7 @@
 
 afterEach(() => quick.close());
 
-test('a target that falls silent before its answer and goes on loses no request', async () => {
+test('a target that falls silent before its answer and resumes loses no request', async () => {
   const plain = await startTarget('plain');
   const model = await startTarget('model', AS_ENGINE);
   await serve();
@@ -35,7 +35,7 @@
   expect(replies.map(({status}) => status)).toEqual([200, 200, 200, 200]);
 });
 
-test('a target that falls silent within a stream and goes on loses no stream', async () => {
+test('a target that falls silent within a stream and resumes loses no stream', async () => {
   await startTarget('plain');
   const model = await startTarget('model', AS_ENGINE);
   await serve();
@@ -44,7 +44,7 @@
   for (const {text} of replies) expect(text).toContain(WHOLE_STREAM);
 });
 
-test('an answer that arrives while the loop of its entry stands still is passed on', async () => {
+test('an answer that arrives while the event loop of its entry is stalled is forwarded', async () => {
   let onAnswered = (): void => undefined;
   const options = {onAnswered: () => onAnswered()};
   const plain = await startTarget('plain', {}, options);
--- a/test/fleet/slow_callers.test.ts
+++ b/test/fleet/slow_callers.test.ts
@@ -13,8 +13,8 @@
 const ANSWER_BYTES = 7_000_000;
 
 /**
- * Room for two whole answers and a little more. What a slow caller's connection
- * does not take is some 3 MB.
+ * Enough for two complete answers and a little more. Some 3 MB of each answer
+ * don't fit a slow caller's connection and stay buffered.
  */
 const MAX_BUFFERED_BYTES = 16_000_000;
 
@@ -30,7 +30,7 @@
   await engine.close();
 });
 
-/** Asks for a plain answer and reads nothing of it. */
+/** Sends a plain request and reads nothing of the answer. */
 function sendSlowRequest(address: string, requestId: string): void {
   const [host, port] = address.split(':');
   const socket = connect(Number(port), host);
@@ -46,9 +46,9 @@
   socket.write(`${lines.join('\r\n')}\r\n\r\n`);
 }
 
-// Callers ask for whole answers of megabytes and read nothing. The entry held
-// each until its caller left.
-test('an entry drops callers that do not read whole answers, slowest first', async () => {
+// Callers request complete answers of several megabytes and read nothing.
+// Without a bound the entry would buffer each answer until its caller leaves.
+test('an entry drops callers that do not read complete answers, slowest first', async () => {
   site = await startHostSite();
   engine = await startHostEngine({instance: 'one', eventSize: ANSWER_BYTES});
   site.register(engine);
--- a/test/fleet/stream_handover.test.ts
+++ b/test/fleet/stream_handover.test.ts
@@ -8,7 +8,10 @@
 
 const SLOTS = 16;
 
-/** Streams at the engine that is to load: the rest of each in milliseconds. */
+/**
+ * Streams at the engine that is to load: the remaining time of each in
+ * milliseconds.
+ */
 const REMAINING_TIMES = [80, 150, 240, 350, 500, 700, 950, 1_300, 1_800, 2_300];
 
 beforeEach(() => {
@@ -29,24 +32,30 @@
   return engineLoad(instance, {ordering, running});
 }
 
-/** Two engines, one of which takes nothing new and waits for its streams. */
+/**
+ * Starts two engines, one of which takes no new requests and waits for its
+ * streams.
+ */
 function startSite(movesAllowed = Infinity, isLoading = true) {
   const clock = (): number => Date.now();
-  const book = createTargetRegistry({instance: 'entry', zone: 'north'});
+  const registry = createTargetRegistry({instance: 'entry', zone: 'north'});
   const [loading, other] = [engine('loading'), engine('other')];
-  book.list([loading, other], clock());
+  registry.list([loading, other], clock());
   const handover = createStreamHandover({
-    registry: book,
+    registry,
     clock,
     movesLateStreams: true,
   });
   const moved: number[] = [];
   let movesLeft = movesAllowed;
 
-  function offer(rest: number, changes: Partial<MovableStream> = {}): void {
+  function offer(
+    remaining: number,
+    changes: Partial<MovableStream> = {},
+  ): void {
     const need = () =>
       engineNeed({
-        expectedRun: rest,
+        expectedRun: remaining,
         tried: new Set(['loading']),
         now: clock(),
       });
@@ -55,22 +64,25 @@
       need,
       begunAt: () => begunAt,
       rest: () => undefined,
-      // A stream that goes on elsewhere is not alone any more.
-      mayMove: () => !moved.includes(rest),
+      // A stream that was moved can't be moved again.
+      mayMove: () => !moved.includes(remaining),
       takeMove: () => (movesLeft -= 1) >= 0,
       handOver: () => {
-        moved.push(rest);
+        moved.push(remaining);
         const sent = {promptTime: 50, onIncarnationEnded: () => undefined};
-        book.begin(other, sent);
+        registry.begin(other, sent);
       },
       ...changes,
     });
   }
 
-  /** Reports come ten times a second, as agents send them. */
+  /** Reports arrive ten times a second, as agents send them. */
   function report(running = 0): void {
-    book.report(load('loading', isLoading, REMAINING_TIMES.length), clock());
-    book.report(load('other', false, running), clock());
+    registry.report(
+      load('loading', isLoading, REMAINING_TIMES.length),
+      clock(),
+    );
+    registry.report(load('other', false, running), clock());
     handover.check();
   }
 
@@ -84,16 +96,16 @@
   return {offer, run, moved};
 }
 
-// An engine is told to load a version and takes nothing new. It waits for its
-// longest stream, 2.3 s, while fifteen slots stand idle and callers are refused.
-// Handed on, all that is left after half a second are streams that are nearly
-// done: an engine is away for 0.8 s in place of 2.6.
+// An engine that is to load a version takes no new requests. If it waits for
+// its longest stream, 2.3 s, fifteen slots are idle and callers are refused. If
+// streams are moved, only nearly finished ones are left after half a second:
+// the engine is away for 0.8 s instead of 2.6.
 test('long streams leave an engine that is to load, the longest first', () => {
   const {offer, run, moved} = startSite();
-  for (const rest of REMAINING_TIMES) offer(rest);
+  for (const remaining of REMAINING_TIMES) offer(remaining);
   run(500);
   expect(moved.slice(0, 3)).toEqual([2_300, 1_800, 1_300]);
-  const left = REMAINING_TIMES.filter(rest => !moved.includes(rest));
+  const left = REMAINING_TIMES.filter(remaining => !moved.includes(remaining));
   expect(Math.max(...left)).toBeLessThanOrEqual(500);
 });
 
@@ -104,23 +116,23 @@
   expect(moved).toEqual([]);
 });
 
-// The other engines are full. A stream that was broken off now would wait for a
-// place, and its caller would give it up.
-test('nothing is moved without a place elsewhere', () => {
+// The other engines are full. A stream that was interrupted now would wait for
+// a slot, and its caller would give up.
+test('nothing is moved without a slot at another engine', () => {
   const {offer, run, moved} = startSite();
   offer(2_000);
   run(500, SLOTS);
   expect(moved).toEqual([]);
 });
 
-test('nothing is moved beyond what the site allows', () => {
+test('no more streams are moved than the site allows', () => {
   const {offer, run, moved} = startSite(2);
-  for (const rest of REMAINING_TIMES) offer(rest);
+  for (const remaining of REMAINING_TIMES) offer(remaining);
   run(500);
   expect(moved).toHaveLength(2);
 });
 
-test('a stream that can’t go on from where it stands stays', () => {
+test('a stream that can’t be resumed elsewhere stays', () => {
   const {offer, run, moved} = startSite();
   offer(2_000, {mayMove: () => false});
   offer(2_000, {begunAt: () => undefined});
@@ -128,9 +140,10 @@
   expect(moved).toEqual([]);
 });
 
-// A stream begins in time at an engine that is five times slower, and is cut at
-// its caller's deadline 5 s later. On a played day 141 streams ended like that.
-test('a stream that won’t end in time goes on at a faster engine', () => {
+// A stream starts in time at an engine that is five times slower, and is cut at
+// its caller's deadline 5 s later. In one day of load 141 streams ended like
+// that.
+test('a stream that won’t end in time continues at a faster engine', () => {
   const {offer, run, moved} = startSite(Infinity, false);
   const late = {events: 20, pause: 250, typicalPause: 50, timeLeft: 3_000};
   offer(1_000, {rest: () => ({...late, pause: 120})});
@@ -141,8 +154,9 @@
   expect(moved).toEqual([1_002, 1_001]);
 });
 
-// A move finds no place by the time that it is made, and the stream stays where
-// it is. Offered once only, it kept its engine from loading until its end.
+// A move finds no slot by the time that it is made, and the stream stays where
+// it is. If it were offered only once, it would keep its engine from loading
+// until its end.
 test('a stream whose move has failed is moved again', () => {
   const {offer, run} = startSite();
   let moves = 0;
--- a/test/fleet/stream_moves.test.ts
+++ b/test/fleet/stream_moves.test.ts
@@ -65,7 +65,7 @@
   return reply.body.text();
 }
 
-/** Begins a stream, and then tells its engine to load. */
+/** Starts a stream and then has its engine ordered to load. */
 async function streamFromLoading(
   both: readonly HostEngine[],
   otherFault: EngineFault,
@@ -92,9 +92,9 @@
   return [...text.matchAll(/^id: (\d+)$/gm)].map(match => Number(match[1]));
 }
 
-// An engine is ordered to load while it writes a long answer. The answer goes on
-// at the other engine: its caller gets each event once, and the engine is free
-// to load two seconds sooner.
+// An engine is ordered to load during a long answer. The answer continues at
+// the other engine: its caller gets each event once, and the engine is free to
+// load two seconds sooner.
 test('a long stream leaves an engine that is to load', async () => {
   const both = [await startEngine('one'), await startEngine('two')];
   const {begun, other, ids} = await streamFromLoading(both, {kind: 'none'});
@@ -103,7 +103,7 @@
   expect(other.runs.at(-1)?.headers['last-event-id']).toBeDefined();
 });
 
-// No target takes the stream after all. It must not be worse off than before.
+// If no target takes over the stream, it must continue as before.
 test('a stream whose next engine refuses it stays where it is', async () => {
   const both = [await startEngine('one'), await startEngine('two')];
   const {begun, ids, offers} = await streamFromLoading(both, {kind: 'full'});
