--- a/packages/core/src/types/configuration.ts
+++ b/packages/core/src/types/configuration.ts
@@ -41,7 +41,7 @@
 
 /** A plain service's operations. */
 export interface ServiceConfiguration {
-  /** Operations that must run at most once; all others may be repeated. */
+  /** Operations that must run at most once; all others may be retried. */
   readonly notRepeatable: readonly string[];
 }
 
--- a/test/fleet/hedge.test.ts
+++ b/test/fleet/hedge.test.ts
@@ -18,17 +18,17 @@
 /** Longer than callers wait for an answer. */
 const LONG_STALL = 8_000;
 
-let quick: ShortObjectiveSite;
+let fixture: ShortObjectiveSite;
 const startTarget: ShortObjectiveSite['startTarget'] = (...args) =>
-  quick.startTarget(...args);
-const serve = () => quick.serve();
-const sendRequest = (route: string) => quick.sendRequest(route);
+  fixture.startTarget(...args);
+const serve = () => fixture.serve();
+const sendRequest = (route: string) => fixture.sendRequest(route);
 
 beforeEach(async () => {
-  quick = await startShortObjectiveSite();
+  fixture = await startShortObjectiveSite();
 });
 
-afterEach(() => quick.close());
+afterEach(() => fixture.close());
 
 async function serveByTwo(): Promise<void> {
   await Promise.all([
@@ -37,8 +37,8 @@
   ]);
   await serve();
   await eventually(() => {
-    const lines = JSON.stringify(quick.site.lines);
-    return quick.engines.every(({instance}) => lines.includes(instance));
+    const lines = JSON.stringify(fixture.site.lines);
+    return fixture.engines.every(({instance}) => lines.includes(instance));
   });
 }
 
@@ -48,7 +48,7 @@
  */
 function injectFaultsInTurn(...faults: readonly EngineFault[]): HostEngine[] {
   const begun: HostEngine[] = [];
-  quick.setOnRun(engine => {
+  fixture.setOnRun(engine => {
     engine.setFault(faults[begun.length] ?? {kind: 'none'});
     begun.push(engine);
   });
@@ -63,9 +63,7 @@
 
 /** The fields of the last request's log line, which list its attempts. */
 function lastAttempts(): string {
-  const lines = quick.site.lines.filter(
-    ({message: sentence}) => sentence === 'request',
-  );
+  const lines = fixture.site.lines.filter(({message}) => message === 'request');
   return JSON.stringify(lines.at(-1)?.fields);
 }
 
@@ -136,7 +134,7 @@
   await startTarget('model', AS_ENGINE);
   await serve();
   plain.setFault({kind: 'mute'});
-  quick.setOnRun(engine => engine.stopListening());
+  fixture.setOnRun(engine => engine.stopListening());
   expect(await sendRequest('once')).toEqual({
     status: 502,
     text: 'connectionLost',
@@ -164,13 +162,13 @@
   const options = {events: 40, eventSize: 500_000, pause: 1};
   await startTarget('model', AS_ENGINE, options);
   await serve();
-  const reply = await request(`http://${quick.address()}/going/a`, {
+  const reply = await request(`http://${fixture.address()}/going/a`, {
     method: 'POST',
     body: 'question',
     headers: {
       host: HOST,
       authorization: `Token ${KEY}`,
-      ...quick.headersOf('going'),
+      ...fixture.headersOf('going'),
     },
   });
   await new Promise(resolve => setTimeout(resolve, SILENCE_MS));
@@ -192,8 +190,8 @@
   const pendingReply = sendRequest('once').then(
     reply => (status = reply.status),
   );
-  await eventually(() => lastRun(plain)?.requestId === quick.lastId());
-  await quick.stopEntry();
+  await eventually(() => lastRun(plain)?.requestId === fixture.lastId());
+  await fixture.stopEntry();
   expect(status).toBe(504);
   await pendingReply;
 });
@@ -214,15 +212,15 @@
   await startTarget('model', AS_ENGINE);
   await serve();
   plain.setFault(silentFor(LONG_SILENCE, 0));
-  quick.setOnRun(engine => {
+  fixture.setOnRun(engine => {
     engine.stopListening();
-    quick.site.register(engine, {State: 'draining'});
+    fixture.site.register(engine, {State: 'draining'});
   });
   expect(await sendRequest('slow')).toEqual({
     status: 200,
     text: 'done by plain',
   });
-  expect(quick.site.lines.map(({message: sentence}) => sentence)).not.toContain(
+  expect(fixture.site.lines.map(({message}) => message)).not.toContain(
     'target ended under a request',
   );
 });
--- a/test/fleet/request_failure.test.ts
+++ b/test/fleet/request_failure.test.ts
@@ -40,8 +40,8 @@
 
 function isInForce(version: number): boolean {
   return site.lines.some(
-    ({message: sentence, fields}) =>
-      sentence === 'configuration in force' &&
+    ({message, fields}) =>
+      message === 'configuration in force' &&
       (fields as {version: number}).version === version,
   );
 }
--- a/test/fleet/silence_monitor.test.ts
+++ b/test/fleet/silence_monitor.test.ts
@@ -13,13 +13,13 @@
 
 function startMonitor() {
   const seen: string[] = [];
-  const watch = startSilenceMonitor({
+  const monitor = startSilenceMonitor({
     maxSilence: MAX_SILENCE,
     now: () => Date.now(),
     onSilence: () => seen.push('silent'),
     onResumed: () => seen.push('resumed'),
   });
-  return {watch, seen};
+  return {monitor, seen};
 }
 
 function advance(duration: number): void {
@@ -35,18 +35,18 @@
 });
 
 test('each byte restarts the timeout', () => {
-  const {watch, seen} = startMonitor();
+  const {monitor, seen} = startMonitor();
   for (let count = 0; count < 5; count += 1) {
     advance(MAX_SILENCE - 1);
-    watch.recordBytes();
+    monitor.recordBytes();
   }
   expect(seen).toEqual([]);
 });
 
 test('a target that resumes can fall silent again', () => {
-  const {watch, seen} = startMonitor();
+  const {monitor, seen} = startMonitor();
   advance(MAX_SILENCE + 1);
-  watch.recordBytes();
+  monitor.recordBytes();
   advance(MAX_SILENCE - 1);
   expect(seen).toEqual(['silent', 'resumed']);
   advance(2);
@@ -54,11 +54,11 @@
 });
 
 test('no silence is counted while nothing is read', () => {
-  const {watch, seen} = startMonitor();
+  const {monitor, seen} = startMonitor();
   advance(MAX_SILENCE - 1);
-  watch.pause();
+  monitor.pause();
   advance(10 * MAX_SILENCE);
-  watch.resume();
+  monitor.resume();
   advance(MAX_SILENCE - 1);
   expect(seen).toEqual([]);
   advance(2);
@@ -66,10 +66,10 @@
 });
 
 test('nothing is reported after the end', () => {
-  const {watch, seen} = startMonitor();
-  watch.stop();
-  watch.resume();
-  watch.recordBytes();
+  const {monitor, seen} = startMonitor();
+  monitor.stop();
+  monitor.resume();
+  monitor.recordBytes();
   advance(10 * MAX_SILENCE);
   expect(seen).toEqual([]);
 });
--- a/test/fleet/silent_target.test.ts
+++ b/test/fleet/silent_target.test.ts
@@ -12,17 +12,17 @@
 const SHORT_SILENCE = 400;
 const STALL = 300;
 
-let quick: ShortObjectiveSite;
+let fixture: ShortObjectiveSite;
 const startTarget: ShortObjectiveSite['startTarget'] = (...args) =>
-  quick.startTarget(...args);
-const serve = () => quick.serve();
-const sendRequest = (route: string) => quick.sendRequest(route);
+  fixture.startTarget(...args);
+const serve = () => fixture.serve();
+const sendRequest = (route: string) => fixture.sendRequest(route);
 
 beforeEach(async () => {
-  quick = await startShortObjectiveSite();
+  fixture = await startShortObjectiveSite();
 });
 
-afterEach(() => quick.close());
+afterEach(() => fixture.close());
 
 test('a target that falls silent before its answer and resumes loses no request', async () => {
   const plain = await startTarget('plain');
--- a/test/fleet/slow_callers.test.ts
+++ b/test/fleet/slow_callers.test.ts
@@ -59,7 +59,7 @@
   await eventually(async () => (await send(address, '/safe/a')).status === 200);
   const dropped = () =>
     site.lines
-      .filter(({message: sentence}) => sentence === 'slow reader dropped')
+      .filter(({message}) => message === 'slow reader dropped')
       .map(({fields}) => (fields as {readonly request: string}).request);
   for (let number = 1; number <= SLOW_CALLERS; number += 1) {
     sendSlowRequest(address, `slow-${number}`);
--- a/test/routes/route_table.test.ts
+++ b/test/routes/route_table.test.ts
@@ -43,7 +43,7 @@
   });
 }
 
-test('the longest prefix that begins the path is chosen', () => {
+test('the longest prefix that matches the path is chosen', () => {
   const table = tableOf([
     route('short', {prefix: '/a/'}),
     route('long', {prefix: '/a/b/'}),
