--- a/test/configuration/commit.test.ts
+++ b/test/configuration/commit.test.ts
@@ -29,7 +29,7 @@
   // Two operators confirm almost at once, or one is frozen between reading the
   // head and committing. If the second commit is based on a configuration
   // without the first, an accepted change disappears.
-  test('accepted generations form one line and none is lost', () => {
+  test('accepted generations form one sequence and none is lost', () => {
     check(({line}) => {
       line.forEach((accepted, position) => {
         expect(accepted.generation).toBe(position + 1);
@@ -196,7 +196,7 @@
     expect(generationOf(faulty.table)).toBe(head);
   });
 
-  test('a stored plan that was damaged is not applied', () => {
+  test('a corrupted stored plan is not applied', () => {
     const {faulty, runFlow, storeNewPlan} = createSite(0);
     const plan = storeNewPlan('plan-1');
     const key = 'plans/plan-1';
--- a/test/configuration/propagation.test.ts
+++ b/test/configuration/propagation.test.ts
@@ -154,13 +154,13 @@
   // An accepted change disappears if a late copy of an older configuration
   // arrives after the newer one, or if a process is replaced during an outage
   // and queries peers that lag behind its predecessor.
-  test('the generation of a process never goes down, nor its replacement', () => {
+  test('the generation of a process and of its replacement never decreases', () => {
     check(1_000, site => expect(site.falls).toEqual([]));
   });
 
   // A configuration is corrupted in transit, or half of it is from an older
   // one.
-  test('only accepted configurations come into force, whole', () => {
+  test('only complete accepted configurations come into force', () => {
     check(300, site => {
       for (const {life} of site.slots) {
         if (life.kind !== 'ready') continue;
--- a/test/fleet/agent.test.ts
+++ b/test/fleet/agent.test.ts
@@ -112,7 +112,7 @@
 
 // Staged bytes become corrupted after they were fetched, while the engine is
 // down. An engine that loads them would answer with corrupted weights.
-test('an engine never loads a staged chunk that has turned bad', async () => {
+test('an engine never loads a corrupted staged chunk', async () => {
   await startSite();
   const engine = await startEngine('one');
   await site.startAgent(engine);
--- a/test/fleet/engine_incarnations.test.ts
+++ b/test/fleet/engine_incarnations.test.ts
@@ -28,7 +28,7 @@
 
 // An engine loses power and restarts under its id: it serves nothing, and
 // nothing is staged. Its agent must detect both and restore the weights.
-test('an engine that starts again under its id is given its weights', async () => {
+test('an engine that restarts under its id gets its weights again', async () => {
   await site.startAgent(engine);
   await eventually(() => engine.held() === 1);
   engine.staged.clear();
--- a/test/fleet/foreign_rows.test.ts
+++ b/test/fleet/foreign_rows.test.ts
@@ -45,7 +45,7 @@
 // Another program writes to the tables that we read: bytes, rows without
 // fields, unknown states. Callers must not notice, and operators get one log
 // line for each row and each change of it.
-test('serves beside rows of another writer, and says so once a change', async () => {
+test('serves alongside rows of another writer, and logs each change once', async () => {
   site.store.writeBytes('servers', 'bytes', Buffer.from([0xff, 0x00, 0x7b]));
   site.store.writeBytes('members', 'torn', Buffer.from('{"instance"'));
   site.store.write('op', 'version/model', {Model: 'model'});
--- a/test/fleet/load_orders.test.ts
+++ b/test/fleet/load_orders.test.ts
@@ -62,7 +62,7 @@
 // waits there for all that runs and for the load, and begins on version 2 after
 // the bound of version 3. So the entries must be informed first that the engine
 // accepts nothing more.
-test('entries hear of a load before the engine is told to load', async () => {
+test('entries are informed of a load before the engine is ordered to load', async () => {
   let newest = 1;
   const origin = await startHostOrigin(6, () => newest);
   closers.push(origin.close);
--- a/test/fleet/member_follower.test.ts
+++ b/test/fleet/member_follower.test.ts
@@ -106,7 +106,7 @@
   expect(others()).toEqual(['one']);
 });
 
-test('a process writes its own line again after a restore, until it is taken', async () => {
+test('a process writes its own row again after a restore, until the store accepts it', async () => {
   const {puts, isListed, refuse, restore} = startFollower([]);
   await vi.advanceTimersByTimeAsync(3_000);
   expect(puts()).toBe(1);
--- a/test/fleet/staged_chunks.test.ts
+++ b/test/fleet/staged_chunks.test.ts
@@ -88,7 +88,7 @@
 // chunks of version 3 must not overwrite those of version 2, or the engine
 // would load a mix of both. They must not wait either, or version 3 would come
 // after its bound.
-test('keeps the chunks of the next version until the one before is loaded', async () => {
+test('keeps the chunks of the next version until the previous one is loaded', async () => {
   const {stagedBytes, staged} = startStaging();
   staged.setStagedVersion(content(2));
   await putAll(staged, 2);
--- a/test/fleet/version_namings.test.ts
+++ b/test/fleet/version_namings.test.ts
@@ -108,7 +108,7 @@
   await engine.close();
 });
 
-test('a name that a full link has held up has its bound from its naming', () => {
+test('the bound of a name delayed by a saturated link counts from its naming', () => {
   const versions = createNamedVersions(VERSION_BOUND);
   const log = {info: () => undefined} as unknown as Log;
   const storeClock = createStoreClock();
--- a/test/freshness/confirmation.test.ts
+++ b/test/freshness/confirmation.test.ts
@@ -17,7 +17,7 @@
   {minLength: 1, maxLength: 12},
 );
 
-test('never claims a moment after the store last looked', () => {
+test('never confirms a time after the last read by the store', () => {
   fc.assert(
     fc.property(
       exchanges,
--- a/test/freshness/machine_clock.test.ts
+++ b/test/freshness/machine_clock.test.ts
@@ -21,7 +21,7 @@
 // A machine is suspended for 6 s, which its monotonic clock does not include.
 // Without this, a key that was revoked meanwhile would be accepted for 5 s
 // more.
-test('counts a suspension that the steady clock leaves out', () => {
+test('includes a suspension that the monotonic clock leaves out', () => {
   const {clock, pass, setTimeOfDay} = startClock();
   pass(100);
   const before = clock();
--- a/test/freshness/reading_use.test.ts
+++ b/test/freshness/reading_use.test.ts
@@ -15,7 +15,7 @@
   'notReached',
 );
 
-test('a late reading is acted on only while the store was seen not to serve', () => {
+test('a late reading is used only while the store is known to be unavailable', () => {
   fc.assert(
     fc.property(
       fc.array(fc.record({at: fc.nat(20), outcome: outcomes}), {
--- a/test/freshness/store_clock.test.ts
+++ b/test/freshness/store_clock.test.ts
@@ -15,7 +15,7 @@
 // A long poll is answered after a short read that was sent later. If this were
 // taken for a clock that went back, each answer would discard what the others
 // have shown, and an entry would query the store without a pause.
-test('never claims a moment after the store looked, in any order of answers', () => {
+test('never yields a time after the read by the store, in any order of answers', () => {
   fc.assert(
     fc.property(requests, fc.integer({max: 1_000_000}), (sent, offset) => {
       const clock = createStoreClock();
--- a/test/relays/entry_states.test.ts
+++ b/test/relays/entry_states.test.ts
@@ -24,7 +24,7 @@
 
 // A zone loses all of its relays at once. The last states of its entries must
 // not be relayed permanently, or callers would be sent to lost machines.
-test('an entry that nobody hears of any more is not usable', () => {
+test('an entry without recent reports is not usable', () => {
   const states = createEntryStates();
   states.setMembers(members, 0);
   states.record({instance: 'one', ready: true, observedAt: 1_000});
--- a/test/relays/relay_choice.test.ts
+++ b/test/relays/relay_choice.test.ts
@@ -37,7 +37,7 @@
 
 // The relay of a zone loses power. Its row stays in the members' table, so
 // processes that get no answer from it must skip it.
-test('the next entry in order takes the place of a silent relay', () => {
+test('the next entry in order replaces a silent relay', () => {
   const entries = entriesOf(8);
   const [first, second] = relayOrder(entries, 'north');
   const relay = chooseRelay(entries, 'north', entry => entry === first);
--- a/test/relays/table_reader.test.ts
+++ b/test/relays/table_reader.test.ts
@@ -13,7 +13,7 @@
 
 // If each of two relays left reading the operator's table to the other, no
 // configuration would come into force until one of them requests it by itself.
-test('of any two relays somebody reads the table', () => {
+test('of any two relays, at least one reads the table', () => {
   fc.assert(
     fc.property(relays, ([one, other]) => {
       const both =
