--- a/bench/distribution/instance.ts
+++ b/bench/distribution/instance.ts
@@ -7,8 +7,8 @@
 } from '@grpc/grpc-js';
 import type {Digest, IdentifiedManifest} from '@hibiscusbeam/core';
 import {
-  answerFetchChunk,
-  fetchChunkOver,
+  handleFetchChunk,
+  fetchChunkOverGrpc,
   type SwarmPeer,
 } from '@hibiscusbeam/daemon';
 import {
@@ -64,7 +64,7 @@
     address: string,
     digest: Digest,
     signal: AbortSignal,
-  ) => ReturnType<typeof fetchChunkOver>;
+  ) => ReturnType<typeof fetchChunkOverGrpc>;
   readonly peerClient: (address: string) => PeerClient;
 }
 
@@ -119,8 +119,8 @@
   }
 
   async function* paced(
-    pieces: ReturnType<typeof fetchChunkOver>,
-  ): ReturnType<typeof fetchChunkOver> {
+    pieces: ReturnType<typeof fetchChunkOverGrpc>,
+  ): ReturnType<typeof fetchChunkOverGrpc> {
     for await (const piece of pieces) {
       if (piece.ok) await down.take(piece.val.length);
       yield piece;
@@ -149,7 +149,7 @@
       requests += 1;
       requestBytes += digest.length + 2 + MESSAGE_HEADER_BYTES;
       const {agent} = clientOf(address);
-      return paced(fetchChunkOver(agent, instance, digest, signal));
+      return paced(fetchChunkOverGrpc(agent, instance, digest, signal));
     },
   });
 
@@ -221,9 +221,9 @@
 export function answerPaced(
   ports: InstancePorts,
   call: ChunkCall,
-  serve: Parameters<typeof answerFetchChunk>[1]['serveChunk'],
+  serve: Parameters<typeof handleFetchChunk>[1]['serveChunk'],
 ): Promise<void> {
-  return answerFetchChunk(call, {
+  return handleFetchChunk(call, {
     async serveChunk(instance, digest, signal) {
       const served = await serve(instance, digest, signal);
       if (served.err) return served;
--- a/packages/core/src/requests/commands/answer_assembler.ts
+++ b/packages/core/src/requests/commands/answer_assembler.ts
@@ -1,6 +1,6 @@
 import {unreachable} from '../../kernel/flow';
 import type {AttemptId, Bytes, Incarnation, VersionDigest} from '../../types';
-import type {AttemptFrame, CreateDigester, WholeAnswer} from '../types';
+import type {AttemptFrame, CreateDigester, CompleteAnswer} from '../types';
 
 /** Result of accepting one frame. */
 export type FrameResult =
@@ -15,7 +15,7 @@
       readonly sequence: number;
       readonly content: Uint8Array;
     }
-  | {readonly kind: 'complete'; readonly answer: WholeAnswer}
+  | {readonly kind: 'complete'; readonly answer: CompleteAnswer}
   /** The stream can no longer produce a complete answer. */
   | {readonly kind: 'broken'; readonly detail: string};
 
--- a/packages/core/src/requests/commands/answer_cache.ts
+++ b/packages/core/src/requests/commands/answer_cache.ts
@@ -4,25 +4,25 @@
   Milliseconds,
   MonotonicInstant,
 } from '../../types';
-import type {WholeAnswer} from '../types';
+import type {CompleteAnswer} from '../types';
 
 /** Finished answers, kept for a bounded time and in bounded memory. */
 export interface AnswerCache {
   readonly keep: (
     attempt: AttemptId,
-    answer: WholeAnswer,
+    answer: CompleteAnswer,
     now: MonotonicInstant,
   ) => void;
   readonly get: (
     attempt: AttemptId,
     now: MonotonicInstant,
-  ) => WholeAnswer | undefined;
+  ) => CompleteAnswer | undefined;
   readonly remove: (attempt: AttemptId) => void;
   readonly bytes: () => Bytes;
 }
 
 interface CachedAnswer {
-  readonly answer: WholeAnswer;
+  readonly answer: CompleteAnswer;
   readonly size: Bytes;
   readonly until: MonotonicInstant;
 }
@@ -31,7 +31,7 @@
 const FRAME_OVERHEAD_BYTES: Bytes = 96;
 const ANSWER_OVERHEAD_BYTES: Bytes = 512;
 
-function sizeOf(answer: WholeAnswer): Bytes {
+function sizeOf(answer: CompleteAnswer): Bytes {
   return answer.frames.reduce(
     (sum, frame) => sum + frame.length + FRAME_OVERHEAD_BYTES,
     ANSWER_OVERHEAD_BYTES,
--- a/packages/core/src/requests/commands/answer_storage.ts
+++ b/packages/core/src/requests/commands/answer_storage.ts
@@ -7,7 +7,7 @@
   toBase64,
 } from '../queries/answer_encoding';
 import type {ClaimRow, RecordedBody} from '../queries/claim_row';
-import type {CreateDigester, RequestFlow, WholeAnswer} from '../types';
+import type {CreateDigester, RequestFlow, CompleteAnswer} from '../types';
 import type {AtMostOnceOptions} from './at_most_once_options';
 import {perform} from './steps';
 
@@ -25,7 +25,7 @@
  */
 export function* storeAnswer(
   options: AtMostOnceOptions,
-  answer: WholeAnswer,
+  answer: CompleteAnswer,
 ): RequestFlow<RecordedBody | undefined> {
   const content = encodeFrames(answer.frames);
   if (content.length <= options.limits.inlineAnswerBytes) {
@@ -63,7 +63,7 @@
 export function* loadAnswer(
   options: AtMostOnceOptions,
   row: Extract<ClaimRow, {kind: 'answered'}>,
-): RequestFlow<WholeAnswer | undefined> {
+): RequestFlow<CompleteAnswer | undefined> {
   const content = yield* loadBody(options, row.body);
   if (content === undefined) return undefined;
   const frames = decodeFrames(content);
--- a/packages/core/src/requests/commands/attempt_registry.ts
+++ b/packages/core/src/requests/commands/attempt_registry.ts
@@ -8,7 +8,7 @@
   NotRunReason,
 } from '../../types';
 import {parseAttempt, type AttemptParts} from '../queries/attempt_id';
-import type {RefusedEvent, TombstoneAnswer, WholeAnswer} from '../types';
+import type {RefusedEvent, TombstoneAnswer, CompleteAnswer} from '../types';
 import {createAnswerCache} from './answer_cache';
 import {createAttemptMemory} from './attempt_memory';
 
@@ -19,7 +19,7 @@
   /** Never started and never will be: answer with `Refused`. */
   | {readonly kind: 'refused'; readonly event: RefusedEvent}
   /** Already finished: send this answer again. */
-  | {readonly kind: 'replay'; readonly answer: WholeAnswer}
+  | {readonly kind: 'replay'; readonly answer: CompleteAnswer}
   /** A duplicate, or nothing is known about it: answer with `Failed`. */
   | {readonly kind: 'failed'; readonly detail: string};
 
@@ -68,7 +68,7 @@
    */
   readonly finish: (
     attempt: AttemptId,
-    answer: WholeAnswer | undefined,
+    answer: CompleteAnswer | undefined,
     now: MonotonicInstant,
   ) => void;
   /**
@@ -89,7 +89,7 @@
     attempt: AttemptId,
     incarnation: Incarnation,
     now: MonotonicInstant,
-  ) => WholeAnswer | undefined;
+  ) => CompleteAnswer | undefined;
   /** Stops (`true`) or resumes (`false`) the start of new attempts. */
   readonly setLeaving: (leaving: boolean) => void;
   /** Current sizes, for dumps and metrics. */
--- a/packages/core/src/requests/commands/attempt_resolution.ts
+++ b/packages/core/src/requests/commands/attempt_resolution.ts
@@ -6,7 +6,7 @@
   AttemptAddress,
   RequestFlow,
   TombstoneAnswer,
-  WholeAnswer,
+  CompleteAnswer,
 } from '../types';
 import type {AtMostOnceOptions} from './at_most_once_options';
 import {runToEnd} from './attempt_run';
@@ -17,7 +17,7 @@
   /** It never ran and never will. */
   | {readonly kind: 'neverRan'; readonly evidence: NotRunEvidence}
   | {readonly kind: 'running'}
-  | {readonly kind: 'answered'; readonly answer: WholeAnswer}
+  | {readonly kind: 'answered'; readonly answer: CompleteAnswer}
   /** It has finished, but the agent no longer has its answer. */
   | {readonly kind: 'answerLost'}
   /**
--- a/packages/core/src/requests/commands/attempt_run.ts
+++ b/packages/core/src/requests/commands/attempt_run.ts
@@ -7,7 +7,7 @@
   CreateDigester,
   RefusedEvent,
   RequestFlow,
-  WholeAnswer,
+  CompleteAnswer,
 } from '../types';
 import type {DispatchEffect} from '../evidence';
 import {createAnswerAssembler, type AnswerAssembler} from './answer_assembler';
@@ -15,7 +15,7 @@
 
 /** How an attempt's stream ended. */
 export type RunEnd =
-  | {readonly kind: 'answered'; readonly answer: WholeAnswer}
+  | {readonly kind: 'answered'; readonly answer: CompleteAnswer}
   | {readonly kind: 'refused'; readonly event: RefusedEvent}
   /** It may have run; no complete answer arrived. */
   | {readonly kind: 'unclear'; readonly detail: string};
--- a/packages/core/src/requests/commands/call_results.ts
+++ b/packages/core/src/requests/commands/call_results.ts
@@ -1,8 +1,8 @@
 import type {NotRunEvidence, NotRunReason} from '../../types';
-import type {RequestResult, WholeAnswer} from '../types';
+import type {RequestResult, CompleteAnswer} from '../types';
 
 /** The result of a call that was answered. */
-export function answered(answer: WholeAnswer): RequestResult {
+export function answered(answer: CompleteAnswer): RequestResult {
   const {versionDigest, frames} = answer;
   const frameCount = frames.length;
   return {outcome: {kind: 'answered', versionDigest, frameCount}, answer};
--- a/packages/core/src/requests/commands/claim_records.ts
+++ b/packages/core/src/requests/commands/claim_records.ts
@@ -1,6 +1,6 @@
 import type {AttemptId, TableRow} from '../../types';
 import {readClaim, type ClaimRow} from '../queries/claim_row';
-import type {AttemptAddress, RequestFlow, WholeAnswer} from '../types';
+import type {AttemptAddress, RequestFlow, CompleteAnswer} from '../types';
 import {storeAnswer} from './answer_storage';
 import type {AtMostOnceOptions} from './at_most_once_options';
 import {attemptOf, writeClaimRow} from './claim_writes';
@@ -32,7 +32,7 @@
 export function* recordAnswer(
   options: AtMostOnceOptions,
   version: number,
-  answer: WholeAnswer,
+  answer: CompleteAnswer,
 ): RequestFlow<void> {
   const body = yield* storeAnswer(options, answer);
   if (body === undefined) return;
--- a/packages/core/src/requests/commands/repeatable_flow.ts
+++ b/packages/core/src/requests/commands/repeatable_flow.ts
@@ -14,7 +14,7 @@
   RequestFlow,
   RequestResult,
   TargetChoice,
-  WholeAnswer,
+  CompleteAnswer,
 } from '../types';
 import {
   createAnswerAssembler,
@@ -33,7 +33,7 @@
 
 /** How one attempt ended. */
 type AttemptEnd =
-  | {readonly kind: 'answered'; readonly answer: WholeAnswer}
+  | {readonly kind: 'answered'; readonly answer: CompleteAnswer}
   | {
       readonly kind: 'refused';
       readonly evidence: NotRunEvidence;
--- a/packages/core/src/requests/types.ts
+++ b/packages/core/src/requests/types.ts
@@ -39,7 +39,7 @@
 }
 
 /** A complete answer, checked against its end frame. */
-export interface WholeAnswer {
+export interface CompleteAnswer {
   readonly attempt: AttemptId;
   readonly versionDigest: VersionDigest | undefined;
   /** Contents of the data frames in order. */
@@ -252,7 +252,7 @@
 export interface RequestResult {
   readonly outcome: RequestOutcome;
   /** Present if answered by a flow that does not emit. */
-  readonly answer: WholeAnswer | undefined;
+  readonly answer: CompleteAnswer | undefined;
 }
 
 /** Bounds on one answer. */
--- a/packages/daemon/src/agent/agent.ts
+++ b/packages/daemon/src/agent/agent.ts
@@ -10,14 +10,14 @@
 import type {TargetReport} from '@hibiscusbeam/wire';
 import {createLog} from '../logs';
 import {measurePlatform} from '../platform_access/measured_platform';
-import {openMetrics, sendGauges} from '../process/process_metrics';
+import {createProcessMetrics, sendGauges} from '../process/process_metrics';
 import {startProcess} from '../process/running_process';
 import {every, monotonicClock, sleep} from '../runtime/clock';
 import {createSiteNode, type SiteNode} from '../site/site_node';
 import {
-  answerFetchChunk,
+  handleFetchChunk,
   createSwarmDriver,
-  fetchChunkOver,
+  fetchChunkOverGrpc,
   type SwarmDriver,
 } from '../swarm';
 import {createEngineClient} from '../targets/engine_client';
@@ -25,29 +25,33 @@
 import type {RunningProcess} from '../types/process';
 import type {AgentSettings} from '../types/settings';
 import {describeAgent} from '../site/agent_descriptions';
-import {createTally} from '../utils/tally';
-import {prepareCall, prepareGenerate, refuseClosed} from './agent_work';
+import {createActivityCounter} from '../utils/activity_counter';
+import {
+  prepareCall,
+  prepareGenerate,
+  refuseClosedWorkspace,
+} from './agent_work';
 import {createByteCounter} from './byte_counter';
 import {createCachedPrefixes} from './cached_prefixes';
 import {createEngineChunkStore} from './chunk_store';
 import {startEngineControl, type EngineControl} from './engine_control';
-import {beginLife, type AgentLife} from './incarnation';
+import {raiseAgentIncarnation, type AgentIncarnation} from './incarnation';
 import {createServeHandler} from './serve_handler';
 import {createSwarmCandidates} from './swarm_candidates';
 import {createEngineRuns, createPlainServiceRuns} from './target_runs';
-import {createWeightsKeeper, type WeightsKeeper} from './weights_keeper';
+import {createWeightsManager, type WeightsManager} from './weights_manager';
 
 /** How long a planned stop waits for requests in progress. */
-const LONGEST_DRAIN = 120_000;
+const MAX_DRAIN_MS = 120_000;
 
 /** Pause between looks at what still runs while stopping. */
-const DRAIN_PERIOD = 50;
+const DRAIN_POLL_MS = 50;
 
 /** Entries learn that an agent leaves before it says goodbye. */
-const GOODBYE_DELAY = 200;
+const GOODBYE_DELAY_MS = 200;
 
 /** Period in which the engine's cache events are read. */
-const CACHE_EVENTS_PERIOD = 1_000;
+const CACHE_EVENTS_PERIOD_MS = 1_000;
 
 /** Requests that a plain service runs side by side. */
 const PLAIN_SERVICE_SLOTS = 16;
@@ -66,7 +70,7 @@
     part: 'process',
     secrets: [settings.siteKey],
   });
-  const metrics = openMetrics(settings, 'agent', processLog);
+  const metrics = createProcessMetrics(settings, 'agent', processLog);
   const platform = measurePlatform(
     createHttpPlatform({url, timeout}),
     metrics,
@@ -79,10 +83,10 @@
   const engineRuns = createEngineRuns(engine);
   const serviceRuns = createPlainServiceRuns(service);
   const cachedPrefixes = createCachedPrefixes(engine);
-  let life: AgentLife | undefined;
+  let agentIncarnation: AgentIncarnation | undefined;
   let registry: AttemptRegistry | undefined;
   let control: EngineControl | undefined;
-  const workspaces = createTally();
+  const workspaces = createActivityCounter();
   const candidates = createSwarmCandidates();
   let running = 0;
   let leaving = false;
@@ -91,20 +95,28 @@
   const handler = createServeHandler({
     clock,
     registry: () => registry,
-    incarnation: () => life?.incarnation,
+    incarnation: () => agentIncarnation?.incarnation,
     prepare: request => {
-      const closed = refuseClosed(request, node.configuration.current());
+      const closed = refuseClosedWorkspace(
+        request,
+        node.configuration.current(),
+      );
       if (closed !== undefined) return closed;
       return isEngine
-        ? prepareGenerate(request, control, isOurs(), engineRuns)
-        : prepareCall(request, target.service ?? '', isOurs(), serviceRuns);
+        ? prepareGenerate(request, control, isTargetOwned(), engineRuns)
+        : prepareCall(
+            request,
+            target.service ?? '',
+            isTargetOwned(),
+            serviceRuns,
+          );
     },
     onStart: ({workspace}) => {
       running += 1;
-      const endOfWorkspace = workspaces.begin(workspace);
+      const endWorkspaceUse = workspaces.begin(workspace);
       return () => {
         running -= 1;
-        endOfWorkspace();
+        endWorkspaceUse();
       };
     },
   });
@@ -116,7 +128,7 @@
     onRefused: reason => metrics.count('site.refused', {reason}),
     role: {
       role: 'agent',
-      incarnation: () => life?.incarnation,
+      incarnation: () => agentIncarnation?.incarnation,
       target: {
         name: target.name,
         service: target.service ?? '',
@@ -131,7 +143,7 @@
       targetReport: () => reportTarget(),
       agentHandlers: {
         ...handler,
-        fetchChunk: call => void answerFetchChunk(call, swarm),
+        fetchChunk: call => void handleFetchChunk(call, swarm),
       },
       dump: () => ({
         target: target.name,
@@ -148,7 +160,7 @@
       onPeerClosed: peer => {
         if (peer.role === 'agent') swarm.onPeerGone(peer.instance);
       },
-      onTick: () => followSite(),
+      onTick: () => updateSwarmPeers(),
     },
   });
 
@@ -161,7 +173,7 @@
     store: createEngineChunkStore(engine),
     transferBuffer: settings.transferBuffer,
     fetchChunk: (address, digest, signal) =>
-      fetchChunkOver(
+      fetchChunkOverGrpc(
         node.clients.at(address).agent,
         instance,
         digest,
@@ -182,7 +194,7 @@
       metrics.count('transfers.cut_off', {});
     },
   });
-  const weights: WeightsKeeper = createWeightsKeeper({
+  const weights: WeightsManager = createWeightsManager({
     target: target.name,
     weights: platform.weights,
     swarm,
@@ -195,7 +207,7 @@
     return current;
   };
 
-  const isOurs = (): boolean => {
+  const isTargetOwned = (): boolean => {
     const described =
       node.configuration.current()?.configuration.targets[target.name];
     return described?.owner === 'hibiscusbeam' && described.state === 'joined';
@@ -203,11 +215,11 @@
 
   const followConfiguration = (next: AcceptedConfiguration): void => {
     if (isEngine) weights.follow(next.configuration);
-    judgeLeaving();
+    updateLeaving();
   };
 
   /** Leaving is known from the signal, the list or the configuration. */
-  const judgeLeaving = (): void => {
+  const updateLeaving = (): void => {
     const listed = node.listed().find(line => line.instance === instance);
     const configured =
       node.configuration.current()?.configuration.targets[target.name];
@@ -223,11 +235,11 @@
     log.info(refusing ? 'leaves and starts nothing new' : 'serves again');
     // At once: each further heartbeat period would bring requests that can
     // only be refused.
-    node.sessions.beat();
+    node.sessions.sendHeartbeats();
   };
 
-  const followSite = (): void => {
-    judgeLeaving();
+  const updateSwarmPeers = (): void => {
+    updateLeaving();
     if (!isEngine) return;
     const agents = node.membership
       .members()
@@ -241,7 +253,7 @@
     const addresses = peers
       .filter(peer => neighbours.has(peer.instance))
       .map(peer => peer.address);
-    node.sessions.keep(new Set(addresses));
+    node.sessions.setAddresses(new Set(addresses));
   };
 
   const gone = (): ReadonlySet<TargetName> =>
@@ -258,11 +270,12 @@
     const view = control?.view();
     const now = clock();
     return {
-      incarnation: life?.incarnation ?? 0,
+      incarnation: agentIncarnation?.incarnation ?? 0,
       loaded: (control?.routable() ?? []).map(version => ({...version})),
       running: view?.running ?? running,
       queued: view?.queued ?? 0,
-      slots: view?.slots ?? (isEngine || !isOurs() ? 0 : PLAIN_SERVICE_SLOTS),
+      slots:
+        view?.slots ?? (isEngine || !isTargetOwned() ? 0 : PLAIN_SERVICE_SLOTS),
       ageMilliseconds:
         view === undefined ? 0 : Math.max(0, Math.round(now - view.takenAt)),
       cachedPrefixes: isEngine ? [...cachedPrefixes.newest()] : [],
@@ -286,7 +299,7 @@
 
   const start = async (): Promise<void> => {
     const started = node.start();
-    life = await beginLife(
+    agentIncarnation = await raiseAgentIncarnation(
       instance,
       describeAgent(settings),
       platform.table,
@@ -298,10 +311,10 @@
     stopGauges = sendGauges(metrics, {
       generation: () => node.configuration.current()?.generation ?? 0,
       members: node.membership.members,
-      sendMore: sendTargetMetrics,
+      sendRoleGauges: sendTargetMetrics,
     });
-    if (life === undefined) return;
-    const {incarnation} = life;
+    if (agentIncarnation === undefined) return;
+    const {incarnation} = agentIncarnation;
     log.info(`begins life ${incarnation} at ${target.name}`);
     registry = createAttemptRegistry({incarnation, ...DEFAULT_REGISTRY_BOUNDS});
     registry.setLeaving(refusing);
@@ -309,7 +322,7 @@
     control = startEngineControl({
       instance,
       target,
-      life,
+      agentIncarnation,
       engine,
       table: platform.table,
       clock,
@@ -319,10 +332,10 @@
       gone,
       log,
       metrics,
-      onRoutableChanged: () => node.sessions.beat(),
+      onRoutableChanged: () => node.sessions.sendHeartbeats(),
     });
     stopCacheEvents = every(
-      CACHE_EVENTS_PERIOD,
+      CACHE_EVENTS_PERIOD_MS,
       () => void cachedPrefixes.refresh(),
     );
     void swarm.start();
@@ -332,10 +345,10 @@
 
   const stop = async (): Promise<void> => {
     stopping.abort();
-    judgeLeaving();
-    await sleep(GOODBYE_DELAY);
-    const deadline = clock() + LONGEST_DRAIN;
-    while (running > 0 && clock() < deadline) await sleep(DRAIN_PERIOD);
+    updateLeaving();
+    await sleep(GOODBYE_DELAY_MS);
+    const deadline = clock() + MAX_DRAIN_MS;
+    while (running > 0 && clock() < deadline) await sleep(DRAIN_POLL_MS);
     stopCacheEvents();
     stopGauges();
     swarm.stop();
--- a/packages/daemon/src/agent/agent_work.ts
+++ b/packages/daemon/src/agent/agent_work.ts
@@ -10,27 +10,27 @@
  * Failure: the request of a workspace that has moved away arrives late and runs
  * here, while its caller has it run by the older system.
  */
-export function refuseClosed(
+export function refuseClosedWorkspace(
   {workspace}: Pick<ServeRequest, 'workspace'>,
   accepted: AcceptedConfiguration | undefined,
 ): Readiness | undefined {
-  const isOurs =
+  const isServed =
     accepted !== undefined && mayServe(workspace, accepted.configuration);
-  return isOurs ? undefined : {kind: 'notReady', reason: 'workspaceClosed'};
+  return isServed ? undefined : {kind: 'notReady', reason: 'workspaceClosed'};
 }
 
 /** Whether a model engine can take the request, and how to run it. */
 export function prepareGenerate(
   request: ServeRequest,
   control: EngineControl | undefined,
-  isOurs: boolean,
+  isTargetOwned: boolean,
   runs: EngineRuns,
 ): Readiness {
   const {work, attempt, priority} = request;
   // Failure: a move closes the target, this agent says that it is idle, and
   // between that and the next pass over the engine it starts one more request.
   // `routable` is as old as the last pass, the configuration is not.
-  if (work?.$case !== 'generate' || control === undefined || !isOurs) {
+  if (work?.$case !== 'generate' || control === undefined || !isTargetOwned) {
     return {kind: 'notReady', reason: 'noTarget'};
   }
   const {model, versionDigest, prompt, maximumTokens} = work.generate;
@@ -50,7 +50,7 @@
       // Named in full, so that a swap between this moment and the engine's
       // start makes the engine refuse instead of answering with another one.
       const chosen = version.versionDigest;
-      control.noteRun(chosen, 1);
+      control.recordRun(chosen, 1);
       const run = runs.run(
         {
           attempt,
@@ -62,7 +62,7 @@
         },
         timeout,
       );
-      return {...run, ended: () => control.noteRun(chosen, -1)};
+      return {...run, ended: () => control.recordRun(chosen, -1)};
     },
   };
 }
@@ -71,11 +71,15 @@
 export function prepareCall(
   request: ServeRequest,
   service: string,
-  isOurs: boolean,
+  isTargetOwned: boolean,
   runs: PlainServiceRuns,
 ): Readiness {
   const {work, attempt} = request;
-  if (work?.$case !== 'call' || work.call.service !== service || !isOurs) {
+  if (
+    work?.$case !== 'call' ||
+    work.call.service !== service ||
+    !isTargetOwned
+  ) {
     return {kind: 'notReady', reason: 'noTarget'};
   }
   const {operation, body} = work.call;
--- a/packages/daemon/src/agent/answer_matcher.ts
+++ b/packages/daemon/src/agent/answer_matcher.ts
@@ -5,7 +5,7 @@
   /** Registers an attempt until the returned function is called. */
   readonly expect: (
     attempt: AttemptId,
-    take: (part: Part) => void,
+    onPart: (part: Part) => void,
   ) => () => void;
   /** False if nobody waits for the attempt: the part is dropped. */
   readonly deliver: (attempt: AttemptId, part: Part) => boolean;
@@ -20,14 +20,14 @@
 export function createAnswerMatcher<Part>(): AnswerMatcher<Part> {
   const waiting = new Map<AttemptId, (part: Part) => void>();
   return {
-    expect: (attempt, take) => {
-      waiting.set(attempt, take);
+    expect: (attempt, onPart) => {
+      waiting.set(attempt, onPart);
       return () => void waiting.delete(attempt);
     },
     deliver: (attempt, part) => {
-      const take = waiting.get(attempt);
-      take?.(part);
-      return take !== undefined;
+      const onPart = waiting.get(attempt);
+      onPart?.(part);
+      return onPart !== undefined;
     },
     expected: () => waiting.size,
   };
--- a/packages/daemon/src/agent/cached_prefixes.ts
+++ b/packages/daemon/src/agent/cached_prefixes.ts
@@ -1,10 +1,10 @@
 import type {EngineClient} from '../targets/types';
 
 /** Prefixes named in a heartbeat at most; the newest ones. */
-const MOST_PREFIXES = 16;
+const MAX_REPORTED_PREFIXES = 16;
 
 /** Prefixes remembered at most; more than an engine's cache holds. */
-const MOST_REMEMBERED = 512;
+const MAX_REMEMBERED_PREFIXES = 512;
 
 /** What the engine's prompt cache probably holds; hints only. */
 export interface CachedPrefixes {
@@ -32,10 +32,10 @@
         if (kind === 'stored') prefixes.add(prefix);
       }
       for (const oldest of prefixes) {
-        if (prefixes.size <= MOST_REMEMBERED) break;
+        if (prefixes.size <= MAX_REMEMBERED_PREFIXES) break;
         prefixes.delete(oldest);
       }
     },
-    newest: () => [...prefixes].slice(-MOST_PREFIXES),
+    newest: () => [...prefixes].slice(-MAX_REPORTED_PREFIXES),
   };
 }
--- a/packages/daemon/src/agent/engine_control.ts
+++ b/packages/daemon/src/agent/engine_control.ts
@@ -17,17 +17,17 @@
 import type {SwarmDriver} from '../swarm';
 import type {EngineClient} from '../targets/types';
 import type {AgentTargetSettings} from '../types/settings';
-import type {AgentLife} from './incarnation';
+import type {AgentIncarnation} from './incarnation';
 import {createOrderDriver, observeEngine} from './order_driver';
 import {createPermits} from './permits';
 import {holdTargetLease} from './target_lease';
-import type {WeightsKeeper} from './weights_keeper';
+import type {WeightsManager} from './weights_manager';
 
 /** Pause between two passes while the engine is brought to another state. */
-const BUSY_PASS_PERIOD = 200;
+const BUSY_PASS_PERIOD_MS = 200;
 
 /** Pause while nothing is to be done: an idle agent's cost is its passes. */
-const IDLE_PASS_PERIOD = 500;
+const IDLE_PASS_PERIOD_MS = 500;
 
 /** What the engine said last, for heartbeats. */
 export interface EngineView {
@@ -45,7 +45,7 @@
   readonly view: () => EngineView | undefined;
   /** Whether an order may be on its way to the engine. */
   readonly isOrdering: () => boolean;
-  readonly noteRun: (versionDigest: VersionDigest, change: 1 | -1) => void;
+  readonly recordRun: (versionDigest: VersionDigest, change: 1 | -1) => void;
   readonly stop: () => Promise<void>;
   readonly dump: () => unknown;
 }
@@ -54,11 +54,11 @@
 export interface EngineControlOptions {
   readonly instance: InstanceName;
   readonly target: AgentTargetSettings;
-  readonly life: AgentLife;
+  readonly agentIncarnation: AgentIncarnation;
   readonly engine: EngineClient;
   readonly table: TableService;
   readonly clock: Clock;
-  readonly weights: WeightsKeeper;
+  readonly weights: WeightsManager;
   readonly swarm: SwarmDriver;
   readonly accepted: () => AcceptedConfiguration;
   /** Targets known to be dead or leaving. */
@@ -73,21 +73,22 @@
 export function startEngineControl(
   options: EngineControlOptions,
 ): EngineControl {
-  const {target, life, engine, table, clock, accepted, log} = options;
+  const {target, agentIncarnation, engine, table, clock, accepted, log} =
+    options;
   const {instance} = options;
   const lease =
     target.fencing === 'ignored'
       ? holdTargetLease({
           target: target.name,
           instance,
-          life,
+          agentIncarnation,
           table,
           clock,
           log,
         })
       : undefined;
   const reconciler = createTargetReconciler({
-    fencing: life.incarnation,
+    fencing: agentIncarnation.incarnation,
     checkLease: lease?.check,
     engineMemory: undefined,
   });
@@ -96,13 +97,13 @@
   const stopping = new AbortController();
   let plan: ReconcilePlan | undefined;
   let view: EngineView | undefined;
-  let engineLife: string | undefined;
+  let engineIncarnation: string | undefined;
   let ordering = false;
 
   const permits = createPermits({
     target: target.name,
     instance,
-    life,
+    agentIncarnation,
     table,
     clock,
     log,
@@ -126,7 +127,7 @@
       permits: permits.held(),
     });
     plan = next;
-    if (observed !== undefined) noteEngine(observed);
+    if (observed !== undefined) updateView(observed);
     if (routableKey(next) !== before) options.onRoutableChanged();
     handlePermits(next, configuration.models);
     if (next.orders.length === 0) return;
@@ -151,7 +152,7 @@
     if (round.refused.length > 0) void options.swarm.refreshHeld();
   };
 
-  const noteEngine = (
+  const updateView = (
     observed: NonNullable<Awaited<ReturnType<typeof observeEngine>>>,
   ): void => {
     const {report, load, takenAt} = observed;
@@ -159,11 +160,11 @@
     options.swarm.onLiveLoad(load);
     // A restarted engine has lost its chunks; without asking again the swarm
     // would go on offering chunks that are gone.
-    if (engineLife !== undefined && engineLife !== report.life) {
+    if (engineIncarnation !== undefined && engineIncarnation !== report.life) {
       log.warn('the engine has restarted');
       void options.swarm.refreshHeld();
     }
-    engineLife = report.life;
+    engineIncarnation = report.life;
   };
 
   const handlePermits = (
@@ -179,17 +180,17 @@
 
   const passPeriod = (): number => {
     const wanted = wantedState(accepted().configuration, target.name);
-    if (wanted.kind !== 'serve') return IDLE_PASS_PERIOD;
+    if (wanted.kind !== 'serve') return IDLE_PASS_PERIOD_MS;
     const served = new Set(plan?.routable.map(line => line.versionDigest));
-    const isWhole = [...wanted.versions.values()].every(version =>
+    const isComplete = [...wanted.versions.values()].every(version =>
       served.has(version),
     );
     const isSettled =
-      isWhole &&
+      isComplete &&
       plan?.orders.length === 0 &&
       plan.needsPermit.length === 0 &&
       plan.draining.length === 0;
-    return isSettled ? IDLE_PASS_PERIOD : BUSY_PASS_PERIOD;
+    return isSettled ? IDLE_PASS_PERIOD_MS : BUSY_PASS_PERIOD_MS;
   };
 
   const run = async (): Promise<void> => {
@@ -205,7 +206,7 @@
     mayStart: reconciler.mayStart,
     view: () => view,
     isOrdering: () => ordering,
-    noteRun: (versionDigest, change) => {
+    recordRun: (versionDigest, change) => {
       const count = (running.get(versionDigest) ?? 0) + change;
       if (count > 0) running.set(versionDigest, count);
       else running.delete(versionDigest);
--- a/packages/daemon/src/agent/incarnation.ts
+++ b/packages/daemon/src/agent/incarnation.ts
@@ -12,22 +12,22 @@
 import {runTableFlow} from '../runtime/table_flow';
 
 /** Pause before the platform is asked again. */
-const RETRY_PAUSE = 1_000;
+const RETRY_PAUSE_MS = 1_000;
 
 /** An incarnation with the token of this start. */
-export interface AgentLife extends RaisedIncarnation {
+export interface AgentIncarnation extends RaisedIncarnation {
   readonly token: string;
 }
 
 /** Raises the agent's incarnation; tries for as long as it takes. */
-export async function beginLife(
+export async function raiseAgentIncarnation(
   instance: InstanceName,
   description: JsonValue,
   table: TableService,
   clock: Clock,
   log: Log,
   stopping: AbortSignal,
-): Promise<AgentLife | undefined> {
+): Promise<AgentIncarnation | undefined> {
   const token = randomUUID();
   const key = incarnationKey(instance);
   while (!stopping.aborted) {
@@ -38,7 +38,7 @@
     );
     if (raised.ok) return {...raised.val, token};
     log.warn('waits for its incarnation', {reason: raised.val});
-    await sleep(RETRY_PAUSE, stopping);
+    await sleep(RETRY_PAUSE_MS, stopping);
   }
   return undefined;
 }
--- a/packages/daemon/src/agent/order_driver.ts
+++ b/packages/daemon/src/agent/order_driver.ts
@@ -22,14 +22,14 @@
     })
   | undefined
 > {
-  const askedAt = clock();
+  const requestedAt = clock();
   const report = await engine.report();
   if (report.err) return undefined;
   const {life, loaded, loading, running, queued, slots, ageMilliseconds} =
     report.val;
   return {
     report: {life, loaded, loading},
-    takenAt: askedAt - ageMilliseconds,
+    takenAt: requestedAt - ageMilliseconds,
     load: {running, queued, slots},
   };
 }
--- a/packages/daemon/src/agent/permits.ts
+++ b/packages/daemon/src/agent/permits.ts
@@ -9,7 +9,7 @@
 import type {Log} from '../logs';
 import type {Clock} from '../runtime/clock';
 import {runTableFlow} from '../runtime/table_flow';
-import type {AgentLife} from './incarnation';
+import type {AgentIncarnation} from './incarnation';
 
 /** This target's permits to stop serving a model during a swap. */
 export interface Permits {
@@ -25,7 +25,7 @@
 export function createPermits(options: {
   readonly target: TargetName;
   readonly instance: string;
-  readonly life: AgentLife;
+  readonly agentIncarnation: AgentIncarnation;
   readonly table: TableService;
   readonly clock: Clock;
   readonly log: Log;
@@ -36,10 +36,10 @@
     readonly fenced: boolean;
   };
 }): Permits {
-  const {target, instance, life, table, clock, log} = options;
+  const {target, instance, agentIncarnation, table, clock, log} = options;
   const activations = new Map<ModelName, Activation>();
   const serving = new Set<ModelName>();
-  const busy = new Set<ModelName>();
+  const modelsInProgress = new Set<ModelName>();
 
   const activationOf = (model: ModelName): Activation => {
     const known = activations.get(model);
@@ -48,30 +48,30 @@
       model,
       target,
       instance,
-      incarnation: life.incarnation,
-      token: life.token,
-      stillCurrent: life.stillCurrent,
+      incarnation: agentIncarnation.incarnation,
+      token: agentIncarnation.token,
+      stillCurrent: agentIncarnation.stillCurrent,
     });
     activations.set(model, created);
     return created;
   };
 
   /** One flow for each model at a time; more calls meanwhile do nothing. */
-  const once = async (
+  const runExclusively = async (
     model: ModelName,
     action: (activation: Activation) => Promise<void>,
   ): Promise<void> => {
-    if (busy.has(model)) return;
-    busy.add(model);
+    if (modelsInProgress.has(model)) return;
+    modelsInProgress.add(model);
     try {
       await action(activationOf(model));
     } finally {
-      busy.delete(model);
+      modelsInProgress.delete(model);
     }
   };
 
   const take: Permits['take'] = (model, gone) =>
-    void once(model, async activation => {
+    void runExclusively(model, async activation => {
       const {generation, configuration} = options.accepted();
       const described = configuration.models[model];
       const request = {
@@ -91,7 +91,7 @@
     });
 
   const reportServing: Permits['reportServing'] = model =>
-    void once(model, async activation => {
+    void runExclusively(model, async activation => {
       const {generation} = options.accepted();
       const flow = activation.reportServing({
         generation,
--- a/packages/daemon/src/agent/serve_frames.ts
+++ b/packages/daemon/src/agent/serve_frames.ts
@@ -1,4 +1,4 @@
-import type {AttemptId, RefusedEvent, WholeAnswer} from '@hibiscusbeam/core';
+import type {AttemptId, RefusedEvent, CompleteAnswer} from '@hibiscusbeam/core';
 import type {ServeFrame} from '@hibiscusbeam/wire';
 
 /** The target has begun on the attempt. */
@@ -49,7 +49,7 @@
 
 /** All frames of an answer that is at hand. */
 export function framesOf(
-  answer: WholeAnswer,
+  answer: CompleteAnswer,
   incarnation: number,
 ): readonly ServeFrame[] {
   const {attempt, versionDigest, frames, digest} = answer;
--- a/packages/daemon/src/agent/serve_handler.ts
+++ b/packages/daemon/src/agent/serve_handler.ts
@@ -6,7 +6,7 @@
   type Milliseconds,
   type NotRunReason,
   type TombstoneAnswer,
-  type WholeAnswer,
+  type CompleteAnswer,
 } from '@hibiscusbeam/core';
 import {
   TombstoneReply_State,
@@ -30,7 +30,7 @@
 const NOT_SERVED_RETRY_AFTER: Milliseconds = 500;
 
 /** How long a call that may not be repeated is followed past its deadline. */
-const FOLLOW_PAST_DEADLINE: Milliseconds = 60_000;
+const EXTRA_TIME_PAST_DEADLINE: Milliseconds = 60_000;
 
 /** A run that its agent counts until `ended` is called. */
 export interface CountedRun extends TargetRun {
@@ -127,12 +127,12 @@
     const end = options.onStart(request);
     const timeout = repeatable
       ? deadlineMilliseconds
-      : deadlineMilliseconds + FOLLOW_PAST_DEADLINE;
+      : deadlineMilliseconds + EXTRA_TIME_PAST_DEADLINE;
     const run = readiness.run(timeout);
     // A call that may not be repeated is followed to its end even if its entry
     // has gone, so that another entry can collect the answer.
     if (repeatable) call.on('cancelled', run.cancel);
-    const result = await passOn(call, request, run);
+    const result = await forwardEvents(call, request, run);
     run.ended();
     endRun(call, registry, attempt, result);
     end();
@@ -164,7 +164,7 @@
     }
   };
 
-  const replay = (call: Answer, answer: WholeAnswer): void => {
+  const replay = (call: Answer, answer: CompleteAnswer): void => {
     const incarnation = options.incarnation() ?? 0;
     for (const frame of framesOf(answer, incarnation)) call.write(frame);
     call.end();
@@ -189,7 +189,7 @@
       callback(null, {
         attempt,
         incarnation: answer.incarnation,
-        state: stateOf(answer),
+        state: toTombstoneState(answer),
       });
     },
   };
@@ -213,7 +213,7 @@
   | {readonly kind: 'broken'; readonly detail: string};
 
 /** Sends a run's events as frames, all but the last. */
-async function passOn(
+async function forwardEvents(
   call: Answer,
   request: ServeRequest,
   run: TargetRun,
@@ -222,21 +222,21 @@
   const digester = createDigester();
   const frames: Uint8Array[] = [];
   let versionDigest: string | undefined;
-  let begun = false;
+  let startedSent = false;
   let frameCount = 0;
-  const begin = (): void => {
-    if (begun) return;
-    begun = true;
+  const sendStarted = (): void => {
+    if (startedSent) return;
+    startedSent = true;
     call.write(startedFrame(attempt, versionDigest, incarnation));
   };
   for await (const event of run.events) {
     switch (event.kind) {
       case 'started':
         versionDigest = event.versionDigest;
-        begin();
+        sendStarted();
         break;
       case 'data': {
-        begin();
+        sendStarted();
         // The target numbers its parts; a doubled or missing one would give
         // the caller an answer with a hole in it.
         if (event.sequence !== frameCount) {
@@ -249,7 +249,7 @@
         const hasRoom = call.write(
           dataFrame(attempt, event.sequence, event.content),
         );
-        if (!hasRoom) await drained(call);
+        if (!hasRoom) await waitForDrain(call);
         break;
       }
       case 'end':
@@ -290,7 +290,7 @@
 }
 
 /** Resolves when the reader has caught up or has gone. */
-function drained(call: Answer): Promise<void> {
+function waitForDrain(call: Answer): Promise<void> {
   if (call.cancelled) return Promise.resolve();
   return new Promise(resolve => {
     const done = (): void => {
@@ -306,13 +306,13 @@
 function answerOf(
   attempt: AttemptId,
   whole: WholeRun,
-): WholeAnswer | undefined {
+): CompleteAnswer | undefined {
   if (whole.frames === undefined) return undefined;
   const {versionDigest, frames, digest} = whole;
   return {attempt, versionDigest, frames, digest};
 }
 
-function stateOf(answer: TombstoneAnswer): TombstoneReply_State {
+function toTombstoneState(answer: TombstoneAnswer): TombstoneReply_State {
   switch (answer.state) {
     case 'tombstoned':
       return TombstoneReply_State.STATE_TOMBSTONED;
--- a/packages/daemon/src/agent/swarm_candidates.ts
+++ b/packages/daemon/src/agent/swarm_candidates.ts
@@ -6,10 +6,10 @@
 } from '@hibiscusbeam/core';
 
 /** A neighbour that was not heard for so long after it was chosen is out. */
-const GIVEN_UP_AFTER: Milliseconds = 6_000;
+const MAX_NEIGHBOUR_SILENCE: Milliseconds = 6_000;
 
 /** It is tried again after so long, if the platform still lists it. */
-const TRIED_AGAIN_AFTER: Milliseconds = 30_000;
+const EXCLUSION_TIME: Milliseconds = 30_000;
 
 /** Which agents the swarm may choose its neighbours from. */
 export interface SwarmCandidates {
@@ -31,17 +31,17 @@
  */
 export function createSwarmCandidates(): SwarmCandidates {
   const chosenAt = new Map<InstanceName, MonotonicInstant>();
-  const outUntil = new Map<InstanceName, MonotonicInstant>();
+  const excludedUntil = new Map<InstanceName, MonotonicInstant>();
 
   const isCandidate = (agent: Member, now: MonotonicInstant): boolean => {
     const {instance, liveness} = agent;
     if (liveness !== 'dead') return true;
     const since = chosenAt.get(instance);
-    if (since !== undefined && now - since >= GIVEN_UP_AFTER) {
-      outUntil.set(instance, now + TRIED_AGAIN_AFTER);
+    if (since !== undefined && now - since >= MAX_NEIGHBOUR_SILENCE) {
+      excludedUntil.set(instance, now + EXCLUSION_TIME);
       chosenAt.delete(instance);
     }
-    return now >= (outUntil.get(instance) ?? now);
+    return now >= (excludedUntil.get(instance) ?? now);
   };
 
   return {
--- a/packages/daemon/src/agent/target_lease.ts
+++ b/packages/daemon/src/agent/target_lease.ts
@@ -10,16 +10,16 @@
 import type {Log} from '../logs';
 import {sleep, type Clock} from '../runtime/clock';
 import {runTableFlow} from '../runtime/table_flow';
-import type {AgentLife} from './incarnation';
+import type {AgentIncarnation} from './incarnation';
 
 /**
  * How long others wait after the last renewal. Renewed three times within it,
  * 600 targets that ignore fencing cost 60 writes a second.
  */
-const DURATION: Milliseconds = 30_000;
+const LEASE_DURATION: Milliseconds = 30_000;
 
 /** Covers an order's way to its target and clocks that differ by 1%. */
-const MARGIN: Milliseconds = 5_000;
+const LEASE_MARGIN: Milliseconds = 5_000;
 
 const RENEWAL_PERIOD: Milliseconds = 10_000;
 
@@ -35,20 +35,20 @@
 export function holdTargetLease(options: {
   readonly target: TargetName;
   readonly instance: string;
-  readonly life: AgentLife;
+  readonly agentIncarnation: AgentIncarnation;
   readonly table: TableService;
   readonly clock: Clock;
   readonly log: Log;
 }): TargetLease {
-  const {target, instance, life, table, clock, log} = options;
+  const {target, instance, agentIncarnation, table, clock, log} = options;
   const stopping = new AbortController();
   const lease: Lease = createLease({
     key: `target-leases/${target}`,
     holder: instance,
-    token: life.token,
-    duration: DURATION,
-    margin: MARGIN,
-    conditions: [life.stillCurrent],
+    token: agentIncarnation.token,
+    duration: LEASE_DURATION,
+    margin: LEASE_MARGIN,
+    conditions: [agentIncarnation.stillCurrent],
   });
 
   const run = async (): Promise<void> => {
--- a/packages/daemon/src/agent/target_runs.ts
+++ b/packages/daemon/src/agent/target_runs.ts
@@ -10,7 +10,7 @@
 import {createAnswerMatcher} from './answer_matcher';
 
 /** Events held for a slow reader before the target is held back. */
-const HELD_EVENTS = 64;
+const MAX_QUEUED_EVENTS = 64;
 
 /** What happens to one attempt at the target. */
 export type RunEvent =
@@ -38,42 +38,42 @@
 interface EventQueue {
   readonly push: (event: RunEvent) => void;
   /** Undefined while there is room, else resolves once there is. */
-  readonly room: () => Promise<void> | undefined;
+  readonly waitForRoom: () => Promise<void> | undefined;
   readonly events: AsyncIterable<RunEvent>;
 }
 
 function createEventQueue(): EventQueue {
-  const held: RunEvent[] = [];
+  const queued: RunEvent[] = [];
   let wake: (() => void) | undefined;
-  let roomFound: (() => void) | undefined;
+  let notifyRoom: (() => void) | undefined;
   async function* read(): AsyncIterable<RunEvent> {
     for (;;) {
-      const event = held.shift();
+      const event = queued.shift();
       if (event === undefined) {
         await new Promise<void>(resolve => (wake = resolve));
         continue;
       }
-      if (held.length < HELD_EVENTS) roomFound?.();
+      if (queued.length < MAX_QUEUED_EVENTS) notifyRoom?.();
       yield event;
-      if (isLast(event)) return;
+      if (isFinalEvent(event)) return;
     }
   }
   return {
     push: event => {
-      held.push(event);
+      queued.push(event);
       const resolve = wake;
       wake = undefined;
       resolve?.();
     },
-    room: () =>
-      held.length < HELD_EVENTS
+    waitForRoom: () =>
+      queued.length < MAX_QUEUED_EVENTS
         ? undefined
-        : new Promise(resolve => (roomFound = resolve)),
+        : new Promise(resolve => (notifyRoom = resolve)),
     events: read(),
   };
 }
 
-function isLast(event: RunEvent): boolean {
+function isFinalEvent(event: RunEvent): boolean {
   return event.kind !== 'started' && event.kind !== 'data';
 }
 
@@ -90,21 +90,23 @@
       const {attempt} = work;
       const queue = createEventQueue();
       const abort = new AbortController();
-      let over = false;
+      let hasEnded = false;
       const push = (event: RunEvent): void => {
-        if (over) return;
-        over = isLast(event);
-        if (over) stop();
+        if (hasEnded) return;
+        hasEnded = isFinalEvent(event);
+        if (hasEnded) stop();
         queue.push(event);
       };
-      const forget = matcher.expect(attempt, frame => push(eventOf(frame)));
-      const timer = setTimeout(() => breakOff('no end in time'), timeout);
+      const unregister = matcher.expect(attempt, frame =>
+        push(toRunEvent(frame)),
+      );
+      const timer = setTimeout(() => abortRun('no end in time'), timeout);
       const stop = (): void => {
         clearTimeout(timer);
-        forget();
+        unregister();
       };
-      const breakOff = (detail: string): void => {
-        if (over) return;
+      const abortRun = (detail: string): void => {
+        if (hasEnded) return;
         push({kind: 'broken', detail});
         abort.abort();
         void engine.cancel(attempt);
@@ -112,22 +114,22 @@
       const read = async (): Promise<void> => {
         let sawOther = false;
         for await (const frame of engine.generate(work, abort.signal)) {
-          if (frame.err) return push(lastEventOf(frame.val));
+          if (frame.err) return push(toFinalEvent(frame.val));
           matcher.deliver(frame.val.attempt, frame.val);
           sawOther ||= frame.val.attempt !== attempt;
-          if (!over) await queue.room();
+          if (!hasEnded) await queue.waitForRoom();
         }
         // A stream that carried another attempt's answer is crossed: this
         // attempt's own may still come on the other's stream.
         if (!sawOther) push({kind: 'broken', detail: 'the stream ended'});
       };
       void read();
-      return {events: queue.events, cancel: () => breakOff('cancelled')};
+      return {events: queue.events, cancel: () => abortRun('cancelled')};
     },
   };
 }
 
-function eventOf(frame: EngineFrame): RunEvent {
+function toRunEvent(frame: EngineFrame): RunEvent {
   switch (frame.kind) {
     case 'started':
       return {kind: 'started', versionDigest: frame.versionDigest};
@@ -161,15 +163,15 @@
     run: (attempt, operation, content, timeout) => {
       const queue = createEventQueue();
       const abort = new AbortController();
-      let over = false;
+      let hasEnded = false;
       const finish = (events: readonly RunEvent[]): void => {
-        if (over) return;
-        over = true;
+        if (hasEnded) return;
+        hasEnded = true;
         clearTimeout(timer);
-        forget();
+        unregister();
         for (const event of events) queue.push(event);
       };
-      const forget = matcher.expect(attempt, answer =>
+      const unregister = matcher.expect(attempt, answer =>
         finish([
           {kind: 'data', sequence: 0, content: answer.content},
           {kind: 'end', count: 1},
@@ -186,7 +188,7 @@
           content,
           abort.signal,
         );
-        if (answer.err) finish([lastEventOfService(answer.val)]);
+        if (answer.err) finish([toFinalServiceEvent(answer.val)]);
         else matcher.deliver(answer.val.attempt, answer.val);
       };
       void read();
@@ -201,7 +203,7 @@
   };
 }
 
-function lastEventOf(error: TargetError): RunEvent {
+function toFinalEvent(error: TargetError): RunEvent {
   switch (error.kind) {
     case 'unreachable':
     case 'refused':
@@ -212,10 +214,10 @@
   }
 }
 
-function lastEventOfService(error: TargetError): RunEvent {
+function toFinalServiceEvent(error: TargetError): RunEvent {
   // A plain service's error status is no proof that nothing was done: it may
   // have booked the charge and failed afterwards. Only a connection that was
   // never made is.
-  if (error.kind === 'unreachable') return lastEventOf(error);
+  if (error.kind === 'unreachable') return toFinalEvent(error);
   return {kind: 'broken', detail: error.detail};
 }
--- a/packages/daemon/src/agent/weights_keeper.ts
+++ b/packages/daemon/src/agent/weights_manager.ts
@@ -12,7 +12,7 @@
 import type {SwarmDriver} from '../swarm';
 
 /** Keeps the versions that the configuration wants on their way. */
-export interface WeightsKeeper {
+export interface WeightsManager {
   /** Starts what is newly wanted and stops what is not wanted any more. */
   readonly follow: (configuration: SiteConfiguration) => void;
   /** Versions whose every chunk the target holds, verified. */
@@ -21,19 +21,19 @@
 }
 
 /** Pause before a manifest is asked for again. */
-const MANIFEST_RETRY_PAUSE = 1_000;
+const MANIFEST_RETRY_PAUSE_MS = 1_000;
 
 /** Creates the keeper of one model engine's versions. */
-export function createWeightsKeeper(options: {
+export function createWeightsManager(options: {
   readonly target: TargetName;
   readonly weights: WeightStore;
   readonly swarm: SwarmDriver;
   readonly log: Log;
-}): WeightsKeeper {
+}): WeightsManager {
   const {target, weights, swarm, log} = options;
   const wanted = new Map<VersionDigest, ModelConfiguration>();
   const manifests = new Map<VersionDigest, Manifest>();
-  const asking = new Set<VersionDigest>();
+  const fetching = new Set<VersionDigest>();
 
   const follow = (configuration: SiteConfiguration): void => {
     const next = wantedVersions(configuration, target);
@@ -60,10 +60,10 @@
   };
 
   const fetchManifest = async (versionDigest: VersionDigest): Promise<void> => {
-    if (asking.has(versionDigest)) return;
-    asking.add(versionDigest);
+    if (fetching.has(versionDigest)) return;
+    fetching.add(versionDigest);
     const fetched = await weights.manifest(versionDigest);
-    asking.delete(versionDigest);
+    fetching.delete(versionDigest);
     if (!wanted.has(versionDigest)) return;
     const checked = fetched.ok
       ? checkManifest(versionDigest, fetched.val, digestText)
@@ -72,7 +72,7 @@
       log.warn(`cannot get the manifest of ${versionDigest}`, {
         reason: checked.val,
       });
-      setTimeout(() => want(versionDigest), MANIFEST_RETRY_PAUSE);
+      setTimeout(() => want(versionDigest), MANIFEST_RETRY_PAUSE_MS);
       return;
     }
     manifests.set(versionDigest, checked.val.manifest);
@@ -101,10 +101,10 @@
   target: TargetName,
 ): ReadonlyMap<VersionDigest, ModelConfiguration> {
   const described = configuration.targets[target];
-  const isOurs =
+  const isTargetOwned =
     described?.owner === 'hibiscusbeam' && described.state === 'joined';
   const versions = new Map<VersionDigest, ModelConfiguration>();
-  if (!isOurs) return versions;
+  if (!isTargetOwned) return versions;
   for (const model of Object.values(configuration.models)) {
     if (model.targets.includes(target)) {
       versions.set(model.versionDigest, model);
--- a/packages/daemon/src/caller_client/caller_client.ts
+++ b/packages/daemon/src/caller_client/caller_client.ts
@@ -6,7 +6,7 @@
   readRefusal,
   readResult,
   readStream,
-  type SendResult,
+  type AttemptResult,
 } from './response_reading';
 import type {
   CallerClient,
@@ -17,16 +17,16 @@
   ServiceCall,
 } from './types';
 
-const DEFAULT_MAXIMUM_SENDS = 5;
+const DEFAULT_MAX_ATTEMPTS = 5;
 
 /** The entry answers by the deadline; this is for the way back. */
-const GRACE: Milliseconds = 500;
+const RESPONSE_GRACE: Milliseconds = 500;
 
 /** Pause before a send that follows a broken one. */
-const PAUSE_AFTER_FAILURE: Milliseconds = 100;
+const FAILURE_RETRY_DELAY: Milliseconds = 100;
 
 /** One request, in the form that sends it to an entry. */
-interface Sendable<Answer> {
+interface PreparedRequest<Answer> {
   readonly path: string;
   readonly headers: (
     remaining: Milliseconds,
@@ -37,7 +37,7 @@
       Awaited<ReturnType<EntryExchange['send']>>,
       {kind: 'response'}
     >,
-  ) => Promise<SendResult<Answer>>;
+  ) => Promise<AttemptResult<Answer>>;
   /** Whether it may be sent again although it may have run. */
   readonly repeatable: () => boolean;
 }
@@ -54,51 +54,52 @@
     now,
     random: options.random ?? Math.random,
   });
-  const maximumSends = options.maximumSends ?? DEFAULT_MAXIMUM_SENDS;
+  const maximumSends = options.maximumSends ?? DEFAULT_MAX_ATTEMPTS;
 
   /** Sends once; `unreachable` if the entry can't have seen the request. */
   async function sendOnce<Answer>(
-    sendable: Sendable<Answer>,
+    prepared: PreparedRequest<Answer>,
     remaining: Milliseconds,
-  ): Promise<SendResult<Answer> | {readonly kind: 'unreachable'}> {
+  ): Promise<AttemptResult<Answer> | {readonly kind: 'unreachable'}> {
     const entry = await entries.current();
     const response = await exchange.send({
       entry,
       method: 'POST',
-      path: sendable.path,
-      headers: sendable.headers(remaining),
-      body: sendable.body(remaining),
-      timeout: remaining + GRACE,
+      path: prepared.path,
+      headers: prepared.headers(remaining),
+      body: prepared.body(remaining),
+      timeout: remaining + RESPONSE_GRACE,
     });
     if (response.kind !== 'response') {
-      entries.failed(entry);
+      entries.markFailed(entry);
       if (response.kind === 'notSent') return {kind: 'unreachable'};
       return {kind: 'outcomeUnknown', detail: response.detail};
     }
     if (response.status === 200) {
-      const result = await sendable.read(response);
+      const result = await prepared.read(response);
       // Its answer broke off: the next send goes to another entry.
-      if (result.kind === 'outcomeUnknown') entries.failed(entry);
+      if (result.kind === 'outcomeUnknown') entries.markFailed(entry);
       return result;
     }
     const refusal = await readRefusal<Answer>(response);
     // An entry that is being stopped will not serve the next send either.
-    const leaves = refusal.kind === 'notRun' && refusal.reason === 'stopping';
-    if (leaves) entries.failed(entry);
+    const isStopping =
+      refusal.kind === 'notRun' && refusal.reason === 'stopping';
+    if (isStopping) entries.markFailed(entry);
     return refusal;
   }
 
-  async function sendUntilEnd<Answer>(
-    sendable: Sendable<Answer>,
+  async function sendWithRetries<Answer>(
+    prepared: PreparedRequest<Answer>,
     duration: Milliseconds,
   ): Promise<CallerOutcome<Answer>> {
     const deadline = now() + duration;
     let mayHaveRun: string | undefined;
     let last: CallerOutcome<Answer> = unreachable();
-    for (let sends = 0; sends < maximumSends; sends += 1) {
+    for (let attempts = 0; attempts < maximumSends; attempts += 1) {
       const remaining = deadline - now();
       if (remaining <= 0) break;
-      const result = await sendOnce(sendable, remaining);
+      const result = await sendOnce(prepared, remaining);
       if (result.kind === 'answered') return result;
       if (result.kind === 'rejected') {
         return mayHaveRun === undefined ? result : unknownAfter(mayHaveRun);
@@ -107,10 +108,10 @@
       else last = result;
       if (last.kind === 'outcomeUnknown') mayHaveRun = last.detail;
       if (isInProgress(last)) mayHaveRun = 'the call is in progress';
-      if (mayHaveRun !== undefined && !sendable.repeatable()) break;
-      const pause = pauseAfter(last);
-      if (pause === undefined || now() + pause >= deadline) break;
-      await wait(pause);
+      if (mayHaveRun !== undefined && !prepared.repeatable()) break;
+      const retryDelay = retryDelayAfter(last);
+      if (retryDelay === undefined || now() + retryDelay >= deadline) break;
+      await wait(retryDelay);
     }
     // "Not run" is the entry's word on one send. After an earlier send that
     // may have run it would be a lie about the call.
@@ -118,15 +119,15 @@
   }
 
   return {
-    generate: call => sendUntilEnd(generateSendable(call), call.deadline),
-    call: call => sendUntilEnd(serviceSendable(call), call.deadline),
+    generate: call => sendWithRetries(prepareGenerateCall(call), call.deadline),
+    call: call => sendWithRetries(prepareServiceCall(call), call.deadline),
     entry: entries.current,
     close: exchange.close,
   };
 }
 
 function unreachable<Answer>(): CallerOutcome<Answer> {
-  const retryAfter = PAUSE_AFTER_FAILURE;
+  const retryAfter = FAILURE_RETRY_DELAY;
   return {kind: 'notRun', reason: 'unreachable', retryAfter};
 }
 
@@ -139,23 +140,27 @@
 }
 
 /** How long to wait before the next send; undefined: it would not help. */
-function pauseAfter(outcome: CallerOutcome<unknown>): Milliseconds | undefined {
+function retryDelayAfter(
+  outcome: CallerOutcome<unknown>,
+): Milliseconds | undefined {
   switch (outcome.kind) {
     case 'notRun':
       return outcome.reason === 'keyReused' ? undefined : outcome.retryAfter;
     case 'outcomeUnknown':
-      return PAUSE_AFTER_FAILURE;
+      return FAILURE_RETRY_DELAY;
     case 'answered':
     case 'rejected':
       return undefined;
   }
 }
 
-function generateSendable(call: GenerateCall): Sendable<GeneratedAnswer> {
+function prepareGenerateCall(
+  call: GenerateCall,
+): PreparedRequest<GeneratedAnswer> {
   const {model, prompt, maximumTokens, firstTokenWithin} = call;
-  let begun = false;
+  let hasTokens = false;
   const onToken = (text: string): void => {
-    begun = true;
+    hasTokens = true;
     call.onToken?.(text);
   };
   return {
@@ -165,25 +170,25 @@
       JSON.stringify({
         prompt,
         maximumTokens,
-        deadline: durationOf(remaining),
+        deadline: formatDuration(remaining),
         ...(firstTokenWithin === undefined
           ? {}
-          : {firstTokenWithin: durationOf(firstTokenWithin)}),
+          : {firstTokenWithin: formatDuration(firstTokenWithin)}),
       }),
     read: response => readStream(response, onToken),
     // Tokens already shown would be shown twice, or mixed with others.
-    repeatable: () => !begun,
+    repeatable: () => !hasTokens,
   };
 }
 
-function serviceSendable(call: ServiceCall): Sendable<unknown> {
+function prepareServiceCall(call: ServiceCall): PreparedRequest<unknown> {
   const {service, operation, idempotencyKey} = call;
   const body = JSON.stringify(call.body);
   const path = [service, 'calls', operation].map(encodeURIComponent).join('/');
   return {
     path: `/v1/services/${path}`,
     headers: remaining => ({
-      'x-deadline': durationOf(remaining),
+      'x-deadline': formatDuration(remaining),
       ...(idempotencyKey === undefined
         ? {}
         : {'idempotency-key': idempotencyKey}),
@@ -195,6 +200,6 @@
   };
 }
 
-function durationOf(duration: Milliseconds): string {
+function formatDuration(duration: Milliseconds): string {
   return `${Math.max(1, Math.floor(duration))}ms`;
 }
--- a/packages/daemon/src/caller_client/entry_list.ts
+++ b/packages/daemon/src/caller_client/entry_list.ts
@@ -7,7 +7,7 @@
   /** The entry to use: the same one until it fails or the list changes. */
   readonly current: () => Promise<string>;
   /** Goes on to another entry after `entry` failed. */
-  readonly failed: (entry: string) => void;
+  readonly markFailed: (entry: string) => void;
 }
 
 /** Options of {@link createEntryList}. */
@@ -28,33 +28,33 @@
 });
 
 /** An entry that doesn't say in this time which to use is passed over. */
-const ASK_TIMEOUT: Milliseconds = 2_000;
+const REFRESH_TIMEOUT: Milliseconds = 2_000;
 
 /** After a failed question, the old list serves this long. */
-const ASK_AGAIN_AFTER: Milliseconds = 1_000;
+const REFRESH_RETRY_DELAY: Milliseconds = 1_000;
 
 /** Keeps the system's answer to "which entry shall I use". */
 export function createEntryList(options: EntryListOptions): EntryList {
   const {exchange, now, random} = options;
   let order = shuffle(options.entries, random);
-  let goodUntil = -Infinity;
-  let asking: Promise<void> | undefined;
+  let validUntil = -Infinity;
+  let pendingRefresh: Promise<void> | undefined;
 
-  async function ask(): Promise<void> {
+  async function refresh(): Promise<void> {
     for (const entry of order) {
-      const reply = await askEntry(exchange, entry);
+      const reply = await fetchEntries(exchange, entry);
       if (reply === undefined) continue;
-      order = arrange(reply.entries, order[0]);
-      goodUntil = now() + reply.keepForMilliseconds;
+      order = sortEntries(reply.entries, order[0]);
+      validUntil = now() + reply.keepForMilliseconds;
       return;
     }
     // No entry answers. The old addresses stay in use: an entry that is being
     // stopped serves as long as callers may hold its address.
-    goodUntil = now() + ASK_AGAIN_AFTER;
+    validUntil = now() + REFRESH_RETRY_DELAY;
   }
 
   /** Own zone first, each group in random order, the entry in use kept. */
-  function arrange(
+  function sortEntries(
     entries: z.infer<typeof ENTRIES_REPLY>['entries'],
     inUse: string | undefined,
   ): readonly string[] {
@@ -71,21 +71,23 @@
 
   return {
     async current() {
-      if (now() >= goodUntil) {
-        asking ??= ask().finally(() => (asking = undefined));
-        await asking;
+      if (now() >= validUntil) {
+        pendingRefresh ??= refresh().finally(
+          () => (pendingRefresh = undefined),
+        );
+        await pendingRefresh;
       }
       const [entry] = order;
       if (entry === undefined) throw new Error('no entry is known');
       return entry;
     },
-    failed(entry) {
+    markFailed(entry) {
       order = [...order.filter(other => other !== entry), entry];
     },
   };
 }
 
-async function askEntry(
+async function fetchEntries(
   exchange: EntryExchange,
   entry: string,
 ): Promise<z.infer<typeof ENTRIES_REPLY> | undefined> {
@@ -93,7 +95,7 @@
     entry,
     method: 'GET',
     path: '/v1/entries',
-    timeout: ASK_TIMEOUT,
+    timeout: REFRESH_TIMEOUT,
   });
   if (response.kind !== 'response') return undefined;
   const body = await response.json().catch(() => undefined);
@@ -106,7 +108,7 @@
   random: () => number,
 ): readonly Item[] {
   return items
-    .map(item => ({item, place: random()}))
-    .sort((left, right) => left.place - right.place)
+    .map(item => ({item, sortKey: random()}))
+    .sort((left, right) => left.sortKey - right.sortKey)
     .map(({item}) => item);
 }
--- a/packages/daemon/src/caller_client/exchange.ts
+++ b/packages/daemon/src/caller_client/exchange.ts
@@ -40,10 +40,10 @@
 const CONNECT_TIMEOUT: Milliseconds = 2_000;
 
 /** A line or body beyond this is no answer of an entry. */
-const LONGEST_BODY = 16 * 1024 * 1024;
+const MAX_BODY_BYTES = 16 * 1024 * 1024;
 
 /** Errors before any byte of a request is sent. */
-const NOT_SENT = new Set([
+const UNSENT_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -80,7 +80,7 @@
 export function failureOf(error: unknown): ExchangeFailure {
   const detail = error instanceof Error ? error.message : String(error);
   const code = (error as {code?: unknown} | null)?.code;
-  const notSent = typeof code === 'string' && NOT_SENT.has(code);
+  const notSent = typeof code === 'string' && UNSENT_ERROR_CODES.has(code);
   return {kind: notSent ? 'notSent' : 'cut', detail};
 }
 
@@ -99,7 +99,7 @@
   let size = 0;
   for await (const part of body) {
     size += part.length;
-    if (size > LONGEST_BODY) throw new Error('the response is too long');
+    if (size > MAX_BODY_BYTES) throw new Error('the response is too long');
     parts.push(part);
   }
   return Buffer.concat(parts).toString('utf8');
@@ -109,12 +109,16 @@
   body: AsyncIterable<Uint8Array>,
 ): AsyncGenerator<string> {
   const decoder = new TextDecoder();
-  let rest = '';
+  let partialLine = '';
   for await (const part of body) {
-    const lines = (rest + decoder.decode(part, {stream: true})).split('\n');
-    rest = lines.pop() ?? '';
-    if (rest.length > LONGEST_BODY) throw new Error('a line is too long');
+    const lines = (partialLine + decoder.decode(part, {stream: true})).split(
+      '\n',
+    );
+    partialLine = lines.pop() ?? '';
+    if (partialLine.length > MAX_BODY_BYTES) {
+      throw new Error('a line is too long');
+    }
     yield* lines;
   }
-  if (rest !== '') yield rest;
+  if (partialLine !== '') yield partialLine;
 }
--- a/packages/daemon/src/caller_client/response_reading.ts
+++ b/packages/daemon/src/caller_client/response_reading.ts
@@ -5,7 +5,7 @@
 import type {CallerOutcome, GeneratedAnswer} from './types';
 
 /** What one send came to. */
-export type SendResult<Answer> =
+export type AttemptResult<Answer> =
   | Exclude<CallerOutcome<Answer>, {readonly kind: 'notRun'}>
   | {
       readonly kind: 'notRun';
@@ -39,14 +39,14 @@
   z.looseObject({kind: z.literal('outcome')}),
 ]);
 
-function unknown<Answer>(detail: string): SendResult<Answer> {
+function unknownOutcome<Answer>(detail: string): AttemptResult<Answer> {
   return {kind: 'outcomeUnknown', detail};
 }
 
 /** Reads a response other than 200. */
 export async function readRefusal<Answer>(
   response: EntryResponse,
-): Promise<SendResult<Answer>> {
+): Promise<AttemptResult<Answer>> {
   const body = await response.json().catch(() => undefined);
   const outcome = outcomeOf<Answer>(body);
   if (outcome !== undefined) return outcome;
@@ -55,15 +55,17 @@
   // Only an entry's own word makes a request rejected; 5xx from anybody else
   // on the way says nothing about whether it ran.
   if (rejection === undefined || status >= 500) {
-    return unknown(`status ${status} without an outcome`);
+    return unknownOutcome(`status ${status} without an outcome`);
   }
   return {kind: 'rejected', status, ...rejection};
 }
 
-function outcomeOf<Answer>(body: unknown): SendResult<Answer> | undefined {
+function outcomeOf<Answer>(body: unknown): AttemptResult<Answer> | undefined {
   const outcome = OUTCOME.safeParse(body).data;
   if (outcome === undefined) return undefined;
-  if (outcome.outcome === 'outcomeUnknown') return unknown(outcome.detail);
+  if (outcome.outcome === 'outcomeUnknown') {
+    return unknownOutcome(outcome.detail);
+  }
   const {reason, retryAfterMilliseconds: retryAfter} = outcome;
   return {kind: 'notRun', reason, retryAfter};
 }
@@ -71,11 +73,11 @@
 /** Reads the result of a plain service's operation. */
 export async function readResult(
   response: EntryResponse,
-): Promise<SendResult<unknown>> {
+): Promise<AttemptResult<unknown>> {
   try {
     return {kind: 'answered', answer: await response.json()};
   } catch {
-    return unknown('the answer broke off');
+    return unknownOutcome('the answer broke off');
   }
 }
 
@@ -83,7 +85,7 @@
 export async function readStream(
   response: EntryResponse,
   onToken: (text: string) => void,
-): Promise<SendResult<GeneratedAnswer>> {
+): Promise<AttemptResult<GeneratedAnswer>> {
   const hash = createHash('sha256');
   const texts: string[] = [];
   let versionDigest: string | undefined;
@@ -96,18 +98,21 @@
           break;
         case 'token':
           // A hole or a double would change what the answer says.
-          if (line.sequence !== texts.length) return unknown('a token is lost');
+          if (line.sequence !== texts.length) {
+            return unknownOutcome('a token is lost');
+          }
           texts.push(line.text);
           hash.update(line.text);
           onToken(line.text);
           break;
         case 'outcome':
-          return outcomeOf(line) ?? unknown('the answer broke off');
+          return outcomeOf(line) ?? unknownOutcome('the answer broke off');
         case 'end': {
           const digest = `sha256:${hash.digest('hex')}`;
-          const whole = line.count === texts.length && line.digest === digest;
-          if (!whole || versionDigest === undefined) {
-            return unknown('the answer does not fit its end');
+          const isComplete =
+            line.count === texts.length && line.digest === digest;
+          if (!isComplete || versionDigest === undefined) {
+            return unknownOutcome('the answer does not fit its end');
           }
           const answer = {
             text: texts.join(''),
@@ -119,8 +124,8 @@
       }
     }
   } catch (error) {
-    return unknown(`the answer broke off: ${String(error)}`);
+    return unknownOutcome(`the answer broke off: ${String(error)}`);
   }
   // A stream that closes without its end line is no answer.
-  return unknown('the answer has no end');
+  return unknownOutcome('the answer has no end');
 }
--- a/packages/daemon/src/configuration/configuration_driver.ts
+++ b/packages/daemon/src/configuration/configuration_driver.ts
@@ -23,7 +23,7 @@
 import {drive} from '../runtime/drive';
 
 /** Period in which the keeper looks for newer generations. */
-export const KEEPER_PERIOD = 250;
+export const CONFIGURATION_TICK_PERIOD = 250;
 
 /** A higher number than any generation: asks for the number alone. */
 export const GENERATION_ONLY = Number.MAX_SAFE_INTEGER;
@@ -60,11 +60,14 @@
   /** Resolves once the generation in force is known. */
   readonly start: () => Promise<void>;
   readonly current: () => AcceptedConfiguration | undefined;
-  readonly hearPeer: (peer: InstanceName, generation: Generation) => void;
+  readonly receivePeerGeneration: (
+    peer: InstanceName,
+    generation: Generation,
+  ) => void;
   /** Takes a configuration that this process has just committed. */
   readonly offerCommitted: (accepted: AcceptedConfiguration) => void;
   /** Takes that the head has come to this generation. */
-  readonly hearHead: (generation: Generation) => void;
+  readonly receiveHead: (generation: Generation) => void;
   readonly reply: (knownGeneration: Generation) => PullConfigurationReply;
   readonly tick: () => void;
   readonly dump: () => unknown;
@@ -75,21 +78,21 @@
   options: ConfigurationDriverOptions,
 ): ConfigurationDriver {
   const {clock, platform, transport, log} = options;
-  let keeper: GenerationManager | undefined;
+  let manager: GenerationManager | undefined;
 
   const readRow = async (key: string) => {
     const result = await platform.table.read(key);
     return result.ok ? result.val : undefined;
   };
 
-  const carryOut = (effects: readonly GenerationManagerEffect[]): void => {
-    for (const effect of effects) void carryOutOne(effect);
+  const applyEffects = (effects: readonly GenerationManagerEffect[]): void => {
+    for (const effect of effects) void applyEffect(effect);
   };
 
-  const carryOutOne = async (
+  const applyEffect = async (
     effect: GenerationManagerEffect,
   ): Promise<void> => {
-    if (keeper === undefined) return;
+    if (manager === undefined) return;
     switch (effect.kind) {
       case 'adopted': {
         const {generation, planId} = effect.accepted;
@@ -100,18 +103,18 @@
       case 'announceGeneration':
         return transport.announce(effect.peers);
       case 'pullConfiguration':
-        return pull(keeper, effect.peer, effect.knownGeneration);
+        return pull(manager, effect.peer, effect.knownGeneration);
       case 'readHead': {
         const row = await readRow(HEAD_KEY);
         if (row === undefined) return;
         const head = decodeHead(row);
         if (head === undefined) return log.warn('cannot read the head row');
         options.onHead(head);
-        return carryOut(keeper.receiveHead(head.generation, clock()));
+        return applyEffects(manager.receiveHead(head.generation, clock()));
       }
       case 'readBody': {
         const row = await readRow(bodyKey(effect.generation));
-        if (row !== undefined) offer(keeper, row.value, {kind: 'platform'});
+        if (row !== undefined) offer(manager, row.value, {kind: 'platform'});
         return;
       }
       default:
@@ -120,31 +123,33 @@
   };
 
   const offer = (
-    holder: GenerationManager,
+    activeManager: GenerationManager,
     value: unknown,
     source: Parameters<GenerationManager['offer']>[1],
   ): void => {
-    const offered = holder.offer(value, source, clock());
-    if (offered.ok) return carryOut(offered.val);
+    const offered = activeManager.offer(value, source, clock());
+    if (offered.ok) return applyEffects(offered.val);
     if (offered.val.kind === 'notGenuine') {
       log.warn(`refused a configuration that does not fit its digest`);
     }
   };
 
   const pull = async (
-    holder: GenerationManager,
+    activeManager: GenerationManager,
     peer: InstanceName,
     knownGeneration: Generation,
   ): Promise<void> => {
     const reply = await transport.pull(peer, knownGeneration);
     const value = reply === undefined ? undefined : parseBody(reply.body);
     if (value === undefined) {
-      return carryOut(holder.recordPullFailure(peer, clock()));
+      return applyEffects(activeManager.recordPullFailure(peer, clock()));
     }
-    offer(holder, value, {kind: 'peer', peer});
+    offer(activeManager, value, {kind: 'peer', peer});
   };
 
-  const learn = async (effect: StartEffect): Promise<StartReply> => {
+  const performStartEffect = async (
+    effect: StartEffect,
+  ): Promise<StartReply> => {
     switch (effect.kind) {
       case 'readRow':
         return {kind: 'row', result: await platform.table.read(effect.key)};
@@ -159,7 +164,7 @@
       case 'listPeers':
         return {kind: 'peers', peers: await transport.peers()};
       case 'askPeers': {
-        const answers = await Promise.all(effect.peers.map(askPeer));
+        const answers = await Promise.all(effect.peers.map(queryPeer));
         return {
           kind: 'peerAnswers',
           answers: answers.filter(answer => answer !== undefined),
@@ -175,7 +180,7 @@
     }
   };
 
-  const askPeer = async (
+  const queryPeer = async (
     peer: InstanceName,
   ): Promise<PeerAnswer | undefined> => {
     const reply = await transport.pull(peer, GENERATION_ONLY);
@@ -187,9 +192,12 @@
   return {
     start: async () => {
       const {instance} = options;
-      const start = await drive(learnGeneration({instance, digestText}), learn);
+      const start = await drive(
+        learnGeneration({instance, digestText}),
+        performStartEffect,
+      );
       const startedAt = clock();
-      keeper = createGenerationManager({
+      manager = createGenerationManager({
         instance,
         digestText,
         start,
@@ -198,33 +206,33 @@
       log.info(`starts with generation ${start.generation}`);
       options.onAdopted(start);
     },
-    current: () => keeper?.current(),
-    hearPeer: (peer, generation) => {
-      if (keeper === undefined) return;
-      carryOut(keeper.receivePeerGeneration(peer, generation, clock()));
+    current: () => manager?.current(),
+    receivePeerGeneration: (peer, generation) => {
+      if (manager === undefined) return;
+      applyEffects(manager.receivePeerGeneration(peer, generation, clock()));
     },
     offerCommitted: accepted => {
-      if (keeper !== undefined) offer(keeper, accepted, {kind: 'platform'});
+      if (manager !== undefined) offer(manager, accepted, {kind: 'platform'});
     },
-    hearHead: generation => {
-      if (keeper === undefined) return;
-      carryOut(keeper.receiveHead(generation, clock()));
+    receiveHead: generation => {
+      if (manager === undefined) return;
+      applyEffects(manager.receiveHead(generation, clock()));
     },
-    reply: knownGeneration => replyOf(keeper?.current(), knownGeneration),
+    reply: knownGeneration => createReply(manager?.current(), knownGeneration),
     tick: () => {
-      if (keeper === undefined) return;
-      const effects = keeper.tick({
+      if (manager === undefined) return;
+      const effects = manager.tick({
         now: clock(),
         peers: transport.connected(),
         liveProcesses: transport.liveProcesses(),
       });
-      carryOut(effects);
+      applyEffects(effects);
     },
-    dump: () => keeper?.dump() ?? {state: 'starting'},
+    dump: () => manager?.dump() ?? {state: 'starting'},
   };
 }
 
-function replyOf(
+function createReply(
   current: AcceptedConfiguration | undefined,
   knownGeneration: Generation,
 ): PullConfigurationReply {
--- a/packages/daemon/src/entry/answer_writer.ts
+++ b/packages/daemon/src/entry/answer_writer.ts
@@ -12,7 +12,7 @@
   /** Undefined at once, or a promise until the connection takes more. */
   readonly write: (line: AnswerLine) => Promise<void> | undefined;
   /** Ends with an outcome instead of an answer. */
-  readonly giveOutcome: (outcome: UnansweredOutcome) => void;
+  readonly endWithOutcome: (outcome: UnansweredOutcome) => void;
   readonly end: () => void;
 }
 
@@ -23,7 +23,7 @@
 
 /** Streams an answer as NDJSON; the status is sent with the first line. */
 export function createAnswerWriter(response: ServerResponse): AnswerWriter {
-  const drained = (): Promise<void> =>
+  const untilDrained = (): Promise<void> =>
     new Promise(resolve => {
       response.once('drain', resolve);
       response.once('close', resolve);
@@ -33,9 +33,9 @@
       if (!response.headersSent) response.writeHead(200, STREAM_HEADERS);
       if (response.destroyed) return undefined;
       const hasRoom = response.write(`${JSON.stringify(line)}\n`);
-      return hasRoom ? undefined : drained();
+      return hasRoom ? undefined : untilDrained();
     },
-    giveOutcome: outcome => {
+    endWithOutcome: outcome => {
       if (response.headersSent) {
         const line = {kind: 'outcome', ...bodyOf(outcome)};
         response.end(`${JSON.stringify(line)}\n`);
--- a/packages/daemon/src/entry/attempt_stream.ts
+++ b/packages/daemon/src/entry/attempt_stream.ts
@@ -8,7 +8,7 @@
 import type {Clock} from '../runtime/clock';
 
 /** Events that may wait for a slow caller before the agent is held back. */
-const HELD_EVENTS = 64;
+const MAX_BUFFERED_EVENTS = 64;
 
 /** The events of one attempt, in the order in which they came. */
 export interface AttemptStream {
@@ -27,19 +27,19 @@
   stream: ClientReadableStream<ServeFrame>,
   clock: Clock,
 ): AttemptStream {
-  const held: AttemptEvent[] = [];
-  let waiting: ((event: AttemptEvent) => void) | undefined;
+  const bufferedEvents: AttemptEvent[] = [];
+  let resolveNext: ((event: AttemptEvent) => void) | undefined;
   let ended = false;
 
   const deliver = (event: AttemptEvent): void => {
-    if (waiting !== undefined) {
-      const resolve = waiting;
-      waiting = undefined;
+    if (resolveNext !== undefined) {
+      const resolve = resolveNext;
+      resolveNext = undefined;
       resolve(event);
       return;
     }
-    held.push(event);
-    if (held.length >= HELD_EVENTS) stream.pause();
+    bufferedEvents.push(event);
+    if (bufferedEvents.length >= MAX_BUFFERED_EVENTS) stream.pause();
   };
 
   const finish = (detail: string): void => {
@@ -56,12 +56,12 @@
     new Promise(resolve => {
       const timer = setTimeout(
         () => {
-          waiting = undefined;
+          resolveNext = undefined;
           resolve({kind: 'timedOut'});
         },
         Math.max(0, until - clock()),
       );
-      waiting = event => {
+      resolveNext = event => {
         clearTimeout(timer);
         resolve(event);
       };
@@ -69,12 +69,12 @@
 
   return {
     next: until => {
-      const event = held.shift();
+      const event = bufferedEvents.shift();
       if (event === undefined) {
         if (ended) return {kind: 'cut', detail: 'the stream ended'};
         return wait(until);
       }
-      if (held.length === 0 && stream.isPaused()) stream.resume();
+      if (bufferedEvents.length === 0 && stream.isPaused()) stream.resume();
       return event;
     },
     interrupt: event => {
--- a/packages/daemon/src/entry/caller_service.ts
+++ b/packages/daemon/src/entry/caller_service.ts
@@ -24,17 +24,17 @@
 } from '@hibiscusbeam/core';
 import type {Clock} from '../runtime/clock';
 import {createDigester, digestText} from '../runtime/digests';
-import type {Tally} from '../utils/tally';
+import type {ActivityCounter} from '../utils/activity_counter';
 import type {AnswerWriter} from './answer_writer';
 import type {Dispatcher, RoutedRequest} from './dispatcher_types';
 import type {GenerateBody} from './request_parsing';
 import type {RequestRunner} from './request_runner';
 
 /** When to come back to a workspace that is closed while it moves. */
-const CLOSED_RETRY_AFTER: Milliseconds = 2_000;
+const WORKSPACE_CLOSED_RETRY_AFTER: Milliseconds = 2_000;
 
 /** When to come back to an entry that has too much in progress. */
-const FULL_RETRY_AFTER: Milliseconds = 1_000;
+const UNAVAILABLE_RETRY_AFTER: Milliseconds = 1_000;
 
 /** A caller's call of a plain service. */
 export interface ServiceCall {
@@ -80,9 +80,9 @@
   readonly dispatcher: Dispatcher;
   readonly limits: WorkspaceLimits;
   /** Most requests in progress at this entry. */
-  readonly mostInProgress: number;
+  readonly maxInProgress: number;
   /** Workspaces with requests in progress. */
-  readonly workspacesInProgress: Tally;
+  readonly workspacesInProgress: ActivityCounter;
 }
 
 /** Creates the service of one life of an entry. */
@@ -95,20 +95,28 @@
   );
 
   /** The reason to refuse before anything is dispatched, if there is one. */
-  const refusalOf = (
+  const admit = (
     workspace: WorkspaceName,
   ): RequestResult | WorkspaceConfiguration => {
     const accepted = options.configuration();
     if (accepted === undefined) {
-      return refuse(createAttempt, 'platformUnavailable', FULL_RETRY_AFTER);
+      return refuse(
+        createAttempt,
+        'platformUnavailable',
+        UNAVAILABLE_RETRY_AFTER,
+      );
     }
     const {configuration} = accepted;
     const described = lookUp(configuration.workspaces, workspace);
     if (described === undefined || !mayServe(workspace, configuration)) {
-      return refuse(createAttempt, 'workspaceClosed', CLOSED_RETRY_AFTER);
+      return refuse(
+        createAttempt,
+        'workspaceClosed',
+        WORKSPACE_CLOSED_RETRY_AFTER,
+      );
     }
-    if (runner.running() >= options.mostInProgress) {
-      return refuse(createAttempt, 'queueFull', FULL_RETRY_AFTER);
+    if (runner.running() >= options.maxInProgress) {
+      return refuse(createAttempt, 'queueFull', UNAVAILABLE_RETRY_AFTER);
     }
     const taken = limits.take(workspace, clock());
     if (taken.kind === 'limited') {
@@ -118,7 +126,7 @@
   };
 
   /** Counts a request from its admission to its final answer. */
-  const whileCounted = async <Value>(
+  const trackInProgress = async <Value>(
     workspace: WorkspaceName,
     work: () => Promise<Value>,
   ): Promise<Value> => {
@@ -133,12 +141,12 @@
   };
 
   const generate: CallerService['generate'] = (workspace, ...others) =>
-    whileCounted(workspace, () => generateAdmitted(workspace, ...others));
+    trackInProgress(workspace, () => generateAdmitted(workspace, ...others));
 
   const call: CallerService['call'] = (workspace, serviceCall) =>
-    whileCounted(workspace, () => callAdmitted(workspace, serviceCall));
+    trackInProgress(workspace, () => callAdmitted(workspace, serviceCall));
 
-  const createRepeatable = (routed: RoutedRequest) => {
+  const startRepeatableFlow = (routed: RoutedRequest) => {
     dispatcher.recordFirstTry();
     return createRepeatableFlow({
       deadline: routed.deadline,
@@ -157,7 +165,7 @@
     writer,
     callerGone,
   ) => {
-    const admitted = refusalOf(workspace);
+    const admitted = admit(workspace);
     if ('outcome' in admitted) return finish(admitted.outcome, writer);
     const {priority, weight} = admitted;
     const receivedAt = clock();
@@ -173,7 +181,7 @@
       firstTokenBy,
       deadline,
     };
-    const flow = createRepeatable(routed);
+    const flow = startRepeatableFlow(routed);
     const result = await runner.run(flow, {
       routed,
       serveWork: {
@@ -195,7 +203,7 @@
     workspace,
     serviceCall,
   ) => {
-    const admitted = refusalOf(workspace);
+    const admitted = admit(workspace);
     if ('outcome' in admitted) {
       return {outcome: admitted.outcome, content: undefined};
     }
@@ -248,7 +256,7 @@
     context: Omit<Parameters<RequestRunner['run']>[1], 'emit'>,
   ): Promise<CallResult> => {
     const parts: Uint8Array[] = [];
-    const flow = createRepeatable(context.routed);
+    const flow = startRepeatableFlow(context.routed);
     const {outcome} = await runner.run(flow, {
       ...context,
       emit: frame => {
@@ -291,7 +299,7 @@
   writer: AnswerWriter,
 ): RequestResult['outcome'] {
   if (outcome.kind === 'answered') writer.end();
-  else writer.giveOutcome(outcome);
+  else writer.endWithOutcome(outcome);
   return outcome;
 }
 
--- a/packages/daemon/src/entry/dispatcher.ts
+++ b/packages/daemon/src/entry/dispatcher.ts
@@ -18,7 +18,7 @@
   RoutedRequest,
   Reservation,
   Dispatcher,
-  Waiter,
+  QueuedRequest,
   DispatcherOptions,
 } from './dispatcher_types';
 
@@ -26,16 +26,16 @@
 const FIRST_TOKEN_GOAL: Milliseconds = 1_900;
 
 /** How often targets and attempts under way are judged. */
-const JUDGE_PERIOD: Milliseconds = 100;
+const EVALUATION_PERIOD: Milliseconds = 100;
 
 /** How often waiting requests are looked at. */
-const TURN_PERIOD: Milliseconds = 20;
+const QUEUE_CHECK_PERIOD: Milliseconds = 20;
 
 /** Weight of the newest answer in the mean number of tokens. */
-const TOKENS_WEIGHT = 0.05;
+const SAMPLE_WEIGHT = 0.05;
 
 /** Tokens of an answer until one was seen. */
-const INITIAL_TOKENS = 64;
+const INITIAL_MEAN_TOKENS = 64;
 
 const QUEUE_FULL_RETRY_AFTER: Milliseconds = 1_000;
 
@@ -46,7 +46,9 @@
   const admission = createAdmission({
     firstTokenGoal: FIRST_TOKEN_GOAL,
   });
-  const queue = createFairQueue<Waiter>({capacity: options.queueCapacity});
+  const queue = createFairQueue<QueuedRequest>({
+    capacity: options.queueCapacity,
+  });
   const retryBudget = createRetryBudget();
   const shares = createWorkspaceShares({siteUse: options.siteUse});
   const meanTokens = new Map<string, number>();
@@ -55,10 +57,13 @@
     {readonly request: RoutedRequest; readonly target: TargetName}
   >();
   /** Requests whose next try is paid for. */
-  const granted = new WeakSet<RoutedRequest>();
+  const prepaidRetries = new WeakSet<RoutedRequest>();
   let reservations = 0;
 
-  const route = ({request, effect}: Pick<Waiter, 'request' | 'effect'>) =>
+  const route = ({
+    request,
+    effect,
+  }: Pick<QueuedRequest, 'request' | 'effect'>) =>
     router.chooseTarget({
       work: withVersion(request.work, effect.versionDigest),
       prefix: promptPrefix(request.prompt),
@@ -71,7 +76,7 @@
     {workspace, precedence}: RoutedRequest,
     routed: TargetChoice,
   ): Reservation => {
-    const agent = directory.ofTarget(routed.target);
+    const agent = directory.findByTarget(routed.target);
     if (agent === undefined) return refuse('noTarget', QUEUE_FULL_RETRY_AFTER);
     // Several requests may be given a target in one turn of the loop, before
     // any of them is dispatched; without a reservation each would see the
@@ -93,14 +98,14 @@
   const choose: Dispatcher['choose'] = async (request, effect) => {
     const routed = route({request, effect});
     if (routed.err) return refuse('noTarget', routed.val.retryAfter);
-    const place = {workspace: request.workspace, ...request.precedence};
+    const queueClass = {workspace: request.workspace, ...request.precedence};
     const decision = admission.decide({
       now: clock(),
       firstTokenBy: request.firstTokenBy,
       deadline: request.deadline,
       expectedTokens: expectedTokens(request),
       choice: routed.val,
-      turnsAhead: queue.turnsAhead(place),
+      turnsAhead: queue.turnsAhead(queueClass),
       overShare: shares.isOverShare(
         request.workspace,
         request.precedence.weight,
@@ -113,17 +118,17 @@
         return refuse(decision.reason, decision.retryAfter);
       case 'queue':
         return new Promise(resolve => {
-          enqueue({request, effect, queuedAt: clock(), resolve}, place);
+          enqueue({request, effect, queuedAt: clock(), resolve}, queueClass);
         });
     }
   };
 
   const enqueue = (
-    waiter: Waiter,
-    place: Parameters<typeof queue.enqueue>[1],
+    waiter: QueuedRequest,
+    queueClass: Parameters<typeof queue.enqueue>[1],
   ): void => {
-    const enqueued = queue.enqueue(waiter, place);
-    takeTurns();
+    const enqueued = queue.enqueue(waiter, queueClass);
+    startQueueChecks();
     if (enqueued.kind === 'full') {
       waiter.resolve(refuse('queueFull', QUEUE_FULL_RETRY_AFTER));
     }
@@ -132,7 +137,7 @@
     }
   };
 
-  const giveTurns = (): void => {
+  const dispatchQueued = (): void => {
     for (;;) {
       const waiter = queue.peek();
       if (waiter === undefined) return;
@@ -149,7 +154,7 @@
     }
   };
 
-  const dropOverdue = (): void => {
+  const refuseOverdue = (): void => {
     const now = clock();
     const overdue = queue.drop(waiter => waiter.effect.until <= now);
     for (const waiter of overdue) {
@@ -159,15 +164,15 @@
 
   const expectedTokens = ({work, maximumTokens}: RoutedRequest): number => {
     if (work.kind === 'service') return 0;
-    const mean = meanTokens.get(work.model) ?? INITIAL_TOKENS;
+    const mean = meanTokens.get(work.model) ?? INITIAL_MEAN_TOKENS;
     return Math.min(maximumTokens, mean);
   };
 
   /** Another target for an attempt's request, if there is one. */
-  const findElsewhere = (attempt: AttemptId): TargetChoice | undefined => {
-    const begun = attempts.get(attempt);
-    if (begun === undefined) return undefined;
-    const {request, target} = begun;
+  const findOtherTarget = (attempt: AttemptId): TargetChoice | undefined => {
+    const startedAttempt = attempts.get(attempt);
+    if (startedAttempt === undefined) return undefined;
+    const {request, target} = startedAttempt;
     const effect = {
       exclude: [target],
       versionDigest: undefined,
@@ -177,50 +182,50 @@
     return routed.ok ? routed.val : undefined;
   };
 
-  const move = (attempt: AttemptId): void => {
+  const withdrawForRetry = (attempt: AttemptId): void => {
     const request = attempts.get(attempt)?.request;
     if (request === undefined) return;
-    granted.add(request);
+    prepaidRetries.add(request);
     attempts.delete(attempt);
     options.onRetry();
-    options.onMove(attempt);
+    options.onWithdraw(attempt);
   };
 
   /** Takes attempts back from targets that have stalled. */
-  const moveStalled = (): void => {
+  const withdrawStalled = (): void => {
     for (const {attempt} of router.stalledAttempts()) {
-      if (findElsewhere(attempt) === undefined) continue;
-      if (retryBudget.takeRetry()) move(attempt);
+      if (findOtherTarget(attempt) === undefined) continue;
+      if (retryBudget.takeRetry()) withdrawForRetry(attempt);
     }
   };
 
   /** Takes back what waits at a target while another one has a free slot. */
-  const moveOverdue = (): void => {
+  const withdrawOverdue = (): void => {
     for (const {attempt} of router.overdueAttempts(clock())) {
-      const begun = attempts.get(attempt);
-      const firstTokenBy = begun?.request.firstTokenBy ?? 0;
-      if (begun === undefined || clock() > firstTokenBy) continue;
-      if (findElsewhere(attempt)?.idle !== true) continue;
-      if (retryBudget.takeMove()) move(attempt);
+      const startedAttempt = attempts.get(attempt);
+      const firstTokenBy = startedAttempt?.request.firstTokenBy ?? 0;
+      if (startedAttempt === undefined || clock() > firstTokenBy) continue;
+      if (findOtherTarget(attempt)?.idle !== true) continue;
+      if (retryBudget.takeMove()) withdrawForRetry(attempt);
     }
   };
 
-  const stopJudging = every(JUDGE_PERIOD, () => {
+  const stopEvaluation = every(EVALUATION_PERIOD, () => {
     router.evaluate(clock());
-    moveStalled();
-    moveOverdue();
+    withdrawStalled();
+    withdrawOverdue();
   });
 
   // Only while something waits: fifty turns a second of an idle entry would be
   // a good part of its budget of processor time.
-  let stopTurns: (() => void) | undefined;
-  const takeTurns = (): void => {
-    stopTurns ??= every(TURN_PERIOD, () => {
-      dropOverdue();
-      giveTurns();
+  let stopQueueChecks: (() => void) | undefined;
+  const startQueueChecks = (): void => {
+    stopQueueChecks ??= every(QUEUE_CHECK_PERIOD, () => {
+      refuseOverdue();
+      dispatchQueued();
       if (queue.size() > 0) return;
-      stopTurns?.();
-      stopTurns = undefined;
+      stopQueueChecks?.();
+      stopQueueChecks = undefined;
     });
   };
 
@@ -228,22 +233,22 @@
     choose,
     record: event => {
       router.record(event);
-      if (!isEnd(event)) return;
+      if (!isAttemptEnd(event)) return;
       attempts.delete(event.attempt);
-      giveTurns();
+      dispatchQueued();
     },
     recordFirstToken: admission.recordFirstToken,
     recordAnswer: (work, tokens) => {
       if (work.kind === 'service') return;
-      const mean = meanTokens.get(work.model) ?? INITIAL_TOKENS;
-      meanTokens.set(work.model, mean + TOKENS_WEIGHT * (tokens - mean));
+      const mean = meanTokens.get(work.model) ?? INITIAL_MEAN_TOKENS;
+      meanTokens.set(work.model, mean + SAMPLE_WEIGHT * (tokens - mean));
     },
     recordFirstTry: retryBudget.recordFirstTry,
-    began: (attempt, request, target) =>
+    recordAttempt: (attempt, request, target) =>
       void attempts.set(attempt, {request, target}),
     spendRetry: request => {
       // Already paid for by whoever took the attempt back.
-      if (granted.delete(request)) return true;
+      if (prepaidRetries.delete(request)) return true;
       const isTaken = retryBudget.takeRetry();
       if (isTaken) options.onRetry();
       return isTaken;
@@ -251,13 +256,13 @@
     waiting: queue.size,
     dump: () => router.dump(clock()),
     close: () => {
-      stopJudging();
-      stopTurns?.();
+      stopEvaluation();
+      stopQueueChecks?.();
     },
   };
 }
 
-function isEnd(
+function isAttemptEnd(
   event: RoutingEvent,
 ): event is Extract<
   RoutingEvent,
--- a/packages/daemon/src/entry/dispatcher_types.ts
+++ b/packages/daemon/src/entry/dispatcher_types.ts
@@ -53,7 +53,7 @@
   /** Whether the request may be tried once more. */
   readonly spendRetry: (request: RoutedRequest) => boolean;
   /** Says which request an attempt at a target is for, until it ends. */
-  readonly began: (
+  readonly recordAttempt: (
     attempt: AttemptId,
     request: RoutedRequest,
     target: TargetName,
@@ -63,7 +63,7 @@
   readonly close: () => void;
 }
 
-export interface Waiter {
+export interface QueuedRequest {
   readonly request: RoutedRequest;
   readonly effect: Pick<
     ChooseTargetEffect,
@@ -82,6 +82,6 @@
   /** Requests per second that a workspace sends to the whole site. */
   readonly siteUse: (workspace: WorkspaceName) => number;
   /** Told of attempts that should be given up, as another target is better. */
-  readonly onMove: (attempt: AttemptId) => void;
+  readonly onWithdraw: (attempt: AttemptId) => void;
   readonly onRetry: () => void;
 }
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -9,21 +9,24 @@
 import type {WorkspaceUse} from '@hibiscusbeam/wire';
 import {createLog} from '../logs';
 import {measurePlatform} from '../platform_access/measured_platform';
-import {openMetrics, sendGauges} from '../process/process_metrics';
+import {createProcessMetrics, sendGauges} from '../process/process_metrics';
 import {startProcess} from '../process/running_process';
 import {every, monotonicClock, sleep} from '../runtime/clock';
 import {readKnownTargets} from '../site/agent_descriptions';
 import {createSiteNode, type SiteNode} from '../site/site_node';
 import type {RunningProcess} from '../types/process';
-import {createOlderSystemClient, startOwnershipTeller} from '../older_system';
+import {
+  createOlderSystemClient,
+  startOwnershipAnnouncer,
+} from '../older_system';
 import type {EntrySettings} from '../types/settings';
 import {formatAddress} from '../utils/address';
-import {createTally} from '../utils/tally';
+import {createActivityCounter} from '../utils/activity_counter';
 import {createCallerService} from './caller_service';
 import {measureCallers} from './measured_callers';
 import {createDispatcher} from './dispatcher';
 import {createGroupCommitDriver} from './group_commit_driver';
-import {createHttpFace, type EntryAddress} from './http_face';
+import {createHttpServer, type EntryAddress} from './http_server';
 import {createMoveDriver} from './move_driver';
 import {createPlanService} from './plan_service';
 import {createProcessSurvey} from './process_survey';
@@ -34,22 +37,22 @@
 import {createTargetDirectory} from './target_directory';
 
 /** Addresses in one answer to "which entry shall I use". */
-const MOST_ADDRESSES = 8;
+const MAX_ADDRESSES = 8;
 
 /** How long a planned stop waits for requests in progress. */
-const LONGEST_DRAIN = 120_000;
+const MAX_DRAIN_TIME = 120_000;
 
 /**
  * How long others may name a stopping entry to callers: one that has not heard
  * its word by then has lost the session and names it no more.
  */
-const STILL_NAMED_FOR = SUSPECT_AFTER;
+const MAX_STALE_LISTING_TIME = SUSPECT_AFTER;
 
 /** Pause between looks at what still runs while stopping. */
-const DRAIN_PERIOD = 50;
+const DRAIN_CHECK_PERIOD = 50;
 
 /** Our share of the origin's link and an instance's link, for estimates. */
-const RATES = {originRate: 125_000_000, instanceRate: 1_250_000_000};
+const ESTIMATED_RATES = {originRate: 125_000_000, instanceRate: 1_250_000_000};
 
 /** Starts an entry. */
 export function startEntry(settings: EntrySettings): Promise<RunningProcess> {
@@ -65,7 +68,7 @@
     part: 'process',
     secrets: [settings.siteKey],
   });
-  const metrics = openMetrics(settings, 'entry', processLog);
+  const metrics = createProcessMetrics(settings, 'entry', processLog);
   const platform = measurePlatform(
     createHttpPlatform({url, timeout}),
     metrics,
@@ -81,7 +84,7 @@
   let stopPublishing = (): void => undefined;
   let stopGauges = (): void => undefined;
   const chooseSessions = createSessionChooser();
-  const workspacesInProgress = createTally();
+  const workspacesInProgress = createActivityCounter();
   const olderSystem =
     settings.olderSystem === undefined
       ? undefined
@@ -102,7 +105,7 @@
         busyTargets: [],
         busyWorkspaces: workspacesInProgress.names(),
       }),
-      onHead: head => moves.hearHead(head),
+      onHead: head => moves.receiveHead(head),
       workspaceUses: () => uses,
       onWorkspaceUses: (peer, published) =>
         limits.receive(
@@ -121,11 +124,11 @@
         routing: dispatcher.dump(),
         moves: moves.dump(),
       }),
-      onAdopted: accepted => followConfiguration(accepted),
-      onPeerOpened: peer => feed.meet(peer),
-      onPeerClosed: peer => feed.lose(peer),
-      onTargetReport: (peer, report) => feed.hear(peer, report),
-      onTick: () => followSite(),
+      onAdopted: accepted => applyWorkspaceLimits(accepted),
+      onPeerOpened: peer => feed.addPeer(peer),
+      onPeerClosed: peer => feed.removePeer(peer),
+      onTargetReport: (peer, report) => feed.receiveReport(peer, report),
+      onTick: () => refreshSessions(),
     },
   });
 
@@ -151,7 +154,7 @@
     directory,
     queueCapacity: settings.limits.waiting,
     siteUse: limits.siteUse,
-    onMove: runner.takeBack,
+    onWithdraw: runner.withdraw,
     onRetry: () => metrics.count('requests.retried', {}),
   });
   const feed = createTargetFeed({
@@ -172,7 +175,7 @@
       dispatcher,
       limits,
       workspacesInProgress,
-      mostInProgress: settings.limits.waiting * IN_PROGRESS_PER_WAITING,
+      maxInProgress: settings.limits.waiting * IN_PROGRESS_PER_WAITING,
     }),
     metrics,
     clock,
@@ -191,7 +194,7 @@
     clock,
     survey,
     rank: rankFor,
-    onOpened: node.configuration.hearHead,
+    onOpened: node.configuration.receiveHead,
     log: node.log('configuration'),
   });
   const plans = createPlanService({
@@ -200,13 +203,13 @@
     current: node.configuration.current,
     knownTargets: async () =>
       readKnownTargets(platform.table, await node.refreshList()),
-    rates: RATES,
-    askGenerations: node.askGenerations,
+    rates: ESTIMATED_RATES,
+    requestGenerations: node.requestGenerations,
     survey,
     onCommitted: accepted => node.configuration.offerCommitted(accepted),
     onMoveConfirmed: moves.begin,
   });
-  const face = createHttpFace({
+  const httpServer = createHttpServer({
     settings,
     callers,
     plans,
@@ -221,7 +224,7 @@
     onRefused: reason => metrics.count('callers.refused', {reason}),
   });
 
-  const followConfiguration = ({
+  const applyWorkspaceLimits = ({
     configuration,
   }: AcceptedConfiguration): void => {
     for (const [name, described] of Object.entries(configuration.workspaces)) {
@@ -229,9 +232,9 @@
     }
   };
 
-  const followSite = (): void => {
-    feed.dropGone();
-    node.sessions.keep(new Set(wantedSessions()));
+  const refreshSessions = (): void => {
+    feed.removeGoneTargets();
+    node.sessions.setAddresses(new Set(wantedSessions()));
   };
 
   const wantedSessions = (): readonly string[] =>
@@ -260,13 +263,13 @@
     const byAddress = new Map(
       [...own, ...others].map(entry => [entry.address, entry]),
     );
-    return [...byAddress.values()].slice(0, MOST_ADDRESSES);
+    return [...byAddress.values()].slice(0, MAX_ADDRESSES);
   };
 
-  let stopTelling = (): void => undefined;
+  let stopOwnershipReports = (): void => undefined;
   const start = async (): Promise<void> => {
     await node.start();
-    await face.listen(settings.callerAddress);
+    await httpServer.listen(settings.callerAddress);
     stopPublishing = every(HEARTBEAT_PERIOD, () => {
       uses = [...limits.publish(clock()).use].map(
         ([workspace, requestsPerSecond]) => ({workspace, requestsPerSecond}),
@@ -275,39 +278,39 @@
     stopGauges = sendGauges(metrics, {
       generation: () => node.configuration.current()?.generation ?? 0,
       members: node.membership.members,
-      sendMore: () => {
+      sendRoleGauges: () => {
         metrics.gauge('requests.waiting', {}, dispatcher.waiting());
         metrics.gauge('claims.in_flight', {}, groupCommit.pending());
       },
     });
     if (olderSystem !== undefined) {
-      stopTelling = startOwnershipTeller({
+      stopOwnershipReports = startOwnershipAnnouncer({
         olderSystem,
         current: node.configuration.current,
         rank: () => rankFor('older-system'),
         log: node.log('configuration'),
       }).stop;
     }
-    followSite();
+    refreshSessions();
     processLog.info(`serves callers at ${callerAddress}`);
   };
 
   const stop = async (): Promise<void> => {
     leaving = true;
     processLog.info('leaves the list of addresses');
-    node.sessions.beat();
+    node.sessions.sendHeartbeats();
     // Callers may keep the old answer so long; until then this entry serves
     // whoever comes, or they would meet a refused connection. Another entry
     // that hears of the stop late gives the address out for a while longer.
-    await sleep(settings.addressesKeptFor + STILL_NAMED_FOR);
-    const deadline = clock() + LONGEST_DRAIN;
+    await sleep(settings.addressesKeptFor + MAX_STALE_LISTING_TIME);
+    const deadline = clock() + MAX_DRAIN_TIME;
     while (runner.running() > 0 && clock() < deadline) {
-      await sleep(DRAIN_PERIOD);
+      await sleep(DRAIN_CHECK_PERIOD);
     }
-    await face.close();
+    await httpServer.close();
     stopPublishing();
     stopGauges();
-    stopTelling();
+    stopOwnershipReports();
     moves.stop();
     dispatcher.close();
     await node.stop('planned stop');
--- a/packages/daemon/src/entry/group_commit_driver.ts
+++ b/packages/daemon/src/entry/group_commit_driver.ts
@@ -9,16 +9,16 @@
 import type {Clock} from '../runtime/clock';
 
 /** The table allows at most so many rows in one transaction. */
-const MAXIMUM_ROWS = 100;
+const MAX_ROWS = 100;
 
 /**
  * How long a claim waits for company. At 1,900 requests a second over 390
  * entries few claims meet; the wait is kept short against the first token.
  */
-const WINDOW_MILLISECONDS = 3;
+const BATCH_WINDOW_MS = 3;
 
 /** Batches on their way at once; more claims wait and share a batch. */
-const MAXIMUM_IN_FLIGHT = 4;
+const MAX_IN_FLIGHT = 4;
 
 /** Commits small transactions, several as one write of the table. */
 export interface GroupCommitDriver {
@@ -36,11 +36,11 @@
   onBatch: (size: number) => void,
 ): GroupCommitDriver {
   const group = createGroupCommit({
-    maximumRows: MAXIMUM_ROWS,
-    window: WINDOW_MILLISECONDS,
-    maximumInFlight: MAXIMUM_IN_FLIGHT,
+    maximumRows: MAX_ROWS,
+    window: BATCH_WINDOW_MS,
+    maximumInFlight: MAX_IN_FLIGHT,
   });
-  const waiting = new Map<
+  const pendingCommits = new Map<
     number,
     (result: Result<CommitOutcome, PlatformError>) => void
   >();
@@ -53,14 +53,14 @@
   ): Promise<void> => {
     const result = await table.commit(transaction);
     for (const settled of group.settle(batch, result)) {
-      const resolve = waiting.get(settled.member);
-      waiting.delete(settled.member);
+      const resolve = pendingCommits.get(settled.member);
+      pendingCommits.delete(settled.member);
       resolve?.(settled.result);
     }
-    pump();
+    commitDue();
   };
 
-  const pump = (): void => {
+  const commitDue = (): void => {
     for (const {batch, transaction} of group.takeDue(clock())) {
       onBatch(transaction.writes.length);
       void send(batch, transaction);
@@ -75,7 +75,7 @@
     timer = setTimeout(
       () => {
         timer = undefined;
-        pump();
+        commitDue();
       },
       Math.max(0, due - clock()),
     );
@@ -85,10 +85,10 @@
     commit: transaction =>
       new Promise(resolve => {
         memberCount += 1;
-        waiting.set(memberCount, resolve);
+        pendingCommits.set(memberCount, resolve);
         group.submit(memberCount, transaction, clock());
         schedule();
       }),
-    pending: () => waiting.size,
+    pending: () => pendingCommits.size,
   };
 }
--- a/packages/daemon/src/entry/http_access.ts
+++ b/packages/daemon/src/entry/http_access.ts
@@ -1,6 +1,6 @@
 import type {FastifyReply, FastifyRequest} from 'fastify';
 import type {WorkspaceName} from '@hibiscusbeam/core';
-import {bearerKey, nameOfKey} from '../runtime/keys';
+import {bearerKey, findKeyName} from '../runtime/keys';
 import type {EntrySettings, HashedKey} from '../types/settings';
 import type {HttpRefusal} from './http_errors';
 
@@ -33,7 +33,7 @@
     check: (request, reply) => {
       const key = bearerKey(request.headers.authorization);
       const refusal = key === undefined ? 'noKey' : 'wrongKey';
-      const name = nameOfKey(keys, key);
+      const name = findKeyName(keys, key);
       if (name === undefined) {
         return Promise.resolve(refuse(request, reply, {kind: refusal}));
       }
--- a/packages/daemon/src/entry/http_face.ts
+++ b/packages/daemon/src/entry/http_server.ts
@@ -20,7 +20,7 @@
 } from './request_parsing';
 
 /** Connections of callers held at once. */
-const MOST_CONNECTIONS = 4_096;
+const MAX_CONNECTIONS = 4_096;
 
 /** A caller that sends its request slower than this is cut. */
 const REQUEST_TIMEOUT = 30_000;
@@ -33,7 +33,7 @@
 }
 
 /** What the face shows and asks. */
-export interface HttpFaceOptions {
+export interface HttpServerOptions {
   readonly settings: EntrySettings;
   readonly callers: CallerService;
   readonly plans: PlanService;
@@ -44,7 +44,7 @@
 }
 
 /** Builds the HTTP face for callers and operators. */
-export function createHttpFace(options: HttpFaceOptions): FastifyInstance {
+export function createHttpServer(options: HttpServerOptions): FastifyInstance {
   const {settings, log} = options;
   const server = fastify({
     bodyLimit: settings.limits.requestBody,
@@ -52,8 +52,8 @@
     forceCloseConnections: false,
     logger: false,
   });
-  server.server.maxConnections = MOST_CONNECTIONS;
-  readBodies(server, settings.limits.jsonDepth);
+  server.server.maxConnections = MAX_CONNECTIONS;
+  addBodyParsers(server, settings.limits.jsonDepth);
   server.setErrorHandler((error, _request, reply) => {
     const {statusCode, code, message} = error as Error & {
       statusCode?: number;
@@ -82,7 +82,7 @@
 }
 
 /** Bodies are read as text first, so that their depth is checked. */
-function readBodies(server: FastifyInstance, depth: number): void {
+function addBodyParsers(server: FastifyInstance, depth: number): void {
   server.removeAllContentTypeParsers();
   server.addContentTypeParser(
     'application/json',
@@ -114,18 +114,18 @@
   detail: 'send the call as JSON',
 };
 
-interface ReadBody {
+interface ParsedBody {
   readonly text: string;
   readonly value: unknown;
 }
 
-function bodyOf(request: FastifyRequest): ReadBody {
-  const body = request.body as ReadBody | undefined;
+function bodyOf(request: FastifyRequest): ParsedBody {
+  const body = request.body as ParsedBody | undefined;
   return body ?? {text: '', value: undefined};
 }
 
 function refuse(
-  options: HttpFaceOptions,
+  options: HttpServerOptions,
   request: FastifyRequest,
   reply: FastifyReply,
   refusal: HttpRefusal,
@@ -148,7 +148,7 @@
 
 function addCallerRoutes(
   server: FastifyInstance,
-  options: HttpFaceOptions,
+  options: HttpServerOptions,
 ): void {
   const {settings, callers} = options;
   const access = createCallerAccess(settings, (request, reply, refusal) =>
@@ -172,15 +172,15 @@
         settings.limits.longestDeadline,
       );
       if (body.err) return refuse(options, request, reply, body.val);
-      const gone = new AbortController();
+      const callerGone = new AbortController();
       reply.hijack();
-      reply.raw.once('close', () => gone.abort());
+      reply.raw.once('close', () => callerGone.abort());
       await callers.generate(
         access.nameOf(request),
         request.params.model,
         body.val,
         createAnswerWriter(reply.raw),
-        gone.signal,
+        callerGone.signal,
       );
       return reply;
     },
@@ -230,7 +230,7 @@
 
 function addOperatorRoutes(
   server: FastifyInstance,
-  options: HttpFaceOptions,
+  options: HttpServerOptions,
 ): void {
   const {settings, plans} = options;
   const access = createOperatorAccess(settings, (request, reply, refusal) =>
--- a/packages/daemon/src/entry/measured_callers.ts
+++ b/packages/daemon/src/entry/measured_callers.ts
@@ -12,9 +12,13 @@
   const count = (
     workspace: string,
     outcome: RequestOutcome,
-    begun: number,
+    startedAt: number,
   ): void => {
-    metrics.time('requests.duration', {outcome: outcome.kind}, clock() - begun);
+    metrics.time(
+      'requests.duration',
+      {outcome: outcome.kind},
+      clock() - startedAt,
+    );
     switch (outcome.kind) {
       case 'answered':
         return metrics.count('requests.answered', {workspace});
@@ -30,17 +34,17 @@
   };
   return {
     generate: async (workspace, ...rest) => {
-      const begun = clock();
+      const startedAt = clock();
       metrics.count('requests.received', {workspace});
       const outcome = await callers.generate(workspace, ...rest);
-      count(workspace, outcome, begun);
+      count(workspace, outcome, startedAt);
       return outcome;
     },
     call: async (workspace, serviceCall) => {
-      const begun = clock();
+      const startedAt = clock();
       metrics.count('requests.received', {workspace});
       const result = await callers.call(workspace, serviceCall);
-      count(workspace, result.outcome, begun);
+      count(workspace, result.outcome, startedAt);
       return result;
     },
     needsKey: callers.needsKey,
--- a/packages/daemon/src/entry/move_driver.ts
+++ b/packages/daemon/src/entry/move_driver.ts
@@ -17,21 +17,21 @@
 import type {ProcessSurvey} from './process_survey';
 
 /** Period in which an entry looks for moves to carry on. */
-const LOOK_PERIOD: Milliseconds = 500;
+const CHECK_PERIOD: Milliseconds = 500;
 
 /** An entry of the next rank takes an open move over after so much longer. */
-const TAKE_OVER_AFTER: Milliseconds = 5_000;
+const TAKEOVER_DELAY: Milliseconds = 5_000;
 
 /** Entries that carry one move at once; the next ones come up as others die. */
-const MOST_CARRIERS = 3;
+const MAX_DRIVERS_PER_MOVE = 3;
 
 /** Processes asked per second while a move waits, on a site of hundreds. */
-const ASKED_PER_SECOND = 200;
+const MAX_QUERIES_PER_SECOND = 200;
 
 /** Carries open moves to their end. */
 export interface MoveDriver {
   /** Takes which moves the head names as open. */
-  readonly hearHead: (head: HeadRow) => void;
+  readonly receiveHead: (head: HeadRow) => void;
   /** Begins at once; for the entry that has confirmed the plan. */
   readonly begin: (moveId: PlanId) => void;
   readonly dump: () => unknown;
@@ -54,7 +54,7 @@
   carried: boolean;
   awaited: readonly AwaitedProcess[];
   /** Processes that the last survey asked. */
-  asked: number;
+  queriedProcesses: number;
 }
 
 /**
@@ -66,20 +66,20 @@
   const open = new Map<PlanId, OpenMove>();
   const stopping = new AbortController();
 
-  const note = (moveId: PlanId): OpenMove => {
+  const trackMove = (moveId: PlanId): OpenMove => {
     const known = open.get(moveId);
     if (known !== undefined) return known;
-    const noted: OpenMove = {
+    const tracked: OpenMove = {
       seenAt: clock(),
       carried: false,
       awaited: [],
-      asked: 0,
+      queriedProcesses: 0,
     };
-    open.set(moveId, noted);
-    return noted;
+    open.set(moveId, tracked);
+    return tracked;
   };
 
-  const carry = async (moveId: PlanId, move: OpenMove): Promise<void> => {
+  const driveMove = async (moveId: PlanId, move: OpenMove): Promise<void> => {
     if (move.carried) return;
     move.carried = true;
     log.info(`carries the move ${moveId} on`);
@@ -120,12 +120,12 @@
         return {kind: 'waited'};
       case 'readProcesses': {
         const reports = await options.survey();
-        move.asked = reports.length;
+        move.queriedProcesses = reports.length;
         return {kind: 'processes', reports};
       }
       case 'awaitProcesses': {
-        noteAwaited(moveId, move, effect.processes);
-        const spread = (move.asked / ASKED_PER_SECOND) * 1_000;
+        recordAwaited(moveId, move, effect.processes);
+        const spread = (move.queriedProcesses / MAX_QUERIES_PER_SECOND) * 1_000;
         await sleep(Math.max(effect.duration, spread), stopping.signal);
         return {kind: 'waited'};
       }
@@ -134,7 +134,7 @@
     }
   };
 
-  const noteAwaited = (
+  const recordAwaited = (
     moveId: PlanId,
     move: OpenMove,
     awaited: readonly AwaitedProcess[],
@@ -142,43 +142,43 @@
     const changed = JSON.stringify(awaited) !== JSON.stringify(move.awaited);
     move.awaited = awaited;
     if (!changed) return;
-    const named = awaited.slice(0, MOST_NAMED);
+    const named = awaited.slice(0, MAX_LISTED_PROCESSES);
     log.info(`the move ${moveId} waits`, {count: awaited.length, named});
   };
 
-  const look = (): void => {
+  const check = (): void => {
     for (const [moveId, move] of open) {
       if (move.carried) continue;
       const rank = options.rank(moveId);
-      if (rank >= MOST_CARRIERS) continue;
-      if (clock() - move.seenAt < rank * TAKE_OVER_AFTER) continue;
-      void carry(moveId, move);
+      if (rank >= MAX_DRIVERS_PER_MOVE) continue;
+      if (clock() - move.seenAt < rank * TAKEOVER_DELAY) continue;
+      void driveMove(moveId, move);
     }
   };
-  const stopLooking = every(LOOK_PERIOD, look);
+  const stopChecks = every(CHECK_PERIOD, check);
 
   return {
-    hearHead: head => {
-      for (const moveId of head.moves) note(moveId);
+    receiveHead: head => {
+      for (const moveId of head.moves) trackMove(moveId);
       const stillOpen = new Set(head.moves);
       for (const [moveId, move] of open) {
         // One that is carried learns its end from its own row.
         if (!stillOpen.has(moveId) && !move.carried) open.delete(moveId);
       }
     },
-    begin: moveId => void carry(moveId, note(moveId)),
+    begin: moveId => void driveMove(moveId, trackMove(moveId)),
     dump: () =>
       [...open].map(([moveId, {carried, awaited}]) => ({
         moveId,
         carried,
-        awaited: awaited.slice(0, MOST_NAMED),
+        awaited: awaited.slice(0, MAX_LISTED_PROCESSES),
       })),
     stop: () => {
       stopping.abort();
-      stopLooking();
+      stopChecks();
     },
   };
 }
 
 /** Processes named in one log line or dump. */
-const MOST_NAMED = 20;
+const MAX_LISTED_PROCESSES = 20;
--- a/packages/daemon/src/entry/plan_refusals.ts
+++ b/packages/daemon/src/entry/plan_refusals.ts
@@ -9,7 +9,7 @@
 }
 
 /** Seconds after which an operator should ask a starting entry again. */
-const STARTING_RETRY_AFTER = '1';
+const STARTING_RETRY_AFTER_SECONDS = '1';
 
 /** Status and body for an operator's request that was not carried out. */
 export function planRefusalResponse(refusal: PlanRefusal): RefusalResponse {
@@ -37,7 +37,7 @@
     case 'starting':
       return {
         status: 503,
-        headers: {'retry-after': STARTING_RETRY_AFTER},
+        headers: {'retry-after': STARTING_RETRY_AFTER_SECONDS},
         body: {error: 'starting', detail: 'this entry is starting; ask again'},
       };
     case 'notCommitted':
@@ -45,7 +45,7 @@
     case 'platform':
       return {
         status: 503,
-        headers: {'retry-after': STARTING_RETRY_AFTER},
+        headers: {'retry-after': STARTING_RETRY_AFTER_SECONDS},
         body: {
           error: 'platformUnavailable',
           detail: 'the platform does not answer; nothing has changed',
--- a/packages/daemon/src/entry/plan_service.ts
+++ b/packages/daemon/src/entry/plan_service.ts
@@ -36,22 +36,22 @@
 import {runTableFlow} from '../runtime/table_flow';
 import type {
   PlanRefusal,
-  ShownMove,
+  MoveView,
   PlanService,
   PlanServiceOptions,
 } from './plan_service_types';
 
 /** Plans that a list shows at most. */
-const MOST_LISTED = 200;
+const MAX_LISTED_PLANS = 200;
 
 /** Plans looked at in one round of trimming. */
-const MOST_TRIMMED = 500;
+const MAX_TRIMMED_PLANS = 500;
 
 /** Plans are trimmed once in so many generations. */
 const GENERATIONS_PER_TRIM = 16;
 
 /** Moves looked at when planning; more are never open at once. */
-const MOST_MOVES = 1_000;
+const MAX_MOVES = 1_000;
 
 /** Creates the service over the platform's table. */
 export function createPlanService(options: PlanServiceOptions): PlanService {
@@ -61,7 +61,7 @@
   const plan: PlanService['plan'] = async (text, operator) => {
     const current = options.current();
     if (current === undefined) return Err({kind: 'starting'});
-    const base = await newestOf(current);
+    const base = await readNewest(current);
     const intent = readIntent(text);
     if (intent.err) return intent;
     const facts = await gatherFacts(intent.val);
@@ -84,7 +84,7 @@
    * that has just committed: a plan on what it knows would be refused with
    * reasons that no longer hold, or be overtaken once confirmed.
    */
-  const newestOf = async (
+  const readNewest = async (
     current: AcceptedConfiguration,
   ): Promise<AcceptedConfiguration> => {
     const row = await table.read(HEAD_KEY);
@@ -158,7 +158,7 @@
       digestText,
     );
     if (checked.err) {
-      const detail = JSON.stringify(checked.val).slice(0, LONGEST_DETAIL);
+      const detail = JSON.stringify(checked.val).slice(0, MAX_DETAIL_LENGTH);
       return Ok({kind: 'badManifest', model, version, detail});
     }
     const {manifest, versionDigest} = checked.val;
@@ -170,7 +170,7 @@
   const readMoves = async (): Promise<
     Result<readonly PlannedMove[], PlanRefusal>
   > => {
-    const rows = await table.scan(MOVE_PREFIX, MOST_MOVES);
+    const rows = await table.scan(MOVE_PREFIX, MAX_MOVES);
     if (rows.err) return Err({kind: 'platform', error: rows.val});
     const moves = rows.val.map(decodeMoveRow);
     return Ok(
@@ -207,7 +207,7 @@
    * and a list would not show the newest. Failures are left to the next time.
    */
   const trim = async (head: Generation): Promise<void> => {
-    const rows = await table.scan(PLAN_PREFIX, MOST_TRIMMED);
+    const rows = await table.scan(PLAN_PREFIX, MAX_TRIMMED_PLANS);
     if (rows.err) return;
     for (const transaction of trimPlans(rows.val, head)) {
       await table.commit(transaction);
@@ -223,9 +223,12 @@
       return Err({kind: 'notCommitted', fault});
     }
     if (stored.state.kind !== 'confirmed') return Ok(stored);
-    const processes = await options.askGenerations();
-    const followed = getGenerationStatus(stored.state.generation, processes);
-    const {isInForce, lagging} = followed;
+    const processes = await options.requestGenerations();
+    const generationStatus = getGenerationStatus(
+      stored.state.generation,
+      processes,
+    );
+    const {isInForce, lagging} = generationStatus;
     const shown = {...stored, inForce: isInForce, lagging};
     if (stored.plan.move === undefined) return Ok(shown);
     const move = await showMove(planId);
@@ -235,7 +238,7 @@
 
   const showMove = async (
     planId: PlanId,
-  ): Promise<Result<ShownMove | undefined, PlanRefusal>> => {
+  ): Promise<Result<MoveView | undefined, PlanRefusal>> => {
     const row = await table.read(moveKey(planId));
     if (row.err) return Err({kind: 'platform', error: row.val});
     const move = row.val === undefined ? undefined : decodeMoveRow(row.val);
@@ -248,7 +251,7 @@
   };
 
   const list: PlanService['list'] = async () => {
-    const rows = await table.scan(PLAN_PREFIX, MOST_LISTED);
+    const rows = await table.scan(PLAN_PREFIX, MAX_LISTED_PLANS);
     if (rows.err) return Err({kind: 'platform', error: rows.val});
     const plans = rows.val.map(decodePlanRow);
     return Ok(
@@ -268,7 +271,7 @@
 }
 
 /** Characters of a manifest's faults shown to an operator. */
-const LONGEST_DETAIL = 1_000;
+const MAX_DETAIL_LENGTH = 1_000;
 
 function newPlanId(): PlanId {
   return `plan-${randomBytes(6).toString('hex')}`;
--- a/packages/daemon/src/entry/plan_service_types.ts
+++ b/packages/daemon/src/entry/plan_service_types.ts
@@ -33,15 +33,15 @@
   | {readonly kind: 'platform'; readonly error: PlatformError};
 
 /** A plan as shown, with the processes that are not yet at it. */
-export interface ShownPlan extends PlanRow {
+export interface PlanView extends PlanRow {
   readonly inForce?: boolean;
   readonly lagging?: readonly ProcessGeneration[];
   /** Present if the plan moves targets or workspaces. */
-  readonly move?: ShownMove;
+  readonly move?: MoveView;
 }
 
 /** How far a confirmed move has come. */
-export interface ShownMove {
+export interface MoveView {
   readonly state: MoveRow['state'];
   /** Generation in which both sides are closed. */
   readonly closedAt: number;
@@ -65,7 +65,7 @@
       PlanRefusal
     >
   >;
-  readonly show: (planId: PlanId) => Promise<Result<ShownPlan, PlanRefusal>>;
+  readonly show: (planId: PlanId) => Promise<Result<PlanView, PlanRefusal>>;
   readonly list: () => Promise<Result<readonly PlanRow[], PlanRefusal>>;
   readonly abandon: (planId: PlanId) => Promise<Result<PlanId, PlanRefusal>>;
 }
@@ -79,7 +79,7 @@
     Result<readonly KnownTarget[], PlatformError>
   >;
   readonly rates: Pick<PlanFacts, 'originRate' | 'instanceRate'>;
-  readonly askGenerations: () => Promise<readonly ProcessGeneration[]>;
+  readonly requestGenerations: () => Promise<readonly ProcessGeneration[]>;
   readonly survey: ProcessSurvey;
   readonly onCommitted: (accepted: AcceptedConfiguration) => void;
   readonly onMoveConfirmed: (moveId: PlanId) => void;
--- a/packages/daemon/src/entry/process_survey.ts
+++ b/packages/daemon/src/entry/process_survey.ts
@@ -1,14 +1,14 @@
 import type {InstanceName, ProcessReport} from '@hibiscusbeam/core';
 import type {ReportActivityReply} from '@hibiscusbeam/wire';
 import type {OlderSystemClient} from '../older_system';
-import type {Acquaintance} from '../site/acquaintances';
+import type {ProcessAddress} from '../site/known_processes';
 import type {SiteNode} from '../site/site_node';
 
 /** Rounds of asking those that were named by the ones asked before. */
-const MOST_ROUNDS = 4;
+const MAX_ROUNDS = 4;
 
 /** Processes asked at once; a site has several hundred. */
-const ASKED_AT_ONCE = 64;
+const MAX_CONCURRENT_QUERIES = 64;
 
 /** Name of the older system in reports. */
 const OLDER_SYSTEM = 'older-system';
@@ -29,29 +29,32 @@
 ): ProcessSurvey {
   const {instance, node, olderSystem} = options;
 
-  const startingPoints = (): readonly Acquaintance[] => [
+  const initialProcesses = (): readonly ProcessAddress[] => [
     ...node.listed(),
     ...node.sessions.peers(),
-    ...node.acquaintances.all(),
+    ...node.knownProcesses.all(),
   ];
 
-  const askOurs = async (): Promise<readonly ProcessReport[]> => {
+  const queryOwnSystem = async (): Promise<readonly ProcessReport[]> => {
     const own = node.ownActivity();
     const reports = new Map<InstanceName, ProcessReport>();
     reports.set(instance, reportOf(instance, own));
-    let named: readonly Acquaintance[] = [...startingPoints(), ...own.heardOf];
-    for (let round = 0; round < MOST_ROUNDS; round += 1) {
-      const open = new Map<InstanceName, string>();
+    let named: readonly ProcessAddress[] = [
+      ...initialProcesses(),
+      ...own.heardOf,
+    ];
+    for (let round = 0; round < MAX_ROUNDS; round += 1) {
+      const unqueried = new Map<InstanceName, string>();
       for (const {instance: name, address} of named) {
-        if (!reports.has(name)) open.set(name, address);
+        if (!reports.has(name)) unqueried.set(name, address);
       }
-      if (open.size === 0) break;
-      const replies = await askAll([...open]);
+      if (unqueried.size === 0) break;
+      const replies = await queryAll([...unqueried]);
       named = [];
       for (const [name, reply] of replies) {
         reports.set(
           name,
-          reply === undefined ? out(name) : reportOf(name, reply),
+          reply === undefined ? reportOfSilent(name) : reportOf(name, reply),
         );
         named = [...named, ...(reply?.heardOf ?? [])];
       }
@@ -59,15 +62,19 @@
     return [...reports.values()];
   };
 
-  const askAll = async (
+  const queryAll = async (
     processes: readonly (readonly [InstanceName, string])[],
   ) => {
     const replies: [InstanceName, ReportActivityReply | undefined][] = [];
-    for (let from = 0; from < processes.length; from += ASKED_AT_ONCE) {
-      const batch = processes.slice(from, from + ASKED_AT_ONCE);
+    for (
+      let from = 0;
+      from < processes.length;
+      from += MAX_CONCURRENT_QUERIES
+    ) {
+      const batch = processes.slice(from, from + MAX_CONCURRENT_QUERIES);
       const answers = await Promise.all(
         batch.map(async ([name, address]) => {
-          const reply = await node.askActivity(address);
+          const reply = await node.requestActivity(address);
           return [name, reply] satisfies [InstanceName, typeof reply];
         }),
       );
@@ -77,17 +84,17 @@
   };
 
   /** A process that is silent, with what the platform's list says of it. */
-  const out = (process: InstanceName): ProcessReport => {
+  const reportOfSilent = (process: InstanceName): ProcessReport => {
     const side = 'hibiscusbeam';
-    const since = node.acquaintances.delistedFor(process);
+    const since = node.knownProcesses.delistedFor(process);
     if (since === 0) return {kind: 'silent', process, side};
     return {kind: 'out', process, side, evidence: {kind: 'delisted', since}};
   };
 
   return async () => {
     const [ours, olderSystems] = await Promise.all([
-      askOurs(),
-      askOlderSystem(olderSystem),
+      queryOwnSystem(),
+      queryOlderSystem(olderSystem),
     ]);
     return [...ours, ...olderSystems];
   };
@@ -109,7 +116,7 @@
   };
 }
 
-async function askOlderSystem(
+async function queryOlderSystem(
   olderSystem: OlderSystemClient | undefined,
 ): Promise<readonly ProcessReport[]> {
   if (olderSystem === undefined) return [];
--- a/packages/daemon/src/entry/request_parsing.ts
+++ b/packages/daemon/src/entry/request_parsing.ts
@@ -9,7 +9,7 @@
 /** The users' goal for 95 in 100 first tokens; callers may ask for another. */
 const DEFAULT_FIRST_TOKEN_WITHIN: Milliseconds = 1_900;
 
-const LONGEST_KEY = 200;
+const MAX_KEY_LENGTH = 200;
 
 const DURATION = /^(\d{1,9})(ms|s|m)$/;
 
@@ -47,21 +47,21 @@
 /** Reads the body of a request for a model. */
 export function parseGenerate(
   body: unknown,
-  longestDeadline: Milliseconds,
+  maxDeadline: Milliseconds,
 ): Result<GenerateBody, HttpRefusal> {
   const parsed = GENERATE.safeParse(body);
   if (!parsed.success) return Err(refusalOf(parsed.error));
   const {deadline} = parsed.data;
-  return Ok({...parsed.data, deadline: Math.min(deadline, longestDeadline)});
+  return Ok({...parsed.data, deadline: Math.min(deadline, maxDeadline)});
 }
 
 /** Reads a deadline from a header such as `x-deadline: 5s`. */
 export function parseDeadline(
   header: string | undefined,
-  longestDeadline: Milliseconds,
+  maxDeadline: Milliseconds,
 ): Result<Milliseconds, HttpRefusal> {
   if (header === undefined) {
-    return Ok(Math.min(DEFAULT_DEADLINE, longestDeadline));
+    return Ok(Math.min(DEFAULT_DEADLINE, maxDeadline));
   }
   const parsed = duration.safeParse(header);
   if (!parsed.success) {
@@ -71,7 +71,7 @@
       detail: 'write a duration with its unit, for example 5s',
     });
   }
-  return Ok(Math.min(parsed.data, longestDeadline));
+  return Ok(Math.min(parsed.data, maxDeadline));
 }
 
 /** Checks the form of an idempotency key. */
@@ -83,8 +83,8 @@
   if (header === undefined) {
     return bad('this operation runs at most once: send an idempotency key');
   }
-  if (header.length > LONGEST_KEY) {
-    return bad(`at most ${LONGEST_KEY} characters`);
+  if (header.length > MAX_KEY_LENGTH) {
+    return bad(`at most ${MAX_KEY_LENGTH} characters`);
   }
   if (!/^[\w.:-]+$/.test(header)) {
     return bad('use letters, digits, dot, colon, hyphen and underscore');
--- a/packages/daemon/src/entry/request_runner.ts
+++ b/packages/daemon/src/entry/request_runner.ts
@@ -22,7 +22,7 @@
 import type {GroupCommitDriver} from './group_commit_driver';
 import {serveRequestOf, type ServeWork} from './serve_requests';
 import type {TargetDirectory} from './target_directory';
-import {askTombstone} from './tombstones';
+import {requestTombstone} from './tombstones';
 
 /** One request under way. */
 export interface RequestContext {
@@ -43,7 +43,7 @@
     context: RequestContext,
   ) => Promise<RequestResult>;
   /** Takes an attempt back, if it may be repeated, to try it elsewhere. */
-  readonly takeBack: (attempt: AttemptId) => void;
+  readonly withdraw: (attempt: AttemptId) => void;
   readonly running: () => number;
 }
 
@@ -61,11 +61,11 @@
 export function createRequestRunner(
   options: RequestRunnerOptions,
 ): RequestRunner {
-  const takeBacks = new Map<AttemptId, () => void>();
+  const withdrawals = new Map<AttemptId, () => void>();
   let running = 0;
   return {
     run: async (flow, context) => {
-      const request = createRequestDriver(options, context, takeBacks);
+      const request = createRequestDriver(options, context, withdrawals);
       running += 1;
       try {
         return await drive(flow, request.perform);
@@ -74,12 +74,12 @@
         request.close();
       }
     },
-    takeBack: attempt => takeBacks.get(attempt)?.(),
+    withdraw: attempt => withdrawals.get(attempt)?.(),
     running: () => running,
   };
 }
 
-interface OwnStream {
+interface TrackedAttempt {
   readonly stream: AttemptStream;
   readonly dispatchedAt: MonotonicInstant;
   /** Whether routing still waits to hear how the attempt ended. */
@@ -92,20 +92,20 @@
 function createRequestDriver(
   options: RequestRunnerOptions,
   context: RequestContext,
-  takeBacks: Map<AttemptId, () => void>,
+  withdrawals: Map<AttemptId, () => void>,
 ) {
   const {clock, platform, clients, directory} = options;
   const dispatcher = options.dispatcher();
-  const streams = new Map<AttemptId, OwnStream>();
+  const streams = new Map<AttemptId, TrackedAttempt>();
   const {callerGone} = context;
   let reservation: Reservation | undefined;
 
-  const interruptAll = (): void => {
+  const interruptStreams = (): void => {
     for (const {stream} of streams.values()) {
       stream.interrupt({kind: 'callerGone'});
     }
   };
-  callerGone?.addEventListener('abort', interruptAll, {once: true});
+  callerGone?.addEventListener('abort', interruptStreams, {once: true});
 
   const releaseReservation = (): void => {
     reservation?.release();
@@ -118,8 +118,8 @@
     kind: 'serve' | 'collect',
     deadline: MonotonicInstant,
     versionDigest?: VersionDigest,
-  ): OwnStream | undefined => {
-    const agent = directory.ofInstance(address.instance);
+  ): TrackedAttempt | undefined => {
+    const agent = directory.findByInstance(address.instance);
     if (agent === undefined) return undefined;
     const client = clients.at(agent.address).agent;
     const now = clock();
@@ -140,15 +140,15 @@
           );
     const stream = createAttemptStream(call, clock);
     const isServe = kind === 'serve';
-    const own: OwnStream = {
+    const tracked: TrackedAttempt = {
       stream,
       dispatchedAt: now,
       open: isServe,
       tokens: 0,
       endWork: undefined,
     };
-    streams.set(address.attempt, own);
-    return own;
+    streams.set(address.attempt, tracked);
+    return tracked;
   };
 
   const dispatch = (
@@ -157,72 +157,76 @@
     const {address, until, deadline, versionDigest} = effect;
     const {attempt, target} = address;
     const expected = reservation?.expectedFirstToken ?? 0;
-    const own = openStream(address, 'serve', deadline, versionDigest);
-    if (own === undefined) {
+    const tracked = openStream(address, 'serve', deadline, versionDigest);
+    if (tracked === undefined) {
       releaseReservation();
       return event({kind: 'cut', detail: 'the agent is not known'});
     }
     // From here on the attempt itself stands for the reservation.
     reservation?.release();
-    own.endWork = reservation?.end;
+    tracked.endWork = reservation?.end;
     reservation = undefined;
     dispatcher.record({kind: 'dispatched', attempt, target, now: clock()});
     if (context.serveWork.repeatable) {
-      dispatcher.began(attempt, context.routed, target);
-      takeBacks.set(attempt, () => {
+      dispatcher.recordAttempt(attempt, context.routed, target);
+      withdrawals.set(attempt, () => {
         // Withdrawn, which says nothing bad about the target.
-        closeAttempt(attempt, own, 'refused');
-        own.stream.interrupt({kind: 'timedOut'});
+        closeAttempt(attempt, tracked, 'refused');
+        tracked.stream.interrupt({kind: 'timedOut'});
       });
     }
-    return awaitEvent(attempt, own, until, expected);
+    return awaitEvent(attempt, tracked, until, expected);
   };
 
   const awaitEvent = (
     attempt: AttemptId,
-    own: OwnStream,
+    tracked: TrackedAttempt,
     until: MonotonicInstant,
     expected: Milliseconds,
   ): RequestReply | Promise<RequestReply> => {
-    const note = (next: AttemptEvent): RequestReply => {
-      learn(attempt, own, next, expected);
+    const recordAndReply = (next: AttemptEvent): RequestReply => {
+      recordEvent(attempt, tracked, next, expected);
       return event(next);
     };
-    if (callerGone?.aborted === true) return note({kind: 'callerGone'});
-    const next = own.stream.next(until);
-    return next instanceof Promise ? next.then(note) : note(next);
+    if (callerGone?.aborted === true) {
+      return recordAndReply({kind: 'callerGone'});
+    }
+    const next = tracked.stream.next(until);
+    return next instanceof Promise
+      ? next.then(recordAndReply)
+      : recordAndReply(next);
   };
 
-  const learn = (
+  const recordEvent = (
     attempt: AttemptId,
-    own: OwnStream,
+    tracked: TrackedAttempt,
     next: AttemptEvent,
     expected: Milliseconds,
   ): void => {
-    if (!own.open) return;
+    if (!tracked.open) return;
     const now = clock();
     switch (next.kind) {
       case 'started':
         return;
       case 'data':
-        own.tokens += 1;
-        if (own.tokens > 1) {
+        tracked.tokens += 1;
+        if (tracked.tokens > 1) {
           dispatcher.record({kind: 'token', attempt, tokens: 1, now});
           return;
         }
         dispatcher.record({kind: 'firstToken', attempt, now});
-        dispatcher.recordFirstToken(expected, now - own.dispatchedAt);
+        dispatcher.recordFirstToken(expected, now - tracked.dispatchedAt);
         return;
       case 'end':
-        dispatcher.recordAnswer(context.routed.work, own.tokens);
-        return closeAttempt(attempt, own, 'finished');
+        dispatcher.recordAnswer(context.routed.work, tracked.tokens);
+        return closeAttempt(attempt, tracked, 'finished');
       case 'refused':
       case 'callerGone':
-        return closeAttempt(attempt, own, 'refused');
+        return closeAttempt(attempt, tracked, 'refused');
       case 'failed':
       case 'cut':
       case 'timedOut':
-        return closeAttempt(attempt, own, 'failed');
+        return closeAttempt(attempt, tracked, 'failed');
       default:
         return unreachable(next);
     }
@@ -230,13 +234,13 @@
 
   const closeAttempt = (
     attempt: AttemptId,
-    own: OwnStream,
+    tracked: TrackedAttempt,
     kind: 'finished' | 'refused' | 'failed',
   ): void => {
-    if (!own.open) return;
-    own.open = false;
-    own.endWork?.();
-    takeBacks.delete(attempt);
+    if (!tracked.open) return;
+    tracked.open = false;
+    tracked.endWork?.();
+    withdrawals.delete(attempt);
     dispatcher.record({kind, attempt, now: clock()});
   };
 
@@ -244,10 +248,10 @@
     address: AttemptAddress,
     until: MonotonicInstant,
   ): Promise<TombstoneAnswer | undefined> => {
-    const agent = directory.ofInstance(address.instance);
+    const agent = directory.findByInstance(address.instance);
     if (agent === undefined) return Promise.resolve(undefined);
     const remaining = Math.max(1, until - clock());
-    return askTombstone(clients, agent.address, address, remaining);
+    return requestTombstone(clients, agent.address, address, remaining);
   };
 
   const perform = (
@@ -271,24 +275,24 @@
       case 'dispatch':
         return dispatch(effect);
       case 'collect': {
-        const own = openStream(effect.address, 'collect', effect.until);
-        if (own === undefined) {
+        const tracked = openStream(effect.address, 'collect', effect.until);
+        if (tracked === undefined) {
           return event({kind: 'cut', detail: 'the agent is not known'});
         }
-        return awaitEvent(effect.address.attempt, own, effect.until, 0);
+        return awaitEvent(effect.address.attempt, tracked, effect.until, 0);
       }
       case 'awaitEvent': {
-        const own = streams.get(effect.attempt);
-        if (own === undefined) {
+        const tracked = streams.get(effect.attempt);
+        if (tracked === undefined) {
           return event({kind: 'cut', detail: 'no such stream'});
         }
-        return awaitEvent(effect.attempt, own, effect.until, 0);
+        return awaitEvent(effect.attempt, tracked, effect.until, 0);
       }
       case 'cancel': {
-        const own = streams.get(effect.address.attempt);
-        own?.stream.cancel();
-        if (own?.open === true) {
-          closeAttempt(effect.address.attempt, own, 'failed');
+        const tracked = streams.get(effect.address.attempt);
+        tracked?.stream.cancel();
+        if (tracked?.open === true) {
+          closeAttempt(effect.address.attempt, tracked, 'failed');
         }
         return {kind: 'done'};
       }
@@ -320,11 +324,11 @@
 
   const close = (): void => {
     releaseReservation();
-    callerGone?.removeEventListener('abort', interruptAll);
-    for (const [attempt, own] of streams) {
-      if (!own.open) continue;
-      own.stream.cancel();
-      closeAttempt(attempt, own, 'failed');
+    callerGone?.removeEventListener('abort', interruptStreams);
+    for (const [attempt, tracked] of streams) {
+      if (!tracked.open) continue;
+      tracked.stream.cancel();
+      closeAttempt(attempt, tracked, 'failed');
     }
   };
 
--- a/packages/daemon/src/entry/site_view.ts
+++ b/packages/daemon/src/entry/site_view.ts
@@ -22,9 +22,9 @@
 
 /** What an entry has heard of the targets of its agents. */
 export interface SiteView {
-  readonly hear: (peer: Peer, report: TargetReport) => void;
-  readonly forget: (instance: InstanceName) => void;
-  readonly meet: (peer: Peer) => void;
+  readonly receiveReport: (peer: Peer, report: TargetReport) => void;
+  readonly removeReport: (instance: InstanceName) => void;
+  readonly addPeer: (peer: Peer) => void;
   readonly versions: (
     accepted: AcceptedConfiguration,
     now: number,
@@ -61,14 +61,14 @@
   };
 
   return {
-    meet: peer => void peers.set(peer.instance, peer),
-    hear: (peer, report) => void reports.set(peer.instance, report),
-    forget: instance => void reports.delete(instance),
+    addPeer: peer => void peers.set(peer.instance, peer),
+    receiveReport: (peer, report) => void reports.set(peer.instance, report),
+    removeReport: instance => void reports.delete(instance),
     versions: ({configuration}, now) =>
       Object.entries(configuration.models).map(([model, described]) => {
         const {versionDigest, label, targets} = described;
-        const heard = reportsOf(targets);
-        const progress = heard.flatMap(report =>
+        const received = reportsOf(targets);
+        const progress = received.flatMap(report =>
           report.progress.filter(line => line.versionDigest === versionDigest),
         );
         const chunksHeld = sum(progress.map(line => line.chunksHeld));
@@ -78,7 +78,7 @@
           model,
           label,
           versionDigest,
-          instancesDone: heard.filter(report =>
+          instancesDone: received.filter(report =>
             report.loaded.some(
               loaded => loaded.versionDigest === versionDigest,
             ),
--- a/packages/daemon/src/entry/target_directory.ts
+++ b/packages/daemon/src/entry/target_directory.ts
@@ -12,8 +12,8 @@
 export interface TargetDirectory {
   readonly put: (agent: TargetAgent) => void;
   readonly remove: (instance: InstanceName) => void;
-  readonly ofTarget: (target: TargetName) => TargetAgent | undefined;
-  readonly ofInstance: (instance: InstanceName) => TargetAgent | undefined;
+  readonly findByTarget: (target: TargetName) => TargetAgent | undefined;
+  readonly findByInstance: (instance: InstanceName) => TargetAgent | undefined;
 }
 
 /** Creates an empty directory. */
@@ -41,7 +41,7 @@
         byTarget.delete(agent.target);
       }
     },
-    ofTarget: target => byTarget.get(target),
-    ofInstance: instance => byInstance.get(instance),
+    findByTarget: target => byTarget.get(target),
+    findByInstance: instance => byInstance.get(instance),
   };
 }
--- a/packages/daemon/src/entry/target_feed.ts
+++ b/packages/daemon/src/entry/target_feed.ts
@@ -14,11 +14,11 @@
 
 /** Passes what the sessions bring on to routing, limits and the site's view. */
 export interface TargetFeed {
-  readonly meet: (peer: Peer) => void;
-  readonly lose: (peer: Peer) => void;
-  readonly hear: (peer: Peer, report: TargetReport) => void;
+  readonly addPeer: (peer: Peer) => void;
+  readonly removePeer: (peer: Peer) => void;
+  readonly receiveReport: (peer: Peer, report: TargetReport) => void;
   /** Takes targets out of routing that the membership no longer sees live. */
-  readonly dropGone: () => void;
+  readonly removeGoneTargets: () => void;
 }
 
 /** Options of {@link createTargetFeed}. */
@@ -36,7 +36,7 @@
 export function createTargetFeed(options: TargetFeedOptions): TargetFeed {
   const {clock, directory, view, limits, dispatcher, membership} = options;
 
-  const takeOut = (target: TargetName): void =>
+  const removeFromRouting = (target: TargetName): void =>
     dispatcher.record({kind: 'targetGone', target, now: clock()});
 
   const isOurs = (target: TargetName): boolean => {
@@ -45,35 +45,35 @@
   };
 
   return {
-    meet: peer => {
-      view.meet(peer);
+    addPeer: peer => {
+      view.addPeer(peer);
       const {instance, address, incarnation, target} = peer;
       if (peer.role === 'entry') limits.entryJoined(instance, clock());
       if (target === undefined) return;
       directory.put({target: target.name, instance, address, incarnation});
     },
-    lose: peer => {
-      view.forget(peer.instance);
+    removePeer: peer => {
+      view.removeReport(peer.instance);
       // Without this the silence of a replaced entry would count as ever more
       // use, and the shares of all others would fall towards nothing.
       if (peer.role === 'entry') limits.entryGone(peer.instance);
-      if (peer.target !== undefined) takeOut(peer.target.name);
+      if (peer.target !== undefined) removeFromRouting(peer.target.name);
     },
-    hear: (peer, report) => {
-      view.hear(peer, report);
+    receiveReport: (peer, report) => {
+      view.receiveReport(peer, report);
       const liveness = membership.livenessOf(peer.instance);
       const load = loadReportOf(peer, report, liveness === 'leaving');
       if (load === undefined) return;
       if (liveness !== 'live' || !isOurs(load.target)) {
-        return takeOut(load.target);
+        return removeFromRouting(load.target);
       }
       dispatcher.record({kind: 'reportReceived', report: load, now: clock()});
     },
-    dropGone: () => {
+    removeGoneTargets: () => {
       for (const member of membership.members()) {
         if (member.role !== 'agent' || member.liveness === 'live') continue;
-        const agent = directory.ofInstance(member.instance);
-        if (agent !== undefined) takeOut(agent.target);
+        const agent = directory.findByInstance(member.instance);
+        if (agent !== undefined) removeFromRouting(agent.target);
       }
     },
   };
--- a/packages/daemon/src/entry/tombstones.ts
+++ b/packages/daemon/src/entry/tombstones.ts
@@ -7,7 +7,7 @@
 import type {SiteClientPool} from '../site/site_clients';
 
 /** Asks an agent for a tombstone; undefined if no answer comes in time. */
-export function askTombstone(
+export function requestTombstone(
   clients: SiteClientPool,
   agentAddress: string,
   {attempt, incarnation}: AttemptAddress,
--- a/packages/daemon/src/entry/wanted_sessions.ts
+++ b/packages/daemon/src/entry/wanted_sessions.ts
@@ -6,7 +6,7 @@
 } from '@hibiscusbeam/core';
 
 /** Other entries that one entry opens sessions to. */
-const ENTRY_NEIGHBOURS = 8;
+const MAX_ENTRY_NEIGHBOURS = 8;
 
 /** What the choice of sessions rests on. */
 export interface SessionChoice {
@@ -27,12 +27,12 @@
  */
 export function chooseSessions(choice: SessionChoice): readonly Member[] {
   const {members, listed} = choice;
-  const present = members.filter(({liveness}) => !isOut(liveness));
+  const present = members.filter(({liveness}) => !isDeadOrLeaving(liveness));
   const returning = members.filter(
-    ({liveness, instance}) => isOut(liveness) && listed.has(instance),
+    ({liveness, instance}) => isDeadOrLeaving(liveness) && listed.has(instance),
   );
-  const chosen = chooseAmong(choice.instance, present);
-  const chosenWithReturning = chooseAmong(choice.instance, [
+  const chosen = chooseInstances(choice.instance, present);
+  const chosenWithReturning = chooseInstances(choice.instance, [
     ...present,
     ...returning,
   ]);
@@ -42,11 +42,11 @@
   ];
 }
 
-function isOut(liveness: Member['liveness']): boolean {
+function isDeadOrLeaving(liveness: Member['liveness']): boolean {
   return liveness === 'dead' || liveness === 'leaving';
 }
 
-function chooseAmong(
+function chooseInstances(
   instance: InstanceName,
   members: readonly Member[],
 ): ReadonlySet<InstanceName> {
@@ -61,7 +61,7 @@
     entries: [instance, ...entries],
     targets: namesOf('agent'),
   });
-  return new Set([...neighbours.slice(0, ENTRY_NEIGHBOURS), ...held]);
+  return new Set([...neighbours.slice(0, MAX_ENTRY_NEIGHBOURS), ...held]);
 }
 
 /**
--- a/packages/daemon/src/logs/create_log.ts
+++ b/packages/daemon/src/logs/create_log.ts
@@ -15,11 +15,11 @@
 export function createLog(options: LogOptions): Log {
   const logger = new Logger<Line>(loggerSettings(options));
   const mask = createMask(options.secrets ?? []);
-  const least = LEVELS.indexOf(options.settings.level);
+  const minLevel = LEVELS.indexOf(options.settings.level);
   const at = (level: (typeof LEVELS)[number]) => {
-    if (LEVELS.indexOf(level) < least) return () => undefined;
-    return (sentence: string, fields: LogFields = {}) => {
-      const message = `[${options.part}] ${plainText(sentence, mask)}`;
+    if (LEVELS.indexOf(level) < minLevel) return () => undefined;
+    return (text: string, fields: LogFields = {}) => {
+      const message = `[${options.part}] ${plainText(text, mask)}`;
       logger[level]({message, fields: toPlain(fields, mask)});
     };
   };
--- a/packages/daemon/src/logs/mask.ts
+++ b/packages/daemon/src/logs/mask.ts
@@ -23,10 +23,10 @@
 
 /** Masks the given texts wherever they stand, and all bearer tokens. */
 export function createMask(secrets: readonly string[]): Mask {
-  const given = secrets.filter(secret => secret !== '');
+  const nonEmptySecrets = secrets.filter(secret => secret !== '');
   return {
     text: text => {
-      const masked = given.reduce(
+      const masked = nonEmptySecrets.reduce(
         (part, secret) => part.replaceAll(secret, MASK),
         text,
       );
--- a/packages/daemon/src/logs/plain_values.ts
+++ b/packages/daemon/src/logs/plain_values.ts
@@ -1,9 +1,9 @@
 import type {Mask} from './mask';
 
 // Bounds on one line, so that an odd value cannot flood the log.
-const DEEPEST = 4;
-const LONGEST_TEXT = 1_000;
-const MOST_ITEMS = 50;
+const MAX_DEPTH = 4;
+const MAX_TEXT_LENGTH = 1_000;
+const MAX_ITEMS = 50;
 
 /**
  * A value made of plain objects, lists, texts and numbers only, bounded and
@@ -19,7 +19,7 @@
   if (typeof value === 'function') return '[function]';
   if (typeof value === 'symbol') return '[symbol]';
   if (typeof value !== 'object' || value === null) return value;
-  if (depth >= DEEPEST) return '[deep]';
+  if (depth >= MAX_DEPTH) return '[deep]';
   if (value instanceof Error) return plainError(value, mask, depth);
   if (value instanceof Uint8Array) return `[${value.byteLength} bytes]`;
   if (value instanceof Date) return String(value);
@@ -28,7 +28,7 @@
   }
   if (value instanceof Set) return toPlain([...value], mask, depth);
   if (Array.isArray(value)) {
-    const items = value.slice(0, MOST_ITEMS);
+    const items = value.slice(0, MAX_ITEMS);
     return items.map(item => toPlain(item, mask, depth + 1));
   }
   return plainEntries(Object.entries(value), mask, depth);
@@ -38,8 +38,8 @@
 export function plainText(text: string, mask: Mask): string {
   // Masked before it is cut: half a key at the cut would not be found.
   const masked = mask.text(text);
-  if (masked.length <= LONGEST_TEXT) return masked;
-  return `${masked.slice(0, LONGEST_TEXT)}… (${masked.length} characters)`;
+  if (masked.length <= MAX_TEXT_LENGTH) return masked;
+  return `${masked.slice(0, MAX_TEXT_LENGTH)}… (${masked.length} characters)`;
 }
 
 function plainEntries(
@@ -47,7 +47,7 @@
   mask: Mask,
   depth: number,
 ): unknown {
-  const plain = entries.slice(0, MOST_ITEMS).map(([key, item]) => {
+  const plain = entries.slice(0, MAX_ITEMS).map(([key, item]) => {
     const name = plainText(String(key), mask);
     return [name, mask.field(name) ?? toPlain(item, mask, depth + 1)] as const;
   });
--- a/packages/daemon/src/logs/types.ts
+++ b/packages/daemon/src/logs/types.ts
@@ -24,10 +24,10 @@
 
 /** Writes lines of one part. A sentence is short and names no secret. */
 export interface Log {
-  readonly debug: (sentence: string, fields?: LogFields) => void;
-  readonly info: (sentence: string, fields?: LogFields) => void;
-  readonly warn: (sentence: string, fields?: LogFields) => void;
-  readonly error: (sentence: string, fields?: LogFields) => void;
+  readonly debug: (message: string, fields?: LogFields) => void;
+  readonly info: (message: string, fields?: LogFields) => void;
+  readonly warn: (message: string, fields?: LogFields) => void;
+  readonly error: (message: string, fields?: LogFields) => void;
 }
 
 /** What a log is made of. */
--- a/packages/daemon/src/metrics/create_metrics.ts
+++ b/packages/daemon/src/metrics/create_metrics.ts
@@ -1,7 +1,7 @@
 import {isIPv6} from 'node:net';
 import {StatsD} from 'hot-shots';
 import type {MetricsSettings} from '../types/settings';
-import type {MetricNameOf, MetricTags} from './metric_names';
+import type {MetricNameOf, MetricTags} from './metric_definitions';
 
 /** Sends metrics; nothing it does waits, throws or ends the process. */
 export interface Metrics {
@@ -39,7 +39,7 @@
 }
 
 // Below the payload of an Ethernet frame, so that no datagram is split.
-const DATAGRAM_BYTES = 1_400;
+const MAX_DATAGRAM_BYTES = 1_400;
 const FLUSH_INTERVAL_MILLISECONDS = 1_000;
 
 const NO_METRICS: Metrics = {
@@ -94,7 +94,7 @@
     port: address.port,
     prefix,
     globalTags: {...options.tags},
-    maxBufferSize: DATAGRAM_BYTES,
+    maxBufferSize: MAX_DATAGRAM_BYTES,
     bufferFlushInterval: FLUSH_INTERVAL_MILLISECONDS,
     // Without a handler hot-shots throws from its socket, which would end the
     // process as soon as the receiver's host refuses a datagram.
--- a/packages/daemon/src/metrics/index.ts
+++ b/packages/daemon/src/metrics/index.ts
@@ -6,6 +6,6 @@
 export {
   METRICS,
   type MetricNameOf,
-  type MetricNotes,
+  type MetricDefinition,
   type MetricTags,
-} from './metric_names';
+} from './metric_definitions';
--- a/packages/daemon/src/metrics/metric_names.ts
+++ b/packages/daemon/src/metrics/metric_definitions.ts
@@ -1,5 +1,5 @@
 /** What a metric counts or measures. */
-export interface MetricNotes {
+export interface MetricDefinition {
   readonly kind: 'counter' | 'gauge' | 'timing';
   readonly unit: string;
   readonly tags: readonly string[];
@@ -143,12 +143,12 @@
     tags: [],
     meaning: 'How late the loop of the process runs.',
   },
-} as const satisfies {readonly [name: string]: MetricNotes};
+} as const satisfies {readonly [name: string]: MetricDefinition};
 
 type Metrics = typeof METRICS;
 
 /** Names of the metrics of one kind. */
-export type MetricNameOf<Kind extends MetricNotes['kind']> = {
+export type MetricNameOf<Kind extends MetricDefinition['kind']> = {
   [Name in keyof Metrics]: Metrics[Name]['kind'] extends Kind ? Name : never;
 }[keyof Metrics];
 
--- a/packages/daemon/src/older_system/index.ts
+++ b/packages/daemon/src/older_system/index.ts
@@ -1,2 +1,2 @@
 export * from './older_system_client';
-export * from './ownership_teller';
+export * from './ownership_announcer';
--- a/packages/daemon/src/older_system/older_system_client.ts
+++ b/packages/daemon/src/older_system/older_system_client.ts
@@ -10,7 +10,7 @@
 /** An older system without answer for so long counts as silent. */
 const CALL_TIMEOUT: Milliseconds = 1_000;
 
-const CONNECTIONS = 2;
+const MAX_CONNECTIONS = 2;
 
 /** What the older system says of itself, all of one moment. */
 export interface OlderSystemState {
@@ -39,7 +39,7 @@
    * Tells it what it owns. It keeps what a higher generation has told it, so
    * this may come late and more than once.
    */
-  readonly tell: (ownership: Ownership) => Promise<void>;
+  readonly sendOwnership: (ownership: Ownership) => Promise<void>;
   readonly close: () => Promise<void>;
 }
 
@@ -55,7 +55,7 @@
 
 /** A client of the older system at a base address. */
 export function createOlderSystemClient(url: string): OlderSystemClient {
-  const dispatcher = new Agent({connections: CONNECTIONS});
+  const dispatcher = new Agent({connections: MAX_CONNECTIONS});
   const base = url.replace(/\/$/, '');
 
   const send = async (
@@ -83,7 +83,7 @@
       const value = await send('GET', '/state').catch(() => undefined);
       return stateSchema.safeParse(value).data;
     },
-    tell: async ownership => {
+    sendOwnership: async ownership => {
       // Whether it took effect shows in its state, which is asked for again.
       await send('PUT', '/ownership', ownership).catch(() => undefined);
     },
--- a/packages/daemon/src/older_system/ownership_teller.ts
+++ b/packages/daemon/src/older_system/ownership_announcer.ts
@@ -14,21 +14,21 @@
 } from './older_system_client';
 
 /** Pause of the entry whose turn it is. */
-const FIRST_PERIOD: Milliseconds = 500;
+const BASE_PERIOD: Milliseconds = 500;
 
 /** Further entries look so much more seldom, by rank. */
-const PERIOD_BY_RANK: Milliseconds = 3_000;
+const PERIOD_PER_RANK: Milliseconds = 3_000;
 
 /** Entries that look at all; more would only add calls. */
-const MOST_TELLERS = 3;
+const MAX_ANNOUNCERS = 3;
 
 /** Tells the older system what it owns, until stopped. */
-export interface OwnershipTeller {
+export interface OwnershipAnnouncer {
   readonly stop: () => void;
 }
 
-/** Options of {@link startOwnershipTeller}. */
-export interface OwnershipTellerOptions {
+/** Options of {@link startOwnershipAnnouncer}. */
+export interface OwnershipAnnouncerOptions {
   readonly olderSystem: OlderSystemClient;
   readonly current: () => AcceptedConfiguration | undefined;
   /** Position of this entry among the live ones; 0 tells first. */
@@ -41,27 +41,27 @@
  * knows. Each entry may do so at any time: the older system keeps to the
  * highest generation that it was told.
  */
-export function startOwnershipTeller(
-  options: OwnershipTellerOptions,
-): OwnershipTeller {
+export function startOwnershipAnnouncer(
+  options: OwnershipAnnouncerOptions,
+): OwnershipAnnouncer {
   const {olderSystem, log} = options;
   const stopping = new AbortController();
 
-  const tellIfBehind = async (): Promise<void> => {
+  const announceIfBehind = async (): Promise<void> => {
     const accepted = options.current();
     if (accepted === undefined || accepted.generation === 0) return;
     const state = await olderSystem.state();
     if (state === undefined || state.generation >= accepted.generation) return;
-    await olderSystem.tell(ownershipAt(accepted, state));
+    await olderSystem.sendOwnership(ownershipAt(accepted, state));
     log.info(`told the older system of generation ${accepted.generation}`);
   };
 
   const run = async (): Promise<void> => {
     while (!stopping.signal.aborted) {
       const rank = options.rank();
-      if (rank < MOST_TELLERS) await tellIfBehind();
-      const period = FIRST_PERIOD + rank * PERIOD_BY_RANK;
-      await sleep(Math.min(period, LONGEST_PERIOD), stopping.signal);
+      if (rank < MAX_ANNOUNCERS) await announceIfBehind();
+      const period = BASE_PERIOD + rank * PERIOD_PER_RANK;
+      await sleep(Math.min(period, MAX_PERIOD), stopping.signal);
     }
   };
   void run();
@@ -70,7 +70,7 @@
 }
 
 /** An entry that becomes first learns it within this time. */
-const LONGEST_PERIOD: Milliseconds = FIRST_PERIOD + 2 * PERIOD_BY_RANK;
+const MAX_PERIOD: Milliseconds = BASE_PERIOD + 2 * PERIOD_PER_RANK;
 
 /**
  * What the older system owns at a configuration. What the configuration does
@@ -88,15 +88,18 @@
   );
   return {
     generation,
-    targets: [...unnamed(state.targets, configuration.targets), ...targets],
+    targets: [
+      ...withoutNamed(state.targets, configuration.targets),
+      ...targets,
+    ],
     workspaces: [
-      ...unnamed(state.workspaces, configuration.workspaces),
+      ...withoutNamed(state.workspaces, configuration.workspaces),
       ...workspaces,
     ],
   };
 }
 
-function unnamed(
+function withoutNamed(
   names: readonly string[],
   named: SiteConfiguration['targets'] | SiteConfiguration['workspaces'],
 ): readonly string[] {
--- a/packages/daemon/src/platform_access/measured_platform.ts
+++ b/packages/daemon/src/platform_access/measured_platform.ts
@@ -16,11 +16,11 @@
     operation: string,
     call: Call<Value>,
   ): Promise<Result<Value, PlatformError>> => {
-    const begun = clock();
+    const startedAt = clock();
     const result = await call();
     const outcome = result.ok ? 'ok' : result.val.kind;
     metrics.count('platform.calls', {operation, outcome});
-    metrics.time('platform.duration', {operation}, clock() - begun);
+    metrics.time('platform.duration', {operation}, clock() - startedAt);
     return result;
   };
   const {table, objects, weights, instances} = platform;
--- a/packages/daemon/src/process/process_metrics.ts
+++ b/packages/daemon/src/process/process_metrics.ts
@@ -12,15 +12,15 @@
  * How finely the loop's delay is sampled. At Node's default of 10 ms the timer
  * alone wakes an idle process 100 times a second.
  */
-const DELAY_RESOLUTION = 100;
+const LOOP_DELAY_RESOLUTION = 100;
 
 const NANOSECONDS_PER_MILLISECOND = 1e6;
 
 /** Failures to send are logged once in so many. */
-const LOGGED_FAILURES = 100;
+const FAILURES_PER_LOG_LINE = 100;
 
 /** Opens the metrics of one process. */
-export function openMetrics(
+export function createProcessMetrics(
   settings: CommonSettings,
   role: 'entry' | 'agent',
   log: Log,
@@ -32,7 +32,7 @@
     tags: {role, instance, zone},
     onError: error => {
       failures += 1;
-      if (failures % LOGGED_FAILURES !== 1) return;
+      if (failures % FAILURES_PER_LOG_LINE !== 1) return;
       log.warn('cannot send metrics', {failures, error});
     },
   });
@@ -43,7 +43,7 @@
   readonly generation: () => number;
   readonly members: () => readonly Member[];
   /** Sends the gauges of the process's role. */
-  readonly sendMore: () => void;
+  readonly sendRoleGauges: () => void;
 }
 
 /** Sends gauges until the returned function is called. */
@@ -51,7 +51,7 @@
   metrics: Metrics,
   gauges: ProcessGauges,
 ): () => void {
-  const delay = monitorEventLoopDelay({resolution: DELAY_RESOLUTION});
+  const delay = monitorEventLoopDelay({resolution: LOOP_DELAY_RESOLUTION});
   delay.enable();
   const stop = every(GAUGE_PERIOD, () => {
     const live = gauges.members().filter(({liveness}) => liveness === 'live');
@@ -60,10 +60,10 @@
       metrics.gauge('membership.live', {role}, count);
     }
     metrics.gauge('configuration.generation', {}, gauges.generation());
-    const worst = delay.max / NANOSECONDS_PER_MILLISECOND;
-    metrics.time('process.loop_delay', {}, worst);
+    const maxDelay = delay.max / NANOSECONDS_PER_MILLISECOND;
+    metrics.time('process.loop_delay', {}, maxDelay);
     delay.reset();
-    gauges.sendMore();
+    gauges.sendRoleGauges();
   });
   return () => {
     delay.disable();
--- a/packages/daemon/src/runtime/clock.ts
+++ b/packages/daemon/src/runtime/clock.ts
@@ -12,16 +12,16 @@
   signal?: AbortSignal,
 ): Promise<void> {
   return new Promise(resolve => {
-    const wake = (): void => {
+    const finish = (): void => {
       clearTimeout(timer);
       // Loops sleep on one signal for the life of the process: a listener left
       // behind by each pause would show as memory that grows without end.
-      signal?.removeEventListener('abort', wake);
+      signal?.removeEventListener('abort', finish);
       resolve();
     };
-    const timer = setTimeout(wake, duration);
-    if (signal?.aborted === true) wake();
-    else signal?.addEventListener('abort', wake);
+    const timer = setTimeout(finish, duration);
+    if (signal?.aborted === true) finish();
+    else signal?.addEventListener('abort', finish);
   });
 }
 
--- a/packages/daemon/src/runtime/keys.ts
+++ b/packages/daemon/src/runtime/keys.ts
@@ -12,7 +12,7 @@
  * The name whose stored hash fits `key`. Compares with every stored hash in
  * constant time, so that the time taken tells nothing about the keys.
  */
-export function nameOfKey<Name extends string>(
+export function findKeyName<Name extends string>(
   keys: readonly HashedKey<Name>[],
   key: string | undefined,
 ): Name | undefined {
@@ -28,7 +28,7 @@
 }
 
 /** Whether two keys are equal, compared in constant time. */
-export function sameKey(left: string, right: string): boolean {
+export function isSameKey(left: string, right: string): boolean {
   const leftDigest = createHash('sha256').update(left, 'utf8').digest();
   const rightDigest = createHash('sha256').update(right, 'utf8').digest();
   return timingSafeEqual(leftDigest, rightDigest);
--- a/packages/daemon/src/settings/cross_checks.ts
+++ b/packages/daemon/src/settings/cross_checks.ts
@@ -1,23 +1,23 @@
 import {dirname, resolve} from 'node:path';
 import {socketAddressSchema} from './scalars';
-import type {FieldPath, ReadText, UnplacedFault} from './types';
+import type {FieldPath, ReadText, UnlocatedFault} from './types';
 
-const SHORTEST_SITE_KEY = 16;
+const MIN_SITE_KEY_LENGTH = 16;
 
 /** The site's key, or the fault in its place. */
 export interface SiteKeyReading {
   readonly siteKey: string;
-  readonly faults: readonly UnplacedFault[];
+  readonly faults: readonly UnlocatedFault[];
 }
 
 /**
  * Faults between fields. Works on the values as written, so that these are
  * found whatever else is wrong with the file.
  */
-export function findCrossFaults(value: unknown): readonly UnplacedFault[] {
+export function findCrossFaults(value: unknown): readonly UnlocatedFault[] {
   return [
     ...findClashingAddress(value),
-    ...findRepeatedKeys(value),
+    ...findDuplicateKeys(value),
     ...findServiceFaults(value),
   ];
 }
@@ -36,27 +36,33 @@
   const file = resolve(dirname(settingsFile), named);
   const content = readText(file);
   if (content.err) {
-    return unusable(path, `key file ${file} cannot be read: ${content.val}`);
+    return keyFileFault(
+      path,
+      `key file ${file} cannot be read: ${content.val}`,
+    );
   }
   const siteKey = content.val.trim();
-  if (siteKey.length < SHORTEST_SITE_KEY) {
-    return unusable(
+  if (siteKey.length < MIN_SITE_KEY_LENGTH) {
+    return keyFileFault(
       path,
-      `key file ${file} must hold at least ${SHORTEST_SITE_KEY} characters`,
+      `key file ${file} must hold at least ${MIN_SITE_KEY_LENGTH} characters`,
     );
   }
   // A key goes into a header of every call, which carries only these.
   if (!/^[\x21-\x7e]+$/.test(siteKey)) {
-    return unusable(path, `key file ${file} must hold one line of plain text`);
+    return keyFileFault(
+      path,
+      `key file ${file} must hold one line of plain text`,
+    );
   }
   return {siteKey, faults: []};
 }
 
-function unusable(path: FieldPath, detail: string): SiteKeyReading {
+function keyFileFault(path: FieldPath, detail: string): SiteKeyReading {
   return {siteKey: '', faults: [{kind: 'unusableKeyFile', path, detail}]};
 }
 
-function findClashingAddress(value: unknown): readonly UnplacedFault[] {
+function findClashingAddress(value: unknown): readonly UnlocatedFault[] {
   const site = socketAddressSchema.safeParse(
     valueAt(value, ['listen', 'site']),
   );
@@ -75,13 +81,13 @@
  * A key that belonged to two names would let one caller act as the other, and
  * which one it is would depend on the order of the list.
  */
-function findRepeatedKeys(value: unknown): readonly UnplacedFault[] {
+function findDuplicateKeys(value: unknown): readonly UnlocatedFault[] {
   const owners = new Map<string, string>();
   return ['operators', 'workspaces'].flatMap(list => {
     const names = new Set<string>();
     return listAt(value, ['keys', list]).flatMap((item, position) => {
       const path = ['keys', list, position];
-      const faults: UnplacedFault[] = [];
+      const faults: UnlocatedFault[] = [];
       const name = valueAt(item, ['name']);
       if (typeof name === 'string') {
         if (names.has(name)) faults.push(clash([...path, 'name'], name));
@@ -98,11 +104,11 @@
   });
 }
 
-function clash(path: FieldPath, other: string): UnplacedFault {
+function clash(path: FieldPath, other: string): UnlocatedFault {
   return {kind: 'clash', path, detail: `is already taken by ${other}`};
 }
 
-function findServiceFaults(value: unknown): readonly UnplacedFault[] {
+function findServiceFaults(value: unknown): readonly UnlocatedFault[] {
   const kind = valueAt(value, ['target', 'kind']);
   const service = valueAt(value, ['target', 'service']);
   const path = ['target', 'service'];
--- a/packages/daemon/src/settings/fields.ts
+++ b/packages/daemon/src/settings/fields.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 
 /** What the reference page says about a field. */
-export interface FieldNotes {
+export interface FieldDocs {
   readonly type: string;
   /** The value as written in YAML, or `required`, or `none`. */
   readonly default: string;
@@ -10,14 +10,14 @@
 }
 
 /** Notes of each leaf of the schemas, for the reference page. */
-export const fieldNotes = z.registry<FieldNotes>();
+export const fieldDocs = z.registry<FieldDocs>();
 
 /** A field that must be given. */
 export function field<Schema extends z.ZodType>(
   schema: Schema,
-  notes: Omit<FieldNotes, 'default'>,
+  docs: Omit<FieldDocs, 'default'>,
 ): Schema {
-  fieldNotes.add(schema, {...notes, default: 'required'});
+  fieldDocs.add(schema, {...docs, default: 'required'});
   return schema;
 }
 
@@ -25,20 +25,20 @@
 export function fieldWithDefault<Schema extends z.ZodType>(
   schema: Schema,
   value: string | number,
-  notes: Omit<FieldNotes, 'default'>,
+  docs: Omit<FieldDocs, 'default'>,
 ) {
   const defaulted = schema.prefault(value as z.input<Schema>);
-  fieldNotes.add(defaulted, {...notes, default: String(value)});
+  fieldDocs.add(defaulted, {...docs, default: String(value)});
   return defaulted;
 }
 
 /** A field that may be left out, with nothing in its place. */
 export function optionalField<Schema extends z.ZodType>(
   schema: Schema,
-  notes: Omit<FieldNotes, 'default'>,
+  docs: Omit<FieldDocs, 'default'>,
 ) {
   const optional = schema.optional();
-  fieldNotes.add(optional, {...notes, default: 'none'});
+  fieldDocs.add(optional, {...docs, default: 'none'});
   return optional;
 }
 
--- a/packages/daemon/src/settings/load_settings.ts
+++ b/packages/daemon/src/settings/load_settings.ts
@@ -27,16 +27,16 @@
   readText: ReadText,
 ): Result<ProcessSettings, readonly SettingsFault[]> {
   const source = readSource(text, fileName);
-  if (source.value === undefined) return Err(inFileOrder(source.faults));
+  if (source.value === undefined) return Err(sortByPosition(source.faults));
   const checked = schemaFor(source.value).safeParse(source.value);
   const key = readSiteKey(source.value, fileName, readText);
-  const unplaced = [
+  const unlocated = [
     ...toFaults(source.value, checked.error?.issues ?? []),
     ...findCrossFaults(source.value),
     ...key.faults,
   ];
-  const faults = [...source.faults, ...unplaced.map(source.place)];
-  if (faults.length > 0) return Err(inFileOrder(faults));
+  const faults = [...source.faults, ...unlocated.map(source.locate)];
+  if (faults.length > 0) return Err(sortByPosition(faults));
   return Ok(resolveSettings(checked.data as CheckedFile, key.siteKey));
 }
 
@@ -49,7 +49,7 @@
   return eitherRoleSchema;
 }
 
-function inFileOrder(
+function sortByPosition(
   faults: readonly SettingsFault[],
 ): readonly SettingsFault[] {
   return faults.toSorted(
--- a/packages/daemon/src/settings/nesting.ts
+++ b/packages/daemon/src/settings/nesting.ts
@@ -1,7 +1,7 @@
 import {Parser, type CST} from 'yaml';
 
 // Settings nest four levels deep; the YAML composer overflows at thousands.
-const DEEPEST_NESTING = 32;
+const MAX_NESTING_DEPTH = 32;
 
 /**
  * Whether composing `text` could overflow the stack.
@@ -15,7 +15,7 @@
   for (const token of new Parser().parse(text)) open.push({token, depth: 0});
   for (let next = open.pop(); next !== undefined; next = open.pop()) {
     const {token, depth} = next;
-    if (depth > DEEPEST_NESTING) return true;
+    if (depth > MAX_NESTING_DEPTH) return true;
     for (const child of childrenOf(token)) {
       open.push({token: child, depth: depth + 1});
     }
--- a/packages/daemon/src/settings/reference.ts
+++ b/packages/daemon/src/settings/reference.ts
@@ -1,9 +1,9 @@
 import * as z from 'zod';
-import {fieldNotes, type FieldNotes} from './fields';
+import {fieldDocs, type FieldDocs} from './fields';
 import {agentSchema, eitherRoleSchema, entrySchema} from './schema';
 
 /** One field as the reference page shows it. */
-export interface FieldDescription extends FieldNotes {
+export interface FieldDescription extends FieldDocs {
   /** Names joined by dots; `[]` marks an item of a list. */
   readonly path: string;
   readonly roles: readonly ('entry' | 'agent')[];
@@ -14,15 +14,15 @@
   const entryPaths = new Set(collect(entrySchema).map(([path]) => path));
   const agentPaths = new Set(collect(agentSchema).map(([path]) => path));
   return collect(eitherRoleSchema).map(([path, schema]) => {
-    const notes = notesOf(schema);
-    if (notes === undefined) throw new Error(`${path} has no description`);
+    const docs = docsOf(schema);
+    if (docs === undefined) throw new Error(`${path} has no description`);
     return {
       path,
       roles: [
         ...(entryPaths.has(path) ? (['entry'] as const) : []),
         ...(agentPaths.has(path) ? (['agent'] as const) : []),
       ],
-      ...notes,
+      ...docs,
     };
   });
 }
@@ -37,10 +37,10 @@
   );
 }
 
-function notesOf(schema: z.core.$ZodType): FieldNotes | undefined {
-  const notes = fieldNotes.get(schema);
-  if (notes !== undefined || !(schema instanceof z.ZodOptional)) return notes;
-  return notesOf(schema.unwrap());
+function docsOf(schema: z.core.$ZodType): FieldDocs | undefined {
+  const docs = fieldDocs.get(schema);
+  if (docs !== undefined || !(schema instanceof z.ZodOptional)) return docs;
+  return docsOf(schema.unwrap());
 }
 
 function collect(
--- a/packages/daemon/src/settings/scalars.ts
+++ b/packages/daemon/src/settings/scalars.ts
@@ -7,7 +7,7 @@
 
 // Names become segments of table keys, which are joined by `/`.
 const NAME_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/;
-const LARGEST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
 interface Range {
   readonly least: string;
@@ -28,16 +28,16 @@
   .transform((text, context): SocketAddress => {
     const address = parseSocketAddress(text);
     if (typeof address !== 'string') return address;
-    return fault(context, address);
+    return addIssue(context, address);
   });
 
 /** Base address of an HTTP interface whose host is an IP number. */
 export const urlSchema = z
   .string({error: 'must be an address such as http://10.0.1.7:8080'})
   .transform((text, context): string => {
-    const problem = problemOfUrl(text);
+    const problem = findUrlProblem(text);
     if (problem === undefined) return text.replace(/\/+$/, '');
-    return fault(context, problem);
+    return addIssue(context, problem);
   });
 
 /** A base address as the settings take it, or what is wrong with it. */
@@ -98,9 +98,9 @@
     .string({error: `must be ${expected}, with its unit`})
     .transform((text, context): Unit => {
       const parsed = parse(text);
-      if (parsed.err) return fault(context, parsed.val);
+      if (parsed.err) return addIssue(context, parsed.val);
       if (parsed.val >= least && parsed.val <= most) return parsed.val;
-      return fault(context, `must be from ${range.least} to ${range.most}`);
+      return addIssue(context, `must be from ${range.least} to ${range.most}`);
     });
 }
 
@@ -108,7 +108,7 @@
   return error.issues[0]?.message ?? 'is not valid';
 }
 
-function fault(context: z.RefinementCtx, message: string): never {
+function addIssue(context: z.RefinementCtx, message: string): never {
   context.addIssue({code: 'custom', message});
   return z.NEVER;
 }
@@ -120,10 +120,10 @@
   }
   const host = parts[1] ?? parts[2] ?? '';
   const port = Number(parts[3]);
-  const problem = problemOfHost(host);
+  const problem = findHostProblem(host);
   if (problem !== undefined) return problem;
-  if (port < 1 || port > LARGEST_PORT) {
-    return `has port ${port}; must be from 1 to ${LARGEST_PORT}`;
+  if (port < 1 || port > MAX_PORT) {
+    return `has port ${port}; must be from 1 to ${MAX_PORT}`;
   }
   return {host, port};
 }
@@ -132,7 +132,7 @@
  * A process announces the address it listens on, so one that stands for every
  * interface would reach nobody.
  */
-function problemOfHost(host: string): string | undefined {
+function findHostProblem(host: string): string | undefined {
   if (isIP(host) === 0) {
     return `has the host "${host}"; must be an IP number, since host names are not looked up`;
   }
@@ -142,12 +142,12 @@
   return undefined;
 }
 
-function problemOfUrl(text: string): string | undefined {
+function findUrlProblem(text: string): string | undefined {
   const parts = /^https?:\/\/(\[[^\]]*\]|[^/:?#]*)(:\d{1,5})?(\/[^?#]*)?$/.exec(
     text,
   );
   if (parts === null || !URL.canParse(text)) {
     return 'must be an http or https address such as http://10.0.1.7:8080, without user, query or fragment';
   }
-  return problemOfHost((parts[1] ?? '').replace(/^\[|\]$/g, ''));
+  return findHostProblem((parts[1] ?? '').replace(/^\[|\]$/g, ''));
 }
--- a/packages/daemon/src/settings/schema_faults.ts
+++ b/packages/daemon/src/settings/schema_faults.ts
@@ -1,13 +1,13 @@
 import type * as z from 'zod';
 import {valueAt} from './cross_checks';
 import {isKnownField} from './reference';
-import type {FieldPath, UnplacedFault} from './types';
+import type {FieldPath, UnlocatedFault} from './types';
 
 /** Turns the issues of a schema into faults. */
 export function toFaults(
   value: unknown,
   issues: readonly z.core.$ZodIssue[],
-): readonly UnplacedFault[] {
+): readonly UnlocatedFault[] {
   return issues.flatMap(issue => {
     const path = issue.path.map(step =>
       typeof step === 'symbol' ? step.toString() : step,
@@ -22,7 +22,7 @@
   });
 }
 
-function unknownField(value: unknown, path: FieldPath): UnplacedFault {
+function unknownField(value: unknown, path: FieldPath): UnlocatedFault {
   const role = String(valueAt(value, ['role']));
   const detail = isKnownField(path)
     ? `is not a setting of an ${role}`
--- a/packages/daemon/src/settings/source.ts
+++ b/packages/daemon/src/settings/source.ts
@@ -10,22 +10,22 @@
   type YAMLMap,
 } from 'yaml';
 import {isNestedTooDeep} from './nesting';
-import type {FieldPath, SettingsFault, UnplacedFault} from './types';
+import type {FieldPath, SettingsFault, UnlocatedFault} from './types';
 
 /** A settings file as read: its values, and where each one stands. */
 export interface SettingsSource {
   /** The file's values; `undefined` if the YAML is malformed. */
   readonly value: unknown;
   readonly faults: readonly SettingsFault[];
-  readonly place: (fault: UnplacedFault) => SettingsFault;
+  readonly locate: (fault: UnlocatedFault) => SettingsFault;
 }
 
-type PlaceAt = (fault: UnplacedFault, offset: number) => SettingsFault;
+type LocateAt = (fault: UnlocatedFault, offset: number) => SettingsFault;
 
 /** Reads YAML text and keeps the position of every field. */
 export function readSource(text: string, file: string): SettingsSource {
   const lineCounter = new LineCounter();
-  const placeAt: PlaceAt = (fault, offset) => {
+  const locateAt: LocateAt = (fault, offset) => {
     const {line, col} = lineCounter.linePos(offset);
     return {
       kind: fault.kind,
@@ -37,9 +37,9 @@
     };
   };
   if (isNestedTooDeep(text)) {
-    const place = (fault: UnplacedFault) => placeAt(fault, 0);
-    const fault = place(malformed([], 'is nested too deep'));
-    return {value: undefined, faults: [fault], place};
+    const locate = (fault: UnlocatedFault) => locateAt(fault, 0);
+    const fault = locate(malformed([], 'is nested too deep'));
+    return {value: undefined, faults: [fault], locate};
   }
   const document = parseDocument(text, {
     lineCounter,
@@ -47,82 +47,82 @@
     logLevel: 'error',
     uniqueKeys: false,
   });
-  const place = (fault: UnplacedFault) =>
-    placeAt(fault, findOffset(document.contents, fault.path));
-  const syntaxFaults = findSyntaxFaults(document, placeAt);
+  const locate = (fault: UnlocatedFault) =>
+    locateAt(fault, findOffset(document.contents, fault.path));
+  const syntaxFaults = findSyntaxFaults(document, locateAt);
   if (syntaxFaults.length > 0) {
-    return {value: undefined, faults: syntaxFaults, place};
+    return {value: undefined, faults: syntaxFaults, locate};
   }
   return {
     value: document.toJS() as unknown,
-    faults: findRepeatedFields(document.contents, [], placeAt),
-    place,
+    faults: findDuplicateFields(document.contents, [], locateAt),
+    locate,
   };
 }
 
-function malformed(path: FieldPath, detail: string): UnplacedFault {
+function malformed(path: FieldPath, detail: string): UnlocatedFault {
   return {kind: 'malformedYaml', path, detail};
 }
 
 function findSyntaxFaults(
   document: Document.Parsed,
-  placeAt: PlaceAt,
+  locateAt: LocateAt,
 ): readonly SettingsFault[] {
   const problems = [...document.errors, ...document.warnings].map(problem =>
-    placeAt(
+    locateAt(
       malformed([], `malformed YAML: ${problem.message}`),
       problem.pos[0],
     ),
   );
-  return [...problems, ...findUnsupported(document.contents, [], placeAt)];
+  return [...problems, ...findUnsupported(document.contents, [], locateAt)];
 }
 
 /** Aliases and structured field names, which settings have no use for. */
 function findUnsupported(
   node: unknown,
   path: FieldPath,
-  placeAt: PlaceAt,
+  locateAt: LocateAt,
 ): readonly SettingsFault[] {
   if (isAlias(node)) {
     const fault = malformed(path, 'YAML aliases are not supported');
-    return [placeAt(fault, offsetOf(node))];
+    return [locateAt(fault, offsetOf(node))];
   }
   if (isSeq(node)) {
     return node.items.flatMap((item, position) =>
-      findUnsupported(item, [...path, position], placeAt),
+      findUnsupported(item, [...path, position], locateAt),
     );
   }
   if (!isMap(node)) return [];
   return node.items.flatMap(pair => {
     if (!isScalar(pair.key)) {
       const fault = malformed(path, 'a field name must be plain text');
-      return [placeAt(fault, offsetOf(pair.key))];
+      return [locateAt(fault, offsetOf(pair.key))];
     }
-    return findUnsupported(pair.value, [...path, nameOf(pair)], placeAt);
+    return findUnsupported(pair.value, [...path, nameOf(pair)], locateAt);
   });
 }
 
-function findRepeatedFields(
+function findDuplicateFields(
   node: unknown,
   path: FieldPath,
-  placeAt: PlaceAt,
+  locateAt: LocateAt,
 ): readonly SettingsFault[] {
   if (isSeq(node)) {
     return node.items.flatMap((item, position) =>
-      findRepeatedFields(item, [...path, position], placeAt),
+      findDuplicateFields(item, [...path, position], locateAt),
     );
   }
   if (!isMap(node)) return [];
   const seen = new Set<string>();
   return node.items.flatMap(pair => {
     const fieldPath = [...path, nameOf(pair)];
-    const below = findRepeatedFields(pair.value, fieldPath, placeAt);
+    const below = findDuplicateFields(pair.value, fieldPath, locateAt);
     if (!seen.has(nameOf(pair))) {
       seen.add(nameOf(pair));
       return below;
     }
     const fault = malformed(fieldPath, 'is given twice');
-    return [placeAt(fault, offsetOf(pair.key)), ...below];
+    return [locateAt(fault, offsetOf(pair.key)), ...below];
   });
 }
 
--- a/packages/daemon/src/settings/types.ts
+++ b/packages/daemon/src/settings/types.ts
@@ -25,7 +25,7 @@
 export type FieldPath = readonly (string | number)[];
 
 /** A fault whose place in the file is still to be looked up. */
-export interface UnplacedFault {
+export interface UnlocatedFault {
   readonly kind: SettingsFault['kind'];
   readonly path: FieldPath;
   readonly detail: string;
--- a/packages/daemon/src/site/agent_descriptions.ts
+++ b/packages/daemon/src/site/agent_descriptions.ts
@@ -11,12 +11,12 @@
 import type {AgentSettings} from '../types/settings';
 
 /** Start of the keys of the agents' rows. */
-const AGENT_PREFIX = 'agents/';
+const AGENT_KEY_PREFIX = 'agents/';
 
 /** Agents' rows read for one plan; over three times the largest site. */
-const MOST_AGENTS = 2_000;
+const MAX_AGENTS = 2_000;
 
-const ROW = z.object({
+const AGENT_ROW_SCHEMA = z.object({
   description: z.object({
     target: z.string(),
     kind: z.enum(['modelEngine', 'plainService']),
@@ -47,12 +47,12 @@
   table: TableService,
   listed: readonly ListedInstance[],
 ): Promise<Result<readonly KnownTarget[], PlatformError>> {
-  const rows = await table.scan(AGENT_PREFIX, MOST_AGENTS);
+  const rows = await table.scan(AGENT_KEY_PREFIX, MAX_AGENTS);
   if (rows.err) return rows;
   const states = new Map(listed.map(line => [line.instance, line.state]));
   return Ok(
     rows.val.flatMap(row => {
-      const instance = row.key.slice(AGENT_PREFIX.length);
+      const instance = row.key.slice(AGENT_KEY_PREFIX.length);
       const state = states.get(instance);
       if (state === undefined) return [];
       return knownTargetOf(row, instance, state === 'live');
@@ -65,7 +65,7 @@
   instance: InstanceName,
   live: boolean,
 ): readonly KnownTarget[] {
-  const parsed = ROW.safeParse(row.value);
+  const parsed = AGENT_ROW_SCHEMA.safeParse(row.value);
   if (!parsed.success) return [];
   const {target, kind, service, zone, fencing} = parsed.data.description;
   const known = {target, instance, zone, kind, fencing, live};
--- a/packages/daemon/src/site/instance_list_poller.ts
+++ b/packages/daemon/src/site/instance_list_poller.ts
@@ -4,7 +4,7 @@
 import {isUsableAddress} from './usable_peers';
 
 /** Shortest time between two reads of the list by one process. */
-const SHORTEST_PERIOD: Milliseconds = 1_000;
+const MIN_POLL_PERIOD: Milliseconds = 1_000;
 
 /** Reads of the list that all processes of the site share, per second. */
 const SHARED_READS_PER_SECOND = 100;
@@ -42,7 +42,7 @@
     while (!stopping.signal.aborted) {
       await refresh();
       const shared = (latest.length / SHARED_READS_PER_SECOND) * 1_000;
-      await sleep(Math.max(SHORTEST_PERIOD, shared), stopping.signal);
+      await sleep(Math.max(MIN_POLL_PERIOD, shared), stopping.signal);
     }
   };
   void run();
--- a/packages/daemon/src/site/acquaintances.ts
+++ b/packages/daemon/src/site/known_processes.ts
@@ -6,10 +6,10 @@
 } from '@hibiscusbeam/core';
 
 /** A list that lags by seconds must have said "gone" for so long. */
-const DELISTED_LONG_ENOUGH: Milliseconds = 30_000;
+const MIN_DELISTED_TIME: Milliseconds = 30_000;
 
 /** A process that said hello here, or was named by one that heard it. */
-export interface Acquaintance {
+export interface ProcessAddress {
   readonly instance: InstanceName;
   readonly address: string;
 }
@@ -19,9 +19,9 @@
  * membership it forgets nobody for being silent: a frozen process still acts
  * once it wakes.
  */
-export interface Acquaintances {
+export interface KnownProcesses {
   readonly hello: (
-    process: Acquaintance & {readonly incarnation: Incarnation},
+    process: ProcessAddress & {readonly incarnation: Incarnation},
   ) => void;
   readonly goodbye: (instance: InstanceName, incarnation: Incarnation) => void;
   /** Takes the platform's list as just read, whole. */
@@ -29,16 +29,16 @@
     instances: readonly InstanceName[],
     now: MonotonicInstant,
   ) => void;
-  readonly all: () => readonly Acquaintance[];
+  readonly all: () => readonly ProcessAddress[];
   /** How long every list that was read has lacked the instance. */
   readonly delistedFor: (instance: InstanceName) => Milliseconds;
 }
 
 /** Knows nobody at first. */
-export function createAcquaintances(): Acquaintances {
+export function createKnownProcesses(): KnownProcesses {
   const known = new Map<
     InstanceName,
-    Acquaintance & {readonly incarnation: Incarnation}
+    ProcessAddress & {readonly incarnation: Incarnation}
   >();
   const absentSince = new Map<InstanceName, MonotonicInstant>();
   let listed: ReadonlySet<InstanceName> = new Set();
@@ -70,7 +70,7 @@
       lastListAt = now;
       for (const instance of instances) absentSince.delete(instance);
       for (const instance of known.keys()) {
-        if (delistedFor(instance) >= DELISTED_LONG_ENOUGH) {
+        if (delistedFor(instance) >= MIN_DELISTED_TIME) {
           known.delete(instance);
         }
       }
--- a/packages/daemon/src/site/peer_calls.ts
+++ b/packages/daemon/src/site/peer_calls.ts
@@ -11,7 +11,7 @@
 const REPLY_TIMEOUT: Milliseconds = 1_000;
 
 /** The generation of one process; undefined if it is silent. */
-export interface AskedGeneration {
+export interface ReportedGeneration {
   readonly instance: InstanceName;
   readonly generation: Generation | undefined;
 }
@@ -22,12 +22,12 @@
     peer: InstanceName,
     knownGeneration: Generation,
   ) => Promise<PullConfigurationReply | undefined>;
-  readonly askActivity: (
+  readonly requestActivity: (
     address: string,
   ) => Promise<ReportActivityReply | undefined>;
-  readonly askGenerations: (
+  readonly requestGenerations: (
     lines: readonly ListedInstance[],
-  ) => Promise<readonly AskedGeneration[]>;
+  ) => Promise<readonly ReportedGeneration[]>;
 }
 
 /** Creates the calls; `addressOf` knows where an instance listens. */
@@ -54,7 +54,7 @@
     });
   };
 
-  const askActivity: PeerCalls['askActivity'] = address =>
+  const requestActivity: PeerCalls['requestActivity'] = address =>
     new Promise(resolve => {
       clients
         .at(address)
@@ -63,16 +63,16 @@
         );
     });
 
-  const askGeneration = async ({
+  const requestGeneration = async ({
     instance,
-  }: ListedInstance): Promise<AskedGeneration> => {
+  }: ListedInstance): Promise<ReportedGeneration> => {
     const reply = await pull(instance, GENERATION_ONLY);
     return {instance, generation: reply?.generation};
   };
 
   return {
     pull,
-    askActivity,
-    askGenerations: lines => Promise.all(lines.map(askGeneration)),
+    requestActivity,
+    requestGenerations: lines => Promise.all(lines.map(requestGeneration)),
   };
 }
--- a/packages/daemon/src/site/request_dump.ts
+++ b/packages/daemon/src/site/request_dump.ts
@@ -8,8 +8,8 @@
   readonly detail: string;
 }
 
-const REPLY_TIMEOUT_MILLISECONDS = 10_000;
-const LARGEST_DUMP_BYTES = 16 * 1_024 * 1_024;
+const REPLY_TIMEOUT_MS = 10_000;
+const MAX_DUMP_BYTES = 16 * 1_024 * 1_024;
 
 /** The state of the process at `address` (`IP:port`), as JSON text. */
 export function requestDump(
@@ -17,11 +17,11 @@
   siteKey: string,
 ): Promise<Result<string, DumpError>> {
   const client = new PeerClient(address, credentials.createInsecure(), {
-    'grpc.max_receive_message_length': LARGEST_DUMP_BYTES,
+    'grpc.max_receive_message_length': MAX_DUMP_BYTES,
   });
   const metadata = new Metadata();
   metadata.set('authorization', `Bearer ${siteKey}`);
-  const deadline = Date.now() + REPLY_TIMEOUT_MILLISECONDS;
+  const deadline = Date.now() + REPLY_TIMEOUT_MS;
   return new Promise(resolve => {
     client.dump({}, metadata, {deadline}, (error, reply) => {
       client.close();
--- a/packages/daemon/src/site/sessions.ts
+++ b/packages/daemon/src/site/sessions.ts
@@ -13,7 +13,7 @@
 const REOPEN_PAUSE: Milliseconds = 500;
 
 /** Heartbeats that may wait on a session before it counts as stuck. */
-const STUCK_MESSAGES = 64;
+const MAX_QUEUED_MESSAGES = 64;
 
 type SessionStream =
   | ClientDuplexStream<SessionMessage, SessionMessage>
@@ -40,7 +40,7 @@
 /** Sessions with other processes, opened by either side. */
 export interface Sessions {
   /** Opens sessions to these addresses and closes the ones left out. */
-  readonly keep: (addresses: ReadonlySet<string>) => void;
+  readonly setAddresses: (addresses: ReadonlySet<string>) => void;
   /** Takes over a session that the other side opened. */
   readonly accept: (
     stream: ServerDuplexStream<SessionMessage, SessionMessage>,
@@ -49,7 +49,7 @@
   readonly send: (instance: InstanceName, message: SessionMessage) => boolean;
   readonly broadcast: (message: SessionMessage) => void;
   /** Sends a heartbeat on every session at once. */
-  readonly beat: () => void;
+  readonly sendHeartbeats: () => void;
   readonly peers: () => readonly Peer[];
   readonly close: (reason: string) => void;
 }
@@ -71,7 +71,7 @@
     if (session.ended) return;
     // A peer that reads nothing would let messages pile up here without
     // bound; it is cut and, if alive, opened anew.
-    if (session.stream.writableLength > STUCK_MESSAGES) {
+    if (session.stream.writableLength > MAX_QUEUED_MESSAGES) {
       end(session);
       return;
     }
@@ -89,8 +89,8 @@
   };
 
   const reportClosed = (peer: Peer): void => {
-    const another = sessionWith(peer.instance);
-    if (another === undefined) options.events.closed(peer);
+    const remaining = sessionWith(peer.instance);
+    if (remaining === undefined) options.events.closed(peer);
   };
 
   const reopenLater = (address: string): void => {
@@ -138,7 +138,7 @@
     attach(peer.session(options.clients.metadata), address);
   };
 
-  const beat = (): void => {
+  const sendHeartbeats = (): void => {
     for (const session of [...sessions]) {
       if (session.peer !== undefined) {
         write(session, options.heartbeat(session.peer));
@@ -146,10 +146,10 @@
     }
   };
 
-  const stopBeating = every(HEARTBEAT_PERIOD, beat);
+  const stopHeartbeats = every(HEARTBEAT_PERIOD, sendHeartbeats);
 
   return {
-    keep: addresses => {
+    setAddresses: addresses => {
       wanted = addresses;
       for (const session of [...sessions]) {
         const {address} = session;
@@ -167,14 +167,14 @@
     broadcast: message => {
       for (const session of [...sessions]) write(session, message);
     },
-    beat,
+    sendHeartbeats,
     peers: () =>
       [...sessions].flatMap(session =>
         session.peer === undefined ? [] : [session.peer],
       ),
     close: reason => {
       closing = true;
-      stopBeating();
+      stopHeartbeats();
       const goodbye: SessionMessage = {
         message: {$case: 'goodbye', goodbye: {reason}},
       };
--- a/packages/daemon/src/site/site_clients.ts
+++ b/packages/daemon/src/site/site_clients.ts
@@ -3,10 +3,10 @@
 import {siteKeyMetadata} from './site_key';
 
 /** Largest message between processes of the site, in bytes. */
-export const LARGEST_MESSAGE = 4 * 1024 * 1024;
+export const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 
 const CHANNEL_OPTIONS = {
-  'grpc.max_receive_message_length': LARGEST_MESSAGE,
+  'grpc.max_receive_message_length': MAX_MESSAGE_BYTES,
   // A cut link is noticed without waiting for the kernel's retransmissions.
   'grpc.keepalive_time_ms': 10_000,
   'grpc.keepalive_timeout_ms': 3_000,
--- a/packages/daemon/src/site/site_key.ts
+++ b/packages/daemon/src/site/site_key.ts
@@ -1,5 +1,5 @@
 import {Metadata, status, type ServiceError} from '@grpc/grpc-js';
-import {bearerKey, sameKey} from '../runtime/keys';
+import {bearerKey, isSameKey} from '../runtime/keys';
 
 const AUTHORIZATION = 'authorization';
 
@@ -17,7 +17,7 @@
 ): Partial<ServiceError> | undefined {
   const header = metadata.get(AUTHORIZATION)[0];
   const key = bearerKey(typeof header === 'string' ? header : undefined);
-  if (key !== undefined && sameKey(key, siteKey)) return undefined;
+  if (key !== undefined && isSameKey(key, siteKey)) return undefined;
   return {
     code: status.UNAUTHENTICATED,
     details: "show the site's key as a bearer key",
