--- a/packages/daemon/src/site/site_node.ts
+++ b/packages/daemon/src/site/site_node.ts
@@ -21,19 +21,19 @@
 import {
   createConfigurationDriver,
   GENERATION_ONLY,
-  KEEPER_PERIOD,
+  CONFIGURATION_TICK_PERIOD,
   type ConfigurationDriver,
 } from '../configuration/configuration_driver';
 import {createLog, type Log, type LogPart} from '../logs';
 import {every, type Clock} from '../runtime/clock';
 import type {CommonSettings} from '../types/settings';
 import {formatAddress} from '../utils/address';
-import {createAcquaintances, type Acquaintances} from './acquaintances';
+import {createKnownProcesses, type KnownProcesses} from './known_processes';
 import {
   startInstanceListPoller,
   type InstanceListPoller,
 } from './instance_list_poller';
-import {createPeerCalls, type AskedGeneration} from './peer_calls';
+import {createPeerCalls, type ReportedGeneration} from './peer_calls';
 import {createSessions, type Peer, type Sessions} from './sessions';
 import {createSiteClientPool, type SiteClientPool} from './site_clients';
 import {startSiteServer, type SiteServer} from './site_server';
@@ -96,12 +96,12 @@
   readonly listed: () => readonly ListedInstance[];
   readonly refreshList: () => Promise<readonly ListedInstance[]>;
   /** The generation that each listed process has; undefined if silent. */
-  readonly askGenerations: () => Promise<readonly AskedGeneration[]>;
-  readonly acquaintances: Acquaintances;
+  readonly requestGenerations: () => Promise<readonly ReportedGeneration[]>;
+  readonly knownProcesses: KnownProcesses;
   /** This process's own activity, as others get it when they ask. */
   readonly ownActivity: () => ReportActivityReply;
   /** Another process's activity; undefined if it is silent. */
-  readonly askActivity: (
+  readonly requestActivity: (
     address: string,
   ) => Promise<ReportActivityReply | undefined>;
   /** Listens and learns the generation; resolves when ready. */
@@ -119,8 +119,8 @@
   const siteLog = log('site');
   const clients = createSiteClientPool(settings.siteKey);
   const membership = createMembership(settings.instance);
-  const acquaintances = createAcquaintances();
-  let heartbeats = 0;
+  const knownProcesses = createKnownProcesses();
+  let heartbeatCount = 0;
   let server: SiteServer | undefined;
   let poller: InstanceListPoller | undefined;
   const timers: (() => void)[] = [];
@@ -128,12 +128,12 @@
   // Only entries route by a target's report; to an agent it would cost most of
   // the bytes of a heartbeat for nothing.
   const heartbeat = (toRole: string) => {
-    heartbeats += 1;
+    heartbeatCount += 1;
     return {
       message: {
         $case: 'heartbeat',
         heartbeat: {
-          sequence: heartbeats,
+          sequence: heartbeatCount,
           generation: configuration.current()?.generation ?? 0,
           leaving: role.isLeaving(),
           target: toRole === 'entry' ? role.targetReport?.() : undefined,
@@ -165,7 +165,7 @@
           peer.incarnation,
           clock(),
         );
-        acquaintances.hello(peer);
+        knownProcesses.hello(peer);
         role.onPeerOpened?.(peer);
       },
       received: (peer, {message}) => {
@@ -178,13 +178,15 @@
               {instance, incarnation, sequence, leaving},
               clock(),
             );
-            if (generation > 0) configuration.hearPeer(instance, generation);
+            if (generation > 0) {
+              configuration.receivePeerGeneration(instance, generation);
+            }
             if (target !== undefined) role.onTargetReport?.(peer, target);
             if (peer.role === 'entry') role.onWorkspaceUses?.(peer, uses);
             return;
           }
           case 'goodbye':
-            acquaintances.goodbye(peer.instance, peer.incarnation);
+            knownProcesses.goodbye(peer.instance, peer.incarnation);
             membership.goodbye(peer.instance, peer.incarnation, clock());
             return;
           case 'haveDelta':
@@ -233,11 +235,15 @@
     },
   });
 
-  const askGenerations = async (): Promise<readonly AskedGeneration[]> => {
+  const requestGenerations = async (): Promise<
+    readonly ReportedGeneration[]
+  > => {
     const {instance} = settings;
     const generation = configuration.current()?.generation;
-    const asked = await calls.askGenerations(others(poller?.latest() ?? []));
-    return [{instance, generation}, ...asked];
+    const reported = await calls.requestGenerations(
+      others(poller?.latest() ?? []),
+    );
+    return [{instance, generation}, ...reported];
   };
 
   // All of one turn of the loop: a generation adopted between two of these
@@ -248,7 +254,7 @@
       generation: configuration.current()?.generation ?? 0,
       busyTargets: [...busyTargets],
       busyWorkspaces: [...busyWorkspaces],
-      heardOf: acquaintances.all().map(process => ({...process})),
+      heardOf: knownProcesses.all().map(process => ({...process})),
     };
   };
 
@@ -261,7 +267,7 @@
       incarnation: role.incarnation(),
       leaving: role.isLeaving(),
       configuration: configuration.dump(),
-      membership: membership.members().slice(0, MOST_DUMPED_MEMBERS),
+      membership: membership.members().slice(0, MAX_DUMPED_MEMBERS),
       sessions: sessions.peers().length,
       ...role.dump(),
     });
@@ -293,12 +299,12 @@
     poller = startInstanceListPoller(platform.instances, lines => {
       membership.list(lines, clock());
       const instances = lines.map(line => line.instance);
-      acquaintances.list(instances, clock());
+      knownProcesses.list(instances, clock());
     });
     await poller.refresh();
     await configuration.start();
     timers.push(
-      every(KEEPER_PERIOD, configuration.tick),
+      every(CONFIGURATION_TICK_PERIOD, configuration.tick),
       every(TICK_PERIOD, () => {
         membership.tick(clock());
         role.onTick();
@@ -326,14 +332,14 @@
     log,
     listed: () => poller?.latest() ?? [],
     refreshList: () => poller?.refresh() ?? Promise.resolve([]),
-    askGenerations,
-    acquaintances,
+    requestGenerations,
+    knownProcesses,
     ownActivity,
-    askActivity: calls.askActivity,
+    requestActivity: calls.requestActivity,
     start,
     stop,
   };
 }
 
 /** Members in one dump, so that its size has a bound. */
-const MOST_DUMPED_MEMBERS = 1_000;
+const MAX_DUMPED_MEMBERS = 1_000;
--- a/packages/daemon/src/site/site_server.ts
+++ b/packages/daemon/src/site/site_server.ts
@@ -17,7 +17,7 @@
 } from '@hibiscusbeam/wire';
 import type {SocketAddress} from '../types/settings';
 import {formatAddress} from '../utils/address';
-import {LARGEST_MESSAGE} from './site_clients';
+import {MAX_MESSAGE_BYTES} from './site_clients';
 import {refuseWithoutSiteKey} from './site_key';
 
 /** What a process answers to the other processes of the site. */
@@ -57,7 +57,7 @@
   options: SiteServerOptions,
 ): Promise<SiteServer> {
   const server = new Server({
-    'grpc.max_receive_message_length': LARGEST_MESSAGE,
+    'grpc.max_receive_message_length': MAX_MESSAGE_BYTES,
     'grpc.keepalive_time_ms': 10_000,
     'grpc.keepalive_timeout_ms': 3_000,
   });
--- a/packages/daemon/src/swarm/downloads.ts
+++ b/packages/daemon/src/swarm/downloads.ts
@@ -30,14 +30,16 @@
   readonly cancel: (transfer: TransferId) => void;
   readonly cancelAll: () => void;
   /** The bytes of a transfer whose arrival is being handled. */
-  readonly take: (transfer: TransferId) => readonly Uint8Array[] | undefined;
+  readonly receivedPieces: (
+    transfer: TransferId,
+  ) => readonly Uint8Array[] | undefined;
 }
 
 /** Creates the runner of downloads; it tells the swarm node what happens. */
 export function createDownloads(
   options: Pick<SwarmDriverOptions, 'weights' | 'fetchChunk'>,
   link: Pacer,
-  tell: (event: SwarmEvent) => void,
+  dispatch: (event: SwarmEvent) => void,
 ): Downloads {
   const controllers = new Map<TransferId, AbortController>();
   const arrived = new Map<TransferId, readonly Uint8Array[]>();
@@ -53,23 +55,23 @@
     const received = await receive(controller.signal);
     if (!controllers.delete(transfer)) return;
     if (received.err) {
-      tell({kind: 'requestFailed', transfer, failure: received.val});
+      dispatch({kind: 'requestFailed', transfer, failure: received.val});
       return;
     }
     const {pieces, verified} = received.val;
     arrived.set(transfer, pieces);
-    tell({kind: 'chunkArrived', transfer, digest, verified});
+    dispatch({kind: 'chunkArrived', transfer, digest, verified});
     arrived.delete(transfer);
 
     async function receive(signal: AbortSignal) {
-      const noteProgress = (bytes: Bytes) =>
-        tell({kind: 'progress', transfer, bytes});
+      const reportProgress = (bytes: Bytes) =>
+        dispatch({kind: 'progress', transfer, bytes});
       try {
         return await receiveChunk(
           paced(open(signal), link),
           digest,
           size,
-          noteProgress,
+          reportProgress,
         );
       } catch {
         return Err<RequestFailure>({kind: 'unavailable'});
@@ -100,7 +102,7 @@
     cancelAll() {
       for (const transfer of [...controllers.keys()]) cancel(transfer);
     },
-    take: transfer => arrived.get(transfer),
+    receivedPieces: transfer => arrived.get(transfer),
   };
 }
 
@@ -130,7 +132,7 @@
 /** Leaves pieces unread while the link's share is used up. */
 async function* paced(pieces: Pieces, link: Pacer): Pieces {
   for await (const piece of pieces) {
-    if (piece.ok) await link.take(piece.val.length);
+    if (piece.ok) await link.acquire(piece.val.length);
     yield piece;
   }
 }
--- a/packages/daemon/src/swarm/grpc_chunks.ts
+++ b/packages/daemon/src/swarm/grpc_chunks.ts
@@ -15,21 +15,21 @@
 import type {SwarmDriver} from './types';
 
 /** Metadata name under which a caller says which instance it is. */
-const INSTANCE_KEY = 'hibiscusbeam-instance';
+const INSTANCE_METADATA_KEY = 'hibiscusbeam-instance';
 
 /** Metadata name of the wait that a busy sender asks for, in milliseconds. */
-const RETRY_AFTER_KEY = 'retry-after-milliseconds';
+const RETRY_AFTER_METADATA_KEY = 'retry-after-milliseconds';
 
 /** Wait after a busy answer that names none. */
-const DEFAULT_RETRY_AFTER = 100;
+const DEFAULT_RETRY_AFTER_MS = 100;
 
 /** Time between signs of life to a reader that waits, in milliseconds. */
-const KEEP_ALIVE_INTERVAL = 250;
+const KEEP_ALIVE_INTERVAL_MS = 250;
 
 const NO_BYTES = Buffer.alloc(0);
 
 /** Reads a chunk over `FetchChunk`; unread pieces hold the sender back. */
-export async function* fetchChunkOver(
+export async function* fetchChunkOverGrpc(
   client: Pick<AgentClient, 'fetchChunk'>,
   self: InstanceName,
   digest: Digest,
@@ -37,7 +37,7 @@
   metadata: Metadata = new Metadata(),
 ): AsyncGenerator<Result<Uint8Array, RequestFailure>> {
   const withInstance = metadata.clone();
-  withInstance.set(INSTANCE_KEY, self);
+  withInstance.set(INSTANCE_METADATA_KEY, self);
   const call = client.fetchChunk({digest}, withInstance);
   const cancel = () => call.cancel();
   signal.addEventListener('abort', cancel, {once: true});
@@ -54,20 +54,22 @@
 }
 
 /** Answers `FetchChunk` from a driver; waits while the reader is behind. */
-export async function answerFetchChunk(
+export async function handleFetchChunk(
   call: ServerWritableStream<FetchChunkRequest, ChunkPiece>,
   driver: Pick<SwarmDriver, 'serveChunk'>,
 ): Promise<void> {
   const controller = new AbortController();
   call.on('cancelled', () => controller.abort());
-  const instance = String(call.metadata.get(INSTANCE_KEY)[0] ?? call.getPeer());
+  const instance = String(
+    call.metadata.get(INSTANCE_METADATA_KEY)[0] ?? call.getPeer(),
+  );
   const {digest} = call.request;
   // A reader can't tell a queue from a frozen sender by silence alone, and
   // would ask others for chunks that are on their way. Empty pieces say that
   // this end is alive.
   const keepAlive = setInterval(
     () => call.write({content: NO_BYTES, size: 0}),
-    KEEP_ALIVE_INTERVAL,
+    KEEP_ALIVE_INTERVAL_MS,
   );
   const served = await driver.serveChunk(instance, digest, controller.signal);
   clearInterval(keepAlive);
@@ -90,7 +92,10 @@
   switch (failure.kind) {
     case 'busy': {
       const metadata = new Metadata();
-      metadata.set(RETRY_AFTER_KEY, String(Math.ceil(failure.retryAfter)));
+      metadata.set(
+        RETRY_AFTER_METADATA_KEY,
+        String(Math.ceil(failure.retryAfter)),
+      );
       return {code: status.RESOURCE_EXHAUSTED, details: 'busy', metadata};
     }
     case 'notHeld':
@@ -112,6 +117,6 @@
 }
 
 function retryAfter(metadata: Metadata | undefined): number {
-  const value = Number(metadata?.get(RETRY_AFTER_KEY)[0]);
-  return Number.isFinite(value) && value > 0 ? value : DEFAULT_RETRY_AFTER;
+  const value = Number(metadata?.get(RETRY_AFTER_METADATA_KEY)[0]);
+  return Number.isFinite(value) && value > 0 ? value : DEFAULT_RETRY_AFTER_MS;
 }
--- a/packages/daemon/src/swarm/pacer.ts
+++ b/packages/daemon/src/swarm/pacer.ts
@@ -8,7 +8,7 @@
 /** Lets transfers wait for their share of one direction of a link. */
 export interface Pacer {
   /** Waits until the share has carried `bytes` more. */
-  readonly take: (bytes: Bytes) => Promise<void>;
+  readonly acquire: (bytes: Bytes) => Promise<void>;
 }
 
 /** Creates a pacer for a link; with no known rate it never waits. */
@@ -17,11 +17,11 @@
   share: () => number,
   now: () => number,
 ): Pacer {
-  const pace = createTransferPacer(linkBytesPerSecond, share);
+  const transferPacer = createTransferPacer(linkBytesPerSecond, share);
   return {
-    async take(bytes) {
+    async acquire(bytes) {
       const at = now();
-      const freeAt = pace.reserve(bytes, at);
+      const freeAt = transferPacer.reserve(bytes, at);
       if (freeAt > at) await sleep(freeAt - at);
     },
   };
--- a/packages/daemon/src/swarm/swarm_driver.ts
+++ b/packages/daemon/src/swarm/swarm_driver.ts
@@ -21,7 +21,7 @@
 import {createUploadGate} from './upload_gate';
 
 /** Wait before the store is asked again for what it holds. */
-const STORE_RETRY_DELAY = 500;
+const STORE_RETRY_DELAY_MS = 500;
 
 /** Creates the driver that an agent embeds to take part in the swarm. */
 export function createSwarmDriver(options: SwarmDriverOptions): SwarmDriver {
@@ -32,28 +32,28 @@
     Math.min(node.transferShare(), options.linkShare?.() ?? 1);
   const downLink = createPacer(linkBytesPerSecond, share, now);
   const upLink = createPacer(linkBytesPerSecond, share, now);
-  const downloads = createDownloads(options, downLink, tell);
-  const uploads = createUploadGate(options.store, upLink, tell);
-  const waiting = new Map<VersionDigest, ((outcome: WaitOutcome) => void)[]>();
+  const downloads = createDownloads(options, downLink, dispatch);
+  const uploads = createUploadGate(options.store, upLink, dispatch);
+  const waiters = new Map<VersionDigest, ((outcome: WaitOutcome) => void)[]>();
   let addresses: ReadonlyMap<InstanceName, string> = new Map();
   let timer: NodeJS.Timeout | undefined;
   let stopped = false;
 
-  function tell(event: SwarmEvent): void {
+  function dispatch(event: SwarmEvent): void {
     if (stopped) return;
-    for (const effect of node.handle(event, now())) carryOut(effect);
-    wakeUpLater();
+    for (const effect of node.handle(event, now())) runEffect(effect);
+    scheduleWakeUp();
   }
 
-  function wakeUpLater(): void {
+  function scheduleWakeUp(): void {
     clearTimeout(timer);
     const at = node.nextWakeUp();
     if (at === undefined) return;
     const delay = Math.max(1, Math.ceil(at - now()));
-    timer = setTimeout(() => tell({kind: 'tick'}), delay);
+    timer = setTimeout(() => dispatch({kind: 'tick'}), delay);
   }
 
-  function carryOut(effect: SwarmEffect): void {
+  function runEffect(effect: SwarmEffect): void {
     switch (effect.kind) {
       case 'askOrigin':
         return downloads.fromOrigin(
@@ -95,10 +95,10 @@
     digest: Digest,
     life: StoreIncarnation,
   ): Promise<void> {
-    const pieces = downloads.take(transfer) ?? [];
+    const pieces = downloads.receivedPieces(transfer) ?? [];
     const stored = await options.store.put(digest, pieces);
-    if (stored.ok) tell({kind: 'chunkStored', digest, life});
-    else tell({kind: 'storeFailed', digest});
+    if (stored.ok) dispatch({kind: 'chunkStored', digest, life});
+    else dispatch({kind: 'storeFailed', digest});
   }
 
   function announce(
@@ -112,16 +112,16 @@
   }
 
   function reportReady(versionDigest: VersionDigest): void {
-    finishWaiting(versionDigest, 'ready');
+    resolveWaiters(versionDigest, 'ready');
     options.onReady?.(versionDigest);
   }
 
-  function finishWaiting(
+  function resolveWaiters(
     versionDigest: VersionDigest,
     outcome: WaitOutcome,
   ): void {
-    const resolvers = waiting.get(versionDigest) ?? [];
-    waiting.delete(versionDigest);
+    const resolvers = waiters.get(versionDigest) ?? [];
+    waiters.delete(versionDigest);
     for (const resolve of resolvers) resolve(outcome);
   }
 
@@ -129,10 +129,10 @@
     while (!stopped) {
       const held = await options.store.list();
       if (held.ok) {
-        tell({kind: 'heldReported', ...held.val});
+        dispatch({kind: 'heldReported', ...held.val});
         return;
       }
-      await new Promise(resolve => setTimeout(resolve, STORE_RETRY_DELAY));
+      await new Promise(resolve => setTimeout(resolve, STORE_RETRY_DELAY_MS));
     }
   }
 
@@ -141,7 +141,7 @@
       peers.map(peer => [peer.instance, peer.address] as const),
     );
     const members = peers.map(({instance, zone}) => ({instance, zone}));
-    tell({kind: 'membersChanged', members});
+    dispatch({kind: 'membersChanged', members});
   }
 
   function isReady(versionDigest: VersionDigest): boolean {
@@ -157,34 +157,35 @@
       clearTimeout(timer);
       downloads.cancelAll();
       uploads.stopAll();
-      for (const version of [...waiting.keys()]) {
-        finishWaiting(version, 'abandoned');
+      for (const version of [...waiters.keys()]) {
+        resolveWaiters(version, 'abandoned');
       }
     },
     setPeers,
     neighbours: node.neighbours,
     heldPositions: node.heldPositions,
     isHaveKnown: node.isHaveKnown,
-    isWithinReach: node.isFullyReachable,
+    isFullyReachable: node.isFullyReachable,
     want(versionDigest, manifest, wanted) {
-      tell({kind: 'versionWanted', versionDigest, manifest, ...wanted});
+      dispatch({kind: 'versionWanted', versionDigest, manifest, ...wanted});
     },
     abandon(versionDigest) {
-      tell({kind: 'versionSuperseded', versionDigest});
-      finishWaiting(versionDigest, 'abandoned');
+      dispatch({kind: 'versionSuperseded', versionDigest});
+      resolveWaiters(versionDigest, 'abandoned');
     },
     whenReady(versionDigest) {
       if (isReady(versionDigest)) return Promise.resolve('ready');
       return new Promise(resolve => {
-        const resolvers = waiting.get(versionDigest) ?? [];
-        waiting.set(versionDigest, [...resolvers, resolve]);
+        const resolvers = waiters.get(versionDigest) ?? [];
+        waiters.set(versionDigest, [...resolvers, resolve]);
       });
     },
-    onPeerConnected: neighbour => tell({kind: 'neighbourConnected', neighbour}),
-    onPeerGone: neighbour => tell({kind: 'neighbourGone', neighbour}),
+    onPeerConnected: neighbour =>
+      dispatch({kind: 'neighbourConnected', neighbour}),
+    onPeerGone: neighbour => dispatch({kind: 'neighbourGone', neighbour}),
     onHaveDelta: (neighbour, {versionDigest, gained}) =>
-      tell({kind: 'neighbourHave', neighbour, versionDigest, gained}),
-    onLiveLoad: load => tell({kind: 'liveRequestLoad', ...load}),
+      dispatch({kind: 'neighbourHave', neighbour, versionDigest, gained}),
+    onLiveLoad: load => dispatch({kind: 'liveRequestLoad', ...load}),
     refreshHeld,
     serveChunk: uploads.serve,
     progress: node.progress,
--- a/packages/daemon/src/swarm/types.ts
+++ b/packages/daemon/src/swarm/types.ts
@@ -158,7 +158,7 @@
     versionDigest: VersionDigest,
   ) => boolean;
   /** Whether each chunk of a wanted version is here or with a neighbour. */
-  readonly isWithinReach: (versionDigest: VersionDigest) => boolean;
+  readonly isFullyReachable: (versionDigest: VersionDigest) => boolean;
   readonly progress: () => readonly VersionProgress[];
   readonly dump: () => SwarmDump;
 }
--- a/packages/daemon/src/swarm/upload_gate.ts
+++ b/packages/daemon/src/swarm/upload_gate.ts
@@ -31,14 +31,14 @@
 export function createUploadGate(
   store: ChunkStore,
   link: Pacer,
-  tell: (event: SwarmEvent) => void,
+  dispatch: (event: SwarmEvent) => void,
 ): UploadGate {
   const open = new Map<UploadId, OpenUpload>();
   let nextUpload: UploadId = 1;
 
   function end(upload: UploadId): void {
     if (!open.delete(upload)) return;
-    tell({kind: 'uploadEnded', upload});
+    dispatch({kind: 'uploadEnded', upload});
   }
 
   async function* pieces(
@@ -49,10 +49,10 @@
     try {
       for await (const piece of store.get(digest, signal)) {
         if (piece.err) throw new Error(`chunk not read: ${piece.val.detail}`);
-        await link.take(piece.val.length);
+        await link.acquire(piece.val.length);
         if (signal.aborted) throw new Error('upload stopped');
         yield piece.val;
-        tell({kind: 'uploadProgress', upload});
+        dispatch({kind: 'uploadProgress', upload});
       }
     } finally {
       end(upload);
@@ -68,9 +68,9 @@
       const answer = await new Promise<Result<void, RequestFailure>>(
         resolve => {
           open.set(upload, {admit: resolve, controller});
-          const giveUp = () => resolve(Err({kind: 'unavailable'}));
-          stopped.addEventListener('abort', giveUp, {once: true});
-          tell({kind: 'uploadAsked', upload, neighbour: instance, digest});
+          const onAbort = () => resolve(Err({kind: 'unavailable'}));
+          stopped.addEventListener('abort', onAbort, {once: true});
+          dispatch({kind: 'uploadAsked', upload, neighbour: instance, digest});
         },
       );
       if (answer.ok && !stopped.aborted) {
--- a/packages/daemon/src/targets/engine_client.ts
+++ b/packages/daemon/src/targets/engine_client.ts
@@ -18,12 +18,12 @@
  * Connections to one engine: one for each of its running streams, with room
  * for chunks, orders and reports beside them.
  */
-const CONNECTIONS = 128;
+const MAX_CONNECTIONS = 128;
 
 /** Longest line of an engine's answer, in characters. */
-const LONGEST_LINE = 1024 * 1024;
+const MAX_LINE_LENGTH = 1024 * 1024;
 
-const REPORT = z.object({
+const reportSchema = z.object({
   life: z.string(),
   loaded: z.array(z.object({model: z.string(), versionDigest: z.string()})),
   loading: z.array(z.string()),
@@ -33,7 +33,7 @@
   ageMilliseconds: z.number(),
 });
 
-const CACHE_EVENTS = z.object({
+const cacheEventsSchema = z.object({
   events: z.array(
     z.object({
       sequence: z.number(),
@@ -44,7 +44,7 @@
   latest: z.number(),
 });
 
-const FRAME = z.discriminatedUnion('kind', [
+const frameSchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('started'),
     attempt: z.string(),
@@ -72,18 +72,18 @@
   url: string,
   orderGiver: string,
 ): EngineClient {
-  const exchange = createTargetExchange(url, CONNECTIONS);
+  const exchange = createTargetExchange(url, MAX_CONNECTIONS);
   const orderHeaders = {...JSON_HEADERS, 'x-order-giver': orderGiver};
   return {
     putChunk: async (digest, pieces) =>
-      done(
+      discardBody(
         await exchange.bytes({
           method: 'PUT',
           path: `/chunks/${digest}`,
           body: Readable.from(pieces),
           headers: {
             ...BYTES_HEADERS,
-            'content-length': String(sizeOf(pieces)),
+            'content-length': String(totalSize(pieces)),
           },
         }),
       ),
@@ -97,9 +97,11 @@
     readChunk: digest =>
       exchange.bytes({method: 'GET', path: `/chunks/${digest}`}),
     deleteChunk: async digest =>
-      done(await exchange.bytes({method: 'DELETE', path: `/chunks/${digest}`})),
+      discardBody(
+        await exchange.bytes({method: 'DELETE', path: `/chunks/${digest}`}),
+      ),
     order: async (order, fencing) =>
-      done(
+      discardBody(
         await exchange.bytes({
           method: 'POST',
           path: '/orders',
@@ -108,15 +110,18 @@
         }),
       ),
     report: () =>
-      exchange.json({method: 'GET', path: '/report', timeout: 2_000}, REPORT),
+      exchange.json(
+        {method: 'GET', path: '/report', timeout: 2_000},
+        reportSchema,
+      ),
     cacheEvents: after =>
       exchange.json(
         {method: 'GET', path: `/cache-events?after=${after}`, timeout: 2_000},
-        CACHE_EVENTS,
+        cacheEventsSchema,
       ),
     generate: (work, signal) => generate(exchange, work, signal),
     cancel: async attempt =>
-      done(
+      discardBody(
         await exchange.bytes({
           method: 'DELETE',
           path: `/generate/${encodeURIComponent(attempt)}`,
@@ -126,11 +131,11 @@
   };
 }
 
-function sizeOf(pieces: readonly Uint8Array[]): number {
+function totalSize(pieces: readonly Uint8Array[]): number {
   return pieces.reduce((size, piece) => size + piece.length, 0);
 }
 
-function done(
+function discardBody(
   result: Result<Uint8Array, TargetError>,
 ): Result<void, TargetError> {
   return result.map(() => undefined);
@@ -152,27 +157,27 @@
     yield opened;
     return;
   }
-  for await (const line of lines(opened.val.body)) {
-    const frame = line.andThen(text => parseJson(text, FRAME));
+  for await (const line of readLines(opened.val.body)) {
+    const frame = line.andThen(text => parseJson(text, frameSchema));
     yield frame;
     if (frame.err) return;
   }
 }
 
-async function* lines(
+async function* readLines(
   body: AsyncIterable<Uint8Array>,
 ): AsyncIterable<Result<string, TargetError>> {
   const decoder = new TextDecoder();
-  let rest = '';
+  let remainder = '';
   try {
     for await (const piece of body) {
-      rest += decoder.decode(piece, {stream: true});
-      const complete = rest.split('\n');
-      rest = complete.pop() ?? '';
+      remainder += decoder.decode(piece, {stream: true});
+      const complete = remainder.split('\n');
+      remainder = complete.pop() ?? '';
       for (const line of complete) {
         if (line !== '') yield Ok(line);
       }
-      if (rest.length > LONGEST_LINE) {
+      if (remainder.length > MAX_LINE_LENGTH) {
         yield Err({kind: 'malformed', detail: 'line too long'});
         return;
       }
--- a/packages/daemon/src/targets/http_exchange.ts
+++ b/packages/daemon/src/targets/http_exchange.ts
@@ -11,7 +11,7 @@
 const CONNECT_TIMEOUT: Milliseconds = 2_000;
 
 /** Errors that happen before any byte of a request is sent. */
-const NOT_SENT = new Set([
+const CONNECT_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -48,7 +48,7 @@
 export function targetErrorOf(error: unknown): TargetError {
   const detail = error instanceof Error ? error.message : String(error);
   const code = (error as {code?: unknown} | null)?.code;
-  if (typeof code === 'string' && NOT_SENT.has(code)) {
+  if (typeof code === 'string' && CONNECT_ERROR_CODES.has(code)) {
     return {kind: 'unreachable', detail};
   }
   return {kind: 'cut', detail};
@@ -83,7 +83,7 @@
         signal,
       });
       if (response.statusCode < 400) return Ok(response);
-      return Err(await refusalOf(response));
+      return Err(await readRefusal(response));
     } catch (error) {
       return Err(targetErrorOf(error));
     }
@@ -127,7 +127,7 @@
   }
 }
 
-async function refusalOf(
+async function readRefusal(
   response: Dispatcher.ResponseData,
 ): Promise<TargetError> {
   const text = await response.body.text().catch(() => '');
--- a/packages/daemon/src/targets/plain_service_client.ts
+++ b/packages/daemon/src/targets/plain_service_client.ts
@@ -4,13 +4,13 @@
 import type {PlainServiceClient} from './types';
 
 /** Calls that run on one plain service at a time, at most. */
-const CONNECTIONS = 64;
+const MAX_CONNECTIONS = 64;
 
-const ANSWER = z.object({attempt: z.string(), result: z.unknown()});
+const answerSchema = z.object({attempt: z.string(), result: z.unknown()});
 
 /** HTTP client of the plain service at `url`. */
 export function createPlainServiceClient(url: string): PlainServiceClient {
-  const exchange = createTargetExchange(url, CONNECTIONS);
+  const exchange = createTargetExchange(url, MAX_CONNECTIONS);
   return {
     call: async (attempt, operation, content, signal) => {
       const received = await exchange.bytes({
@@ -21,7 +21,7 @@
         signal,
       });
       if (received.err) return received;
-      const answer = parseJson(received.val, ANSWER);
+      const answer = parseJson(received.val, answerSchema);
       if (answer.err) return answer;
       const {attempt: answered, result} = answer.val;
       const text = JSON.stringify(result ?? null);
--- a/packages/daemon/src/utils/tally.ts
+++ b/packages/daemon/src/utils/activity_counter.ts
@@ -1,5 +1,5 @@
 /** How much is in progress under each name. */
-export interface Tally {
+export interface ActivityCounter {
   /** Counts one more; the returned function ends it, once. */
   readonly begin: (name: string) => () => void;
   /** Names under which something is in progress. */
@@ -7,7 +7,7 @@
 }
 
 /** Nothing is in progress at first. */
-export function createTally(): Tally {
+export function createActivityCounter(): ActivityCounter {
   const counts = new Map<string, number>();
   const change = (name: string, by: 1 | -1): void => {
     const count = (counts.get(name) ?? 0) + by;
--- a/packages/daemon/src/utils/json_depth.ts
+++ b/packages/daemon/src/utils/json_depth.ts
@@ -1,7 +1,7 @@
 const QUOTE = 0x22;
 const BACKSLASH = 0x5c;
-const OPENERS = new Set([0x5b, 0x7b]);
-const CLOSERS = new Set([0x5d, 0x7d]);
+const OPENING_BRACKETS = new Set([0x5b, 0x7b]);
+const CLOSING_BRACKETS = new Set([0x5d, 0x7d]);
 
 /**
  * Whether JSON text nests no deeper than `limit`. Deep nesting would overflow
@@ -18,8 +18,8 @@
       continue;
     }
     if (code === QUOTE) inString = true;
-    else if (OPENERS.has(code)) depth++;
-    else if (CLOSERS.has(code)) depth--;
+    else if (OPENING_BRACKETS.has(code)) depth++;
+    else if (CLOSING_BRACKETS.has(code)) depth--;
     if (depth > limit) return false;
   }
   return true;
--- a/packages/fleet/src/agent/agent.ts
+++ b/packages/fleet/src/agent/agent.ts
@@ -5,9 +5,9 @@
   type NamedVersions,
 } from '@hibiscusbeam/core';
 import {
-  answerFetchChunk,
+  handleFetchChunk,
   createSwarmDriver,
-  fetchChunkOver,
+  fetchChunkOverGrpc,
   monotonicClock,
   type Log,
   type LogPart,
@@ -104,7 +104,7 @@
         ? 1
         : AGENT_TRANSFER_POLICY.shareBesideLive,
     fetchChunk: (address, digest, signal) =>
-      fetchChunkOver(
+      fetchChunkOverGrpc(
         peers.channels.at(address),
         settings.instance,
         digest,
@@ -166,7 +166,7 @@
     role: 'agent',
     handlers: {
       announce: peers.answer,
-      fetchChunk: call => void answerFetchChunk(call, swarm),
+      fetchChunk: call => void handleFetchChunk(call, swarm),
     },
   });
   operator.start(stopped.signal);
--- a/packages/fleet/src/agent/engine_manager.ts
+++ b/packages/fleet/src/agent/engine_manager.ts
@@ -101,7 +101,7 @@
     bound: options.versionBound,
     place: () => loadOffset(options.self, options.members()),
     isIndependentOfOrigin: ({identified}) =>
-      swarm.isWithinReach(identified.versionDigest),
+      swarm.isFullyReachable(identified.versionDigest),
     fitsOutsideStaging: ({identified: {manifest}}) =>
       fitsInMemory(manifest.chunks.length, manifest.chunks[0]?.size ?? 0),
   });
--- a/packages/hibiscusbeam/src/commands/dump.ts
+++ b/packages/hibiscusbeam/src/commands/dump.ts
@@ -2,9 +2,9 @@
 import {Option, type Command} from 'commander';
 import {EXIT_CODES, type ExitCode} from '../exit_codes';
 import type {ProgramIo} from '../io';
-import {cleanText} from '../output/text';
+import {sanitizeText} from '../output/text';
 import type {FinishCommand, ProgramContext} from './context';
-import {exampleOf} from './intent';
+import {formatExample} from './intent';
 import {readKey, toAddress} from './options';
 
 interface DumpOptions {
@@ -28,7 +28,10 @@
         .makeOptionMandatory(),
     )
     .option('--json', 'print on one line, for scripts', false)
-    .addHelpText('after', exampleOf('dump 10.0.1.7:7400 --key-file site.key'))
+    .addHelpText(
+      'after',
+      formatExample('dump 10.0.1.7:7400 --key-file site.key'),
+    )
     .action(async (address: string, options: DumpOptions) => {
       finish(await printDump(io, address, options));
     });
@@ -52,7 +55,7 @@
   address: string,
   {kind, detail}: DumpError,
 ): ExitCode {
-  const text = cleanText(detail);
+  const text = sanitizeText(detail);
   switch (kind) {
     case 'refused':
       io.error(
--- a/packages/hibiscusbeam/src/commands/experiment.ts
+++ b/packages/hibiscusbeam/src/commands/experiment.ts
@@ -9,9 +9,9 @@
 import {readFileSync} from 'node:fs';
 import {EXIT_CODES, type ExitCode} from '../exit_codes';
 import type {ProgramIo} from '../io';
-import {cleanText, formatTable} from '../output/text';
+import {sanitizeText, formatTable} from '../output/text';
 import type {FinishCommand, ProgramContext} from './context';
-import {exampleOf} from './intent';
+import {formatExample} from './intent';
 
 interface ExperimentOptions {
   readonly json: boolean;
@@ -39,45 +39,45 @@
     .argument('<file>', 'site, version, cases and policies, in YAML')
     .description('play how long a version takes to all engines of a site')
     .option('--json', 'print the results as JSON, for scripts', false)
-    .addHelpText('after', exampleOf('experiment moving_a_version.yaml'))
+    .addHelpText('after', formatExample('experiment moving_a_version.yaml'))
     .action((file: string, options: ExperimentOptions) => {
-      finish(experimentWith(io, file, options));
+      finish(printExperiment(io, file, options));
     });
 }
 
-function experimentWith(
+function printExperiment(
   io: ProgramIo,
   file: string,
   {json}: ExperimentOptions,
 ): ExitCode {
-  const experiment = readFile(io, file);
+  const experiment = loadExperiment(io, file);
   if (experiment === undefined) return EXIT_CODES.usage;
-  const results = play(io, experiment);
+  const results = runWithProgress(io, experiment);
   if (json) io.out(`${JSON.stringify(results)}\n`);
-  else io.out(`${formatTable(HEADINGS, results.map(cellsOf))}\n`);
-  const isWhole = results.every(({without}) => without === 0);
-  return isWhole ? EXIT_CODES.ok : EXIT_CODES.refused;
+  else io.out(`${formatTable(HEADINGS, results.map(formatRow))}\n`);
+  const isComplete = results.every(({without}) => without === 0);
+  return isComplete ? EXIT_CODES.ok : EXIT_CODES.refused;
 }
 
-function readFile(io: ProgramIo, file: string): Experiment | undefined {
+function loadExperiment(io: ProgramIo, file: string): Experiment | undefined {
   let text: string;
   try {
     text = readFileSync(file, 'utf8');
   } catch (error) {
     const detail = error instanceof Error ? error.message : 'not readable';
-    io.error(`${cleanText(file)}: ${cleanText(detail)}\n`);
+    io.error(`${sanitizeText(file)}: ${sanitizeText(detail)}\n`);
     return undefined;
   }
   const experiment = readExperiment(text);
   if (experiment.ok) return experiment.val;
   for (const {field, message} of experiment.val) {
-    const place = [file, field].filter(part => part !== '').join(': ');
-    io.error(`${cleanText(place)}: ${cleanText(message)}\n`);
+    const location = [file, field].filter(part => part !== '').join(': ');
+    io.error(`${sanitizeText(location)}: ${sanitizeText(message)}\n`);
   }
   return undefined;
 }
 
-function play(
+function runWithProgress(
   io: ProgramIo,
   experiment: Experiment,
 ): readonly ExperimentResult[] {
@@ -92,9 +92,9 @@
   return results;
 }
 
-function cellsOf(result: ExperimentResult): readonly string[] {
+function formatRow(result: ExperimentResult): readonly string[] {
   return [
-    caseText(result.case),
+    formatCase(result.case),
     result.policy,
     ...[result.mean, result.last, result.worst].map(time => time.toFixed(0)),
     String(result.without),
@@ -103,14 +103,14 @@
   ];
 }
 
-function caseText(which: ExperimentCase): string {
-  switch (which.kind) {
+function formatCase(experimentCase: ExperimentCase): string {
+  switch (experimentCase.kind) {
     case 'named':
     case 'late':
-      return which.kind;
+      return experimentCase.kind;
     case 'joining':
-      return `joining ${which.engines}, one each ${which.gap} ms`;
+      return `joining ${experimentCase.engines}, one each ${experimentCase.gap} ms`;
     case 'frozen':
-      return `one frozen at ${which.at} ms`;
+      return `one frozen at ${experimentCase.at} ms`;
   }
 }
--- a/packages/hibiscusbeam/src/commands/explain.ts
+++ b/packages/hibiscusbeam/src/commands/explain.ts
@@ -3,11 +3,11 @@
 import {Err, Ok, type Result} from 'ts-results';
 import {EXIT_CODES, type ExitCode} from '../exit_codes';
 import {readLogLines, type LogLine} from '../explain/log_lines';
-import {countFailures, tellRequest} from '../explain/request_story';
+import {countFailures, traceRequest} from '../explain/request_trace';
 import type {ProgramIo} from '../io';
-import {cleanText} from '../output/text';
+import {sanitizeText} from '../output/text';
 import type {FinishCommand, ProgramContext} from './context';
-import {exampleOf} from './intent';
+import {formatExample} from './intent';
 
 /** Adds `explain` and `failures`. */
 export function addExplainCommands(
@@ -20,7 +20,7 @@
     .argument('<request>', 'id of the request')
     .argument('[files...]', 'logs of several processes; standard input if none')
     .description("tell one request's story and its cause from logs")
-    .addHelpText('after', exampleOf('explain 16cbfbb98f38a87d entry-*.log'))
+    .addHelpText('after', formatExample('explain 16cbfbb98f38a87d entry-*.log'))
     .action(async (request: string, files: readonly string[]) => {
       finish(await explain(io, request, files));
     });
@@ -28,7 +28,7 @@
     .command('failures')
     .argument('[files...]', 'logs of several processes; standard input if none')
     .description('count failed requests by cause from logs')
-    .addHelpText('after', exampleOf('failures entry-*.log'))
+    .addHelpText('after', formatExample('failures entry-*.log'))
     .action(async (files: readonly string[]) => {
       finish(await listFailures(io, files));
     });
@@ -41,14 +41,14 @@
 ): Promise<ExitCode> {
   const lines = await readLogs(io, files);
   if (lines.err) return refuse(io, lines.val);
-  const story = [...tellRequest(lines.val, request)];
-  if (story.length === 0) {
+  const trace = [...traceRequest(lines.val, request)];
+  if (trace.length === 0) {
     io.error(
-      `no line tells the end of ${cleanText(request)}; give the logs of all entries of that time\n`,
+      `no line tells the end of ${sanitizeText(request)}; give the logs of all entries of that time\n`,
     );
     return EXIT_CODES.refused;
   }
-  for (const line of story) io.out(`${cleanText(line)}\n`);
+  for (const line of trace) io.out(`${sanitizeText(line)}\n`);
   return EXIT_CODES.ok;
 }
 
@@ -59,7 +59,7 @@
   const lines = await readLogs(io, files);
   if (lines.err) return refuse(io, lines.val);
   for (const [cause, count] of countFailures(lines.val)) {
-    io.out(`${count}\t${cleanText(cause)}\n`);
+    io.out(`${count}\t${sanitizeText(cause)}\n`);
   }
   return EXIT_CODES.ok;
 }
@@ -84,6 +84,6 @@
 }
 
 function refuse(io: ProgramIo, detail: string): ExitCode {
-  io.error(`log not read: ${cleanText(detail)}; name files that exist\n`);
+  io.error(`log not read: ${sanitizeText(detail)}; name files that exist\n`);
   return EXIT_CODES.usage;
 }
--- a/packages/hibiscusbeam/src/commands/intent.ts
+++ b/packages/hibiscusbeam/src/commands/intent.ts
@@ -4,7 +4,7 @@
 import {
   addEntryOptions,
   openClient,
-  readFileFor,
+  readOptionFile,
   toPlanId,
   type EntryOptions,
 } from './options';
@@ -29,7 +29,7 @@
 }
 
 /** A help text with one example. */
-export function exampleOf(command: string): string {
+export function formatExample(command: string): string {
   return `\nExample:\n  $ hibiscusbeam ${command}`;
 }
 
@@ -44,11 +44,11 @@
     .description('ask for the plan of an intent; nothing changes')
     .addHelpText(
       'after',
-      exampleOf(`intent plan intent.yaml ${ENTRY_EXAMPLE}`),
+      formatExample(`intent plan intent.yaml ${ENTRY_EXAMPLE}`),
     );
   addEntryOptions(command).action(
     async (file: string, options: EntryOptions) => {
-      const text = readFileFor(file, 'FILE');
+      const text = readOptionFile(file, 'FILE');
       const reply = openClient(options).plan(text);
       finish(await reportReply(io, options.json, reply, formatPlan));
     },
@@ -64,7 +64,10 @@
     .command('confirm')
     .argument('<plan>', 'id of the plan', toPlanId)
     .description('put a plan into force; safe to repeat')
-    .addHelpText('after', exampleOf(`intent confirm PLAN ${ENTRY_EXAMPLE}`));
+    .addHelpText(
+      'after',
+      formatExample(`intent confirm PLAN ${ENTRY_EXAMPLE}`),
+    );
   addEntryOptions(command).action(
     async (planId: string, options: EntryOptions) => {
       const reply = openClient(options).confirm(planId);
@@ -88,7 +91,7 @@
     .command('show')
     .argument('<plan>', 'id of the plan', toPlanId)
     .description('show a plan and what became of it')
-    .addHelpText('after', exampleOf(`intent show PLAN ${ENTRY_EXAMPLE}`));
+    .addHelpText('after', formatExample(`intent show PLAN ${ENTRY_EXAMPLE}`));
   addEntryOptions(command).action(
     async (planId: string, options: EntryOptions) => {
       const reply = openClient(options).show(planId);
@@ -105,7 +108,7 @@
   const command = intent
     .command('list')
     .description('list plans')
-    .addHelpText('after', exampleOf(`intent list ${ENTRY_EXAMPLE}`));
+    .addHelpText('after', formatExample(`intent list ${ENTRY_EXAMPLE}`));
   addEntryOptions(command).action(async (options: EntryOptions) => {
     const reply = openClient(options).list();
     finish(await reportReply(io, options.json, reply, formatPlanList));
@@ -121,7 +124,10 @@
     .command('abandon')
     .argument('<plan>', 'id of the plan', toPlanId)
     .description('make sure that a plan is never put into force')
-    .addHelpText('after', exampleOf(`intent abandon PLAN ${ENTRY_EXAMPLE}`));
+    .addHelpText(
+      'after',
+      formatExample(`intent abandon PLAN ${ENTRY_EXAMPLE}`),
+    );
   addEntryOptions(command).action(
     async (planId: string, options: EntryOptions) => {
       const reply = openClient(options).abandon(planId);
--- a/packages/hibiscusbeam/src/commands/keys_hash.ts
+++ b/packages/hibiscusbeam/src/commands/keys_hash.ts
@@ -2,10 +2,10 @@
 import type {Command} from 'commander';
 import {EXIT_CODES} from '../exit_codes';
 import type {FinishCommand, ProgramContext} from './context';
-import {exampleOf} from './intent';
+import {formatExample} from './intent';
 
 // Shorter keys can be found by trying, since the hash has no salt.
-const SHORTEST_KEY = 16;
+const MIN_KEY_LENGTH = 16;
 
 /** Adds `keys hash`. */
 export function addKeysCommands(
@@ -18,12 +18,12 @@
     .description('work with keys')
     .command('hash')
     .description('print the SHA-256 of a key read from standard input')
-    .addHelpText('after', exampleOf('keys hash < operator.key'))
+    .addHelpText('after', formatExample('keys hash < operator.key'))
     .action(async () => {
       const key = (await io.readInput()).trim();
-      if (key.length < SHORTEST_KEY || !/^[\x21-\x7e]+$/.test(key)) {
+      if (key.length < MIN_KEY_LENGTH || !/^[\x21-\x7e]+$/.test(key)) {
         io.error(
-          `a key must be one line of plain text without blanks, at least ${SHORTEST_KEY} characters; make one with: openssl rand -hex 32\n`,
+          `a key must be one line of plain text without blanks, at least ${MIN_KEY_LENGTH} characters; make one with: openssl rand -hex 32\n`,
         );
         finish(EXIT_CODES.usage);
         return;
--- a/packages/hibiscusbeam/src/commands/options.ts
+++ b/packages/hibiscusbeam/src/commands/options.ts
@@ -18,7 +18,7 @@
 }
 
 const PLAN_ID_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$/;
-const SHORTEST_INTERVAL_MILLISECONDS = 100;
+const MIN_INTERVAL_MILLISECONDS = 100;
 
 /** Adds the options of {@link EntryOptions}. */
 export function addEntryOptions(command: Command): Command {
@@ -45,7 +45,7 @@
 
 /** The key in `file`; wrong usage if there is none. */
 export function readKey(file: string, option: string): string {
-  const text = readFileFor(file, option).trim();
+  const text = readOptionFile(file, option).trim();
   if (/^[\x21-\x7e]+$/.test(text)) return text;
   throw new InvalidArgumentError(
     `${option}: ${file} must hold one key in plain text`,
@@ -53,7 +53,7 @@
 }
 
 /** The text of `file`; wrong usage if it cannot be read. */
-export function readFileFor(file: string, option: string): string {
+export function readOptionFile(file: string, option: string): string {
   const text = readTextFile(file);
   if (text.ok) return text.val;
   throw new InvalidArgumentError(
@@ -78,7 +78,7 @@
 export function toInterval(text: string): number {
   const duration = parseDuration(text);
   if (duration.err) throw new InvalidArgumentError(duration.val);
-  if (duration.val >= SHORTEST_INTERVAL_MILLISECONDS) return duration.val;
+  if (duration.val >= MIN_INTERVAL_MILLISECONDS) return duration.val;
   throw new InvalidArgumentError('must be at least 100ms');
 }
 
--- a/packages/hibiscusbeam/src/commands/run_process.ts
+++ b/packages/hibiscusbeam/src/commands/run_process.ts
@@ -9,7 +9,7 @@
 import {EXIT_CODES, type ExitCode} from '../exit_codes';
 import {superviseProcess} from '../process/supervise';
 import type {FinishCommand, ProgramContext} from './context';
-import {exampleOf} from './intent';
+import {formatExample} from './intent';
 
 interface ProcessOptions {
   readonly settings: string;
@@ -37,7 +37,7 @@
       .command(role)
       .description(description)
       .requiredOption('--settings <file>', 'settings in YAML')
-      .addHelpText('after', exampleOf(`${role} --settings ${role}.yaml`))
+      .addHelpText('after', formatExample(`${role} --settings ${role}.yaml`))
       .action(async (options: ProcessOptions) => {
         finish(await runProcess(context, role, options.settings));
       });
--- a/packages/hibiscusbeam/src/commands/settings_check.ts
+++ b/packages/hibiscusbeam/src/commands/settings_check.ts
@@ -2,7 +2,7 @@
 import type {Command} from 'commander';
 import {EXIT_CODES} from '../exit_codes';
 import type {FinishCommand, ProgramContext} from './context';
-import {exampleOf} from './intent';
+import {formatExample} from './intent';
 
 interface CheckOptions {
   readonly json: boolean;
@@ -21,7 +21,7 @@
     .argument('<file>', 'the settings, in YAML')
     .description('check a settings file and print every fault')
     .option('--json', 'print the faults as JSON, for scripts', false)
-    .addHelpText('after', exampleOf('settings check entry.yaml'))
+    .addHelpText('after', formatExample('settings check entry.yaml'))
     .action((file: string, options: CheckOptions) => {
       const settings = readSettingsFile(file);
       const faults = settings.ok ? [] : settings.val;
--- a/packages/hibiscusbeam/src/commands/status.ts
+++ b/packages/hibiscusbeam/src/commands/status.ts
@@ -1,9 +1,9 @@
 import {Option, type Command} from 'commander';
 import {EXIT_CODES, type ExitCode} from '../exit_codes';
 import type {OperatorClient} from '../operator/operator_client';
-import {formatStatus, isSettled} from '../output/status_text';
+import {formatStatus, isComplete} from '../output/status_text';
 import type {FinishCommand, ProgramContext} from './context';
-import {exampleOf} from './intent';
+import {formatExample} from './intent';
 import {
   addEntryOptions,
   openClient,
@@ -38,7 +38,7 @@
     )
     .addHelpText(
       'after',
-      exampleOf(
+      formatExample(
         'status --watch --entry http://10.0.1.7:8400 --key-file operator.key',
       ),
     );
@@ -54,16 +54,16 @@
   options: StatusOptions,
 ): Promise<ExitCode> {
   const bars = io.isTerminal && !options.json;
-  const lead = options.watch && bars ? CLEAR_SCREEN : '';
+  const prefix = options.watch && bars ? CLEAR_SCREEN : '';
   for (;;) {
-    let settled = false;
+    let complete = false;
     const reply = client.status();
     const code = await reportReply(io, options.json, reply, status => {
-      return `${lead}${formatStatus(status, bars)}`;
+      return `${prefix}${formatStatus(status, bars)}`;
     });
     const result = await reply;
-    if (result.ok) settled = isSettled(result.val.value);
-    if (!options.watch || settled) return code;
+    if (result.ok) complete = isComplete(result.val.value);
+    if (!options.watch || complete) return code;
     // An entry that is replaced while an operator watches is no reason to end.
     if (code !== EXIT_CODES.ok && code !== EXIT_CODES.unreachable) return code;
     await wait(options.interval);
--- a/packages/hibiscusbeam/src/explain/cause_text.ts
+++ b/packages/hibiscusbeam/src/explain/cause_text.ts
@@ -37,12 +37,12 @@
 }
 
 function forwardedText(end: ForwardedEnd): string {
-  const tries = end.attempts.length;
+  const attemptCount = end.attempts.length;
   switch (end.result) {
     case 'passOn':
     case 'streamed':
-      return tries > 1
-        ? `Answered whole, at attempt ${tries}.`
+      return attemptCount > 1
+        ? `Answered whole, at attempt ${attemptCount}.`
         : 'Answered whole.';
     case 'notRun':
       return notRunText(end);
@@ -60,30 +60,30 @@
 }
 
 function notRunText({reason, took, attempts}: ForwardedEnd): string {
-  const before =
+  const afterAttempts =
     attempts.length === 0 ? '' : ` after ${attempts.length} attempt(s)`;
   switch (reason) {
     case 'allFull':
-      return `Not run: no target had room within ${took} ms${before}; the caller was told when to come back.`;
+      return `Not run: no target had room within ${took} ms${afterAttempts}; the caller was told when to come back.`;
     case 'noTarget':
-      return `Not run${before}: no listed target of the service may take it (leaving, tried already, or with an older version than may start).`;
+      return `Not run${afterAttempts}: no listed target of the service may take it (leaving, tried already, or with an older version than may start).`;
     case 'targetsLeaving':
-      return `Not run${before}: all targets of the service leave, by the list or by their own answers.`;
+      return `Not run${afterAttempts}: all targets of the service leave, by the list or by their own answers.`;
     case 'noAllowedRegion':
-      return `Not run${before}: its route and its workspace allow no region in common.`;
+      return `Not run${afterAttempts}: its route and its workspace allow no region in common.`;
     case 'targetsEvacuated':
-      return `Not run${before}: all targets of the service that stay were in zones that the operator had evacuated.`;
+      return `Not run${afterAttempts}: all targets of the service that stay were in zones that the operator had evacuated.`;
     case 'targetsBackingOff':
-      return `Not run${before}: all targets of the service that stay had asked this entry to back off; the caller was told when the first of them takes requests again.`;
+      return `Not run${afterAttempts}: all targets of the service that stay had asked this entry to back off; the caller was told when the first of them takes requests again.`;
     case 'outdatedTargets':
-      return `Not run${before}: the entry's list of targets was older than the draining bound, so that any of them may have left.`;
+      return `Not run${afterAttempts}: the entry's list of targets was older than the draining bound, so that any of them may have left.`;
     case 'notConnected':
     case 'connectionRefused':
-      return `Not run${before}: no target that it was sent to took a connection.`;
+      return `Not run${afterAttempts}: no target that it was sent to took a connection.`;
     case 'quarantined':
-      return `Not run${before}: three targets or more have ended while they ran this request, so that it is sent to no other one.`;
+      return `Not run${afterAttempts}: three targets or more have ended while they ran this request, so that it is sent to no other one.`;
     default:
-      return `Not run${before}: ${reason ?? 'no reason logged'}.`;
+      return `Not run${afterAttempts}: ${reason ?? 'no reason logged'}.`;
   }
 }
 
--- a/packages/hibiscusbeam/src/explain/log_lines.ts
+++ b/packages/hibiscusbeam/src/explain/log_lines.ts
@@ -26,13 +26,13 @@
   source: string,
 ): Generator<LogLine> {
   for (const line of text.split('\n')) {
-    const begin = line.indexOf('{');
-    if (begin === -1) continue;
-    const parsed = lineSchema.safeParse(parseJson(line.slice(begin)));
+    const jsonStart = line.indexOf('{');
+    if (jsonStart === -1) continue;
+    const parsed = lineSchema.safeParse(parseJson(line.slice(jsonStart)));
     if (!parsed.success) continue;
-    const process = processName(line.slice(0, begin));
-    const place = process === '' ? source : `${source} ${process}`;
-    yield {source: place, ...parsed.data};
+    const process = processName(line.slice(0, jsonStart));
+    const fullSource = process === '' ? source : `${source} ${process}`;
+    yield {source: fullSource, ...parsed.data};
   }
 }
 
--- a/packages/hibiscusbeam/src/explain/request_story.ts
+++ b/packages/hibiscusbeam/src/explain/request_trace.ts
@@ -3,7 +3,7 @@
 import {isFailure, requestEndOf, type RequestEnd} from './request_end';
 
 /** Lines that tell what an entry believed, apart from requests. */
-const BELIEFS = [
+const STATE_MESSAGES = [
   '[configuration] configuration in force',
   '[configuration] operator feed lost',
   '[configuration] operator feed regained',
@@ -13,7 +13,7 @@
 ];
 
 /** Instance and address of an attempt's target, as the entry logs them. */
-const TARGET = /ms (\S+) (\S+:\d+)/;
+const ATTEMPT_TARGET_PATTERN = /ms (\S+) (\S+:\d+)/;
 
 /**
  * The story of one request, from the log of the entry that handled it: what the
@@ -21,7 +21,7 @@
  *
  * Clocks of processes differ, so nothing is put in order by time across files.
  */
-export function* tellRequest(
+export function* traceRequest(
   lines: readonly LogLine[],
   request: string,
 ): Generator<string> {
@@ -30,20 +30,23 @@
     .filter(end => end !== undefined)
     .filter(end => end.request === request);
   for (const end of ends) {
-    const own = lines.filter(({source}) => source === end.line.source);
-    yield* tellEnd(own, end);
-    yield* tellTargets(own, end);
+    const entryLines = lines.filter(({source}) => source === end.line.source);
+    yield* traceEnd(entryLines, end);
+    yield* traceTargets(entryLines, end);
     yield `Cause: ${causeText(end)}`;
   }
 }
 
-function* tellEnd(own: readonly LogLine[], end: RequestEnd): Generator<string> {
+function* traceEnd(
+  entryLines: readonly LogLine[],
+  end: RequestEnd,
+): Generator<string> {
   const {source, time} = end.line;
   yield `${source}:`;
-  const before = own.slice(0, own.indexOf(end.line));
-  for (const belief of BELIEFS) {
-    const last = before.findLast(({message}) => message === belief);
-    if (last !== undefined) yield `  ${lineText(last)}`;
+  const before = entryLines.slice(0, entryLines.indexOf(end.line));
+  for (const stateMessage of STATE_MESSAGES) {
+    const last = before.findLast(({message}) => message === stateMessage);
+    if (last !== undefined) yield `  ${formatLine(last)}`;
   }
   if (end.kind === 'forwarded') {
     for (const attempt of end.attempts) yield `  attempt: ${attempt}`;
@@ -52,24 +55,26 @@
 }
 
 /** What the list last said of each target before the end, and next after. */
-function* tellTargets(
-  own: readonly LogLine[],
+function* traceTargets(
+  entryLines: readonly LogLine[],
   end: RequestEnd,
 ): Generator<string> {
   if (end.kind !== 'forwarded') return;
-  const at = own.indexOf(end.line);
-  const targets = end.attempts.map(attempt => TARGET.exec(attempt)?.[1]);
+  const endIndex = entryLines.indexOf(end.line);
+  const targets = end.attempts.map(
+    attempt => ATTEMPT_TARGET_PATTERN.exec(attempt)?.[1],
+  );
   for (const target of new Set(targets)) {
-    const isAbout = ({message, fields}: LogLine): boolean =>
+    const concernsTarget = ({message, fields}: LogLine): boolean =>
       message.startsWith('[routing] target') && fields['instance'] === target;
-    const before = own.slice(0, at).findLast(isAbout);
-    const after = own.slice(at).find(isAbout);
-    if (before !== undefined) yield `  ${lineText(before)}`;
-    if (after !== undefined) yield `  ${lineText(after)}`;
+    const before = entryLines.slice(0, endIndex).findLast(concernsTarget);
+    const after = entryLines.slice(endIndex).find(concernsTarget);
+    if (before !== undefined) yield `  ${formatLine(before)}`;
+    if (after !== undefined) yield `  ${formatLine(after)}`;
   }
 }
 
-function lineText({time, message, fields}: LogLine): string {
+function formatLine({time, message, fields}: LogLine): string {
   return `${time} ${message} ${JSON.stringify(fields)}`;
 }
 
--- a/packages/hibiscusbeam/src/main.ts
+++ b/packages/hibiscusbeam/src/main.ts
@@ -9,15 +9,15 @@
   part: 'process',
 });
 
-function endOnFailure(error: unknown): void {
+function exitOnError(error: unknown): void {
   log.error('uncaught error', {error});
   process.exit(EXIT_CODES.refused);
 }
 
 async function readInput(): Promise<string> {
-  const pieces: Buffer[] = [];
-  for await (const piece of process.stdin) pieces.push(piece as Buffer);
-  return Buffer.concat(pieces).toString('utf8');
+  const chunks: Buffer[] = [];
+  for await (const chunk of process.stdin) chunks.push(chunk as Buffer);
+  return Buffer.concat(chunks).toString('utf8');
 }
 
 const context: ProgramContext = {
@@ -45,8 +45,8 @@
 // fail; a process of the site must outlive whoever reads its log.
 process.stderr.on('error', () => undefined);
 process.stdout.on('error', () => undefined);
-process.on('uncaughtException', endOnFailure);
-process.on('unhandledRejection', endOnFailure);
+process.on('uncaughtException', exitOnError);
+process.on('unhandledRejection', exitOnError);
 
 void runProgram(context, process.argv.slice(2)).then(code => {
   process.exitCode = code;
--- a/packages/hibiscusbeam/src/operator/operator_client.ts
+++ b/packages/hibiscusbeam/src/operator/operator_client.ts
@@ -19,7 +19,7 @@
 const REPLY_TIMEOUT_MILLISECONDS = 30_000;
 
 /** Errors of a connection that was never made: nothing was sent. */
-const NOT_SENT: ReadonlySet<string> = new Set([
+const CONNECT_ERROR_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -27,7 +27,7 @@
 ]);
 
 /** Refusals with a status from 500 by which the entry says it did nothing. */
-const NOTHING_DONE: ReadonlySet<string> = new Set([
+const NO_EFFECT_REFUSALS: ReadonlySet<string> = new Set([
   'platformUnavailable',
   'starting',
 ]);
@@ -67,7 +67,8 @@
 ): OperatorClient {
   const read = <Schema extends z.ZodType>(path: string, schema: Schema) =>
     exchange(options, {method: 'GET', path, schema, changes: false});
-  const pathOf = (planId: string) => `/v1/plans/${encodeURIComponent(planId)}`;
+  const planPath = (planId: string) =>
+    `/v1/plans/${encodeURIComponent(planId)}`;
   return {
     plan: intent =>
       exchange(options, {
@@ -80,16 +81,16 @@
     confirm: planId =>
       exchange(options, {
         method: 'POST',
-        path: `${pathOf(planId)}/confirm`,
+        path: `${planPath(planId)}/confirm`,
         schema: confirmReplySchema,
         changes: true,
       }),
-    show: planId => read(pathOf(planId), planReplySchema),
+    show: planId => read(planPath(planId), planReplySchema),
     list: () => read('/v1/plans', planListReplySchema),
     abandon: planId =>
       exchange(options, {
         method: 'DELETE',
-        path: pathOf(planId),
+        path: planPath(planId),
         schema: abandonReplySchema,
         changes: true,
       }),
@@ -101,22 +102,22 @@
   options: OperatorClientOptions,
   call: Call<Schema>,
 ): OperatorResult<z.output<Schema>> {
-  const answer = await send(options, call);
-  if (answer.err) return answer;
-  const {status, json} = answer.val;
+  const response = await sendRequest(options, call);
+  if (response.err) return response;
+  const {status, json} = response.val;
   if (status >= 400) return Err(refusalError(call, status, json));
   const value = call.schema.safeParse(json);
   if (value.success) return Ok({value: value.data, json});
   const problem = value.error.issues[0];
   return Err(
-    lost(
+    lostReplyError(
       call,
       `the entry's reply is not understood (${problem?.path.join('.')}: ${problem?.message}); use the program of the entry's version`,
     ),
   );
 }
 
-async function send<Schema extends z.ZodType>(
+async function sendRequest<Schema extends z.ZodType>(
   options: OperatorClientOptions,
   call: Call<Schema>,
 ): Promise<Result<{status: number; json: unknown}, OperatorError>> {
@@ -154,15 +155,15 @@
 ): OperatorError {
   const {code, message} = error as NodeJS.ErrnoException;
   const detail = `${entry}: ${code ?? ''} ${message}`.replace('  ', ' ');
-  if (NOT_SENT.has(code ?? '')) return {kind: 'unreachable', detail};
-  return lost(call, `${detail} (no reply)`);
+  if (CONNECT_ERROR_CODES.has(code ?? '')) return {kind: 'unreachable', detail};
+  return lostReplyError(call, `${detail} (no reply)`);
 }
 
 /**
  * A lost reply to a confirmation does not mean that nothing happened. Telling
  * the operator "unreachable" would have them plan the same change again.
  */
-function lost<Schema extends z.ZodType>(
+function lostReplyError<Schema extends z.ZodType>(
   call: Call<Schema>,
   detail: string,
 ): OperatorError {
@@ -177,7 +178,7 @@
   const refusal = refusalSchema.safeParse(json);
   if (refusal.success) return errorOfRefusal(call, status, refusal.data);
   const detail = `the entry answered with status ${status}`;
-  if (status >= 500) return lost(call, detail);
+  if (status >= 500) return lostReplyError(call, detail);
   return {kind: 'refused', refusal: {error: `status ${status}`, detail}};
 }
 
@@ -190,9 +191,9 @@
   if (refusal.error === 'outcomeUnknown') {
     return {kind: 'outcomeUnknown', detail};
   }
-  if (NOTHING_DONE.has(refusal.error)) {
+  if (NO_EFFECT_REFUSALS.has(refusal.error)) {
     return {kind: 'unreachable', detail};
   }
-  if (status >= 500) return lost(call, detail);
+  if (status >= 500) return lostReplyError(call, detail);
   return {kind: 'refused', refusal};
 }
--- a/packages/hibiscusbeam/src/operator/replies.ts
+++ b/packages/hibiscusbeam/src/operator/replies.ts
@@ -101,7 +101,7 @@
   versions: z.array(versionStatusSchema),
 });
 
-const otherChangeSchema = z.object({
+const conflictingChangeSchema = z.object({
   generation: z.number(),
   planId: z.string(),
   summary: z.string(),
@@ -116,7 +116,7 @@
   field: z.string().optional(),
   advice: z.string().optional(),
   faults: z.array(z.object({path: z.string(), detail: z.string()})).optional(),
-  others: z.array(otherChangeSchema).optional(),
+  others: z.array(conflictingChangeSchema).optional(),
 });
 
 /** What a plan would do, and what became of it. */
--- a/packages/hibiscusbeam/src/output/error_text.ts
+++ b/packages/hibiscusbeam/src/output/error_text.ts
@@ -1,21 +1,21 @@
 import {EXIT_CODES, type ExitCode} from '../exit_codes';
 import type {Refusal} from '../operator/replies';
 import type {OperatorError} from '../operator/types';
-import {cleanText} from './text';
+import {sanitizeText} from './text';
 
 /** Lines for standard error, each of which names what to do or what is wrong. */
 export function describeError(error: OperatorError): readonly string[] {
   switch (error.kind) {
     case 'refused':
-      return describeRefusal(error.refusal).map(cleanText);
+      return describeRefusal(error.refusal).map(sanitizeText);
     case 'unreachable':
       return [
-        `unreachable: ${cleanText(error.detail)}`,
+        `unreachable: ${sanitizeText(error.detail)}`,
         'nothing was changed; try again, or name another entry with --entry',
       ];
     case 'outcomeUnknown':
       return [
-        `outcome unknown: ${cleanText(error.detail)}`,
+        `outcome unknown: ${sanitizeText(error.detail)}`,
         'it may have taken effect; ask again with the same plan id, which is safe to repeat',
       ];
   }
--- a/packages/hibiscusbeam/src/output/plan_text.ts
+++ b/packages/hibiscusbeam/src/output/plan_text.ts
@@ -1,5 +1,5 @@
 import type {MoveReply, PlanListReply, PlanReply} from '../operator/replies';
-import {cleanText, formatBytes, formatSeconds, formatTable} from './text';
+import {sanitizeText, formatBytes, formatSeconds, formatTable} from './text';
 
 interface Subject {
   readonly kind: string;
@@ -11,14 +11,14 @@
   const {plan, state} = reply;
   const sections = [
     [
-      `Plan ${plan.planId}: ${cleanText(plan.summary)}`,
+      `Plan ${plan.planId}: ${sanitizeText(plan.summary)}`,
       `by ${plan.operator}, on generation ${plan.base}, ${describeState(state)}`,
     ].join('\n'),
     section(
       'Changes',
       ['WHAT', 'BEFORE', 'AFTER'],
       plan.changes.map(change => [
-        nameOf(change.subject),
+        formatSubject(change.subject),
         change.before,
         change.after,
       ]),
@@ -38,7 +38,7 @@
       'Owners',
       ['WHAT', 'BEFORE', 'AFTER'],
       plan.owners.map(owner => [
-        nameOf(owner.subject),
+        formatSubject(owner.subject),
         owner.before,
         owner.after,
       ]),
@@ -46,15 +46,18 @@
     section(
       'Warnings',
       ['WHAT', 'WARNING'],
-      plan.warnings.map(warning => [nameOf(warning.subject), warning.detail]),
+      plan.warnings.map(warning => [
+        formatSubject(warning.subject),
+        warning.detail,
+      ]),
     ),
-    describeForce(reply),
+    describeInForce(reply),
     ...(reply.move === undefined ? [] : describeMove(reply.move)),
   ];
   return sections.filter(text => text !== '').join('\n\n');
 }
 
-function describeForce({inForce, lagging}: PlanReply): string {
+function describeInForce({inForce, lagging}: PlanReply): string {
   if (inForce === undefined) return '';
   if (inForce) return 'In force everywhere.';
   const rows = (lagging ?? []).map(({instance, generation}) => [
@@ -65,7 +68,7 @@
 }
 
 /** Why a move waits for a process, in an operator's words. */
-const REASONS: Readonly<Record<string, string>> = {
+const WAIT_REASONS: Readonly<Record<string, string>> = {
   behind: 'has not adopted the closing generation',
   busy: 'has requests or orders in progress',
   silent: 'does not answer',
@@ -87,7 +90,7 @@
     case 'closed': {
       const rows = awaited.map(({process, reason}) => [
         process,
-        REASONS[reason] ?? reason,
+        WAIT_REASONS[reason] ?? reason,
       ]);
       const closed = `Move: closed on both sides since generation ${closedAt}`;
       if (rows.length === 0) return [`${closed}; about to open.`];
@@ -126,6 +129,6 @@
   return `${state.kind} as generation ${state.generation}`;
 }
 
-function nameOf(subject: Subject): string {
+function formatSubject(subject: Subject): string {
   return `${subject.kind} ${subject.name}`;
 }
--- a/packages/hibiscusbeam/src/output/status_text.ts
+++ b/packages/hibiscusbeam/src/output/status_text.ts
@@ -2,12 +2,12 @@
 import {formatBar, formatBytes, formatSeconds, formatTable} from './text';
 
 const BAR_WIDTH = 20;
-const DIGEST_SHOWN = 19;
+const SHOWN_DIGEST_LENGTH = 19;
 
 /** The site's status for people; with bars on a terminal. */
 export function formatStatus(status: StatusReply, bars: boolean): string {
-  const first = `Generation ${status.generation}`;
-  if (status.versions.length === 0) return `${first}\nNo versions.`;
+  const header = `Generation ${status.generation}`;
+  if (status.versions.length === 0) return `${header}\nNo versions.`;
   const headings = [
     'MODEL',
     'VERSION',
@@ -20,19 +20,19 @@
   const rows = status.versions.map(version => [
     version.model,
     version.label,
-    version.versionDigest.slice(0, DIGEST_SHOWN),
+    version.versionDigest.slice(0, SHOWN_DIGEST_LENGTH),
     `${version.instancesDone}/${version.instancesTotal}`,
     `${version.chunksHeld}/${version.chunksTotal}`,
     formatBytes(version.originBytes),
     describeEnd(version),
-    ...(bars ? [formatBar(shareHeld(version), BAR_WIDTH)] : []),
+    ...(bars ? [formatBar(completedShare(version), BAR_WIDTH)] : []),
   ]);
   const table = formatTable(bars ? [...headings, ''] : headings, rows);
-  return `${first}\n${table}`;
+  return `${header}\n${table}`;
 }
 
 /** Whether every instance serves every version. */
-export function isSettled(status: StatusReply): boolean {
+export function isComplete(status: StatusReply): boolean {
   return status.versions.every(isDone);
 }
 
@@ -46,7 +46,7 @@
   return `in ${formatSeconds(version.expectedEnd / 1_000)}`;
 }
 
-function shareHeld(version: VersionStatus): number {
+function completedShare(version: VersionStatus): number {
   if (isDone(version)) return 1;
   if (version.chunksTotal === 0) return 0;
   return version.chunksHeld / version.chunksTotal;
--- a/packages/hibiscusbeam/src/output/text.ts
+++ b/packages/hibiscusbeam/src/output/text.ts
@@ -1,7 +1,7 @@
 const BINARY_UNITS = ['B', 'KiB', 'MiB', 'GiB', 'TiB'];
 
 /** Text without control characters, which could act on the terminal. */
-export function cleanText(text: string): string {
+export function sanitizeText(text: string): string {
   return text.replace(/[\u0000-\u001f\u007f-\u009f]/g, ' ');
 }
 
@@ -10,7 +10,7 @@
   headings: readonly string[],
   rows: readonly (readonly string[])[],
 ): string {
-  const lines = [headings, ...rows].map(row => row.map(cleanText));
+  const lines = [headings, ...rows].map(row => row.map(sanitizeText));
   const widths = headings.map((_heading, column) =>
     Math.max(...lines.map(line => line[column]?.length ?? 0)),
   );
@@ -38,16 +38,16 @@
 
 /** A duration for people, such as `2 m 5 s`. */
 export function formatSeconds(seconds: number): string {
-  const whole = Math.ceil(seconds);
-  if (whole < 60) return `${whole} s`;
-  const minutes = Math.floor(whole / 60);
-  if (minutes < 60) return `${minutes} m ${whole % 60} s`;
+  const wholeSeconds = Math.ceil(seconds);
+  if (wholeSeconds < 60) return `${wholeSeconds} s`;
+  const minutes = Math.floor(wholeSeconds / 60);
+  if (minutes < 60) return `${minutes} m ${wholeSeconds % 60} s`;
   return `${Math.floor(minutes / 60)} h ${minutes % 60} m`;
 }
 
 /** A bar such as `[####......]` for a share from 0 to 1. */
 export function formatBar(share: number, width: number): string {
   const bounded = Math.min(1, Math.max(0, share));
-  const full = Math.floor(bounded * width);
-  return `[${'#'.repeat(full)}${'.'.repeat(width - full)}]`;
+  const filledWidth = Math.floor(bounded * width);
+  return `[${'#'.repeat(filledWidth)}${'.'.repeat(width - filledWidth)}]`;
 }
--- a/packages/hibiscusbeam/src/process/supervise.ts
+++ b/packages/hibiscusbeam/src/process/supervise.ts
@@ -23,26 +23,26 @@
 ): Promise<ExitCode> {
   const {log} = options;
   let signalCount = 0;
-  let stopAsked = (): void => undefined;
-  let endAsked = (): void => undefined;
-  const firstSignal = new Promise<void>(resolve => (stopAsked = resolve));
-  const secondSignal = new Promise<void>(resolve => (endAsked = resolve));
-  const silence = options.signals(signal => {
+  let requestStop = (): void => undefined;
+  let requestExit = (): void => undefined;
+  const firstSignal = new Promise<void>(resolve => (requestStop = resolve));
+  const secondSignal = new Promise<void>(resolve => (requestExit = resolve));
+  const unsubscribe = options.signals(signal => {
     signalCount += 1;
     log.info(signalCount === 1 ? 'stopping gracefully' : 'ending at once', {
       signal,
     });
-    if (signalCount === 1) stopAsked();
-    else endAsked();
+    if (signalCount === 1) requestStop();
+    else requestExit();
   });
-  const ended = secondSignal.then((): ExitCode => EXIT_CODES.refused);
+  const exited = secondSignal.then((): ExitCode => EXIT_CODES.refused);
   try {
-    return await Promise.race([runToStop(options, firstSignal), ended]);
+    return await Promise.race([runToStop(options, firstSignal), exited]);
   } catch (error) {
     log.error('the process failed', {error});
     return EXIT_CODES.refused;
   } finally {
-    silence();
+    unsubscribe();
   }
 }
 
--- a/packages/laboratory/src/chunk_transfers.ts
+++ b/packages/laboratory/src/chunk_transfers.ts
@@ -8,26 +8,26 @@
   UploadId,
 } from '@hibiscusbeam/core';
 import {createLink} from './link';
-import {isFrozen, type LinkedAgent} from './linked_agent';
+import {isUnresponsive, type SimulatedAgent} from './simulated_agent';
 import type {SwarmSite} from './swarm_site';
 import type {VirtualClock} from './virtual_clock';
 
 /** Time in which the origin refuses while it is away. */
-const REFUSAL_TIME: Milliseconds = 1;
+const REFUSAL_DELAY: Milliseconds = 1;
 
 /** A chunk that an agent asks for. */
 export interface ChunkRequest {
-  readonly by: LinkedAgent;
+  readonly requester: SimulatedAgent;
   readonly transfer: TransferId;
   readonly digest: Digest;
 }
 
 /** Moves chunks over the links of a site. */
 export interface ChunkTransfers {
-  readonly askOrigin: (request: ChunkRequest) => void;
-  readonly askNeighbour: (
+  readonly requestFromOrigin: (request: ChunkRequest) => void;
+  readonly requestFromNeighbour: (
     request: ChunkRequest,
-    neighbour: LinkedAgent,
+    neighbour: SimulatedAgent,
   ) => void;
   readonly startUpload: (upload: UploadId) => void;
   readonly refuseUpload: (upload: UploadId, failure: RequestFailure) => void;
@@ -38,11 +38,11 @@
   readonly site: SwarmSite;
   readonly clock: VirtualClock;
   /** Tells an agent's swarm node what happens to it. */
-  readonly tell: (agent: LinkedAgent, event: SwarmEvent) => void;
+  readonly dispatch: (agent: SimulatedAgent, event: SwarmEvent) => void;
 }
 
 interface Upload {
-  readonly from: LinkedAgent;
+  readonly from: SimulatedAgent;
   readonly request: ChunkRequest;
 }
 
@@ -50,117 +50,133 @@
 export function createChunkTransfers({
   site,
   clock,
-  tell,
+  dispatch,
 }: ChunkTransfersOptions): ChunkTransfers {
   const originLink = createLink(site.originRate);
   const uploads = new Map<UploadId, Upload>();
 
-  const pieceAfter = (sent: Bytes): Bytes =>
+  const nextPieceSize = (sent: Bytes): Bytes =>
     Math.min(site.policy.pieceSize, site.chunkSize - sent);
 
-  const isCancelled = ({by, transfer}: ChunkRequest): boolean =>
-    by.cancelled.has(transfer);
+  const isCancelled = ({requester, transfer}: ChunkRequest): boolean =>
+    requester.cancelled.has(transfer);
 
-  function latency(from: LinkedAgent, to: LinkedAgent): Milliseconds {
+  function latency(from: SimulatedAgent, to: SimulatedAgent): Milliseconds {
     return site.latency(from.description.zone, to.description.zone);
   }
 
-  function fail(
-    {by, transfer}: ChunkRequest,
+  function failRequest(
+    {requester, transfer}: ChunkRequest,
     failure: RequestFailure,
     delay: Milliseconds,
   ): void {
-    clock.later(delay, () =>
-      tell(by, {kind: 'requestFailed', transfer, failure}),
+    clock.schedule(delay, () =>
+      dispatch(requester, {kind: 'requestFailed', transfer, failure}),
     );
   }
 
-  function askOrigin(request: ChunkRequest): void {
-    if (clock.now() >= site.originFrom) return sendFromOrigin(request, 0);
-    fail(request, {kind: 'unavailable'}, REFUSAL_TIME);
+  function requestFromOrigin(request: ChunkRequest): void {
+    if (clock.now() >= site.originStartsAt) return sendFromOrigin(request, 0);
+    failRequest(request, {kind: 'unavailable'}, REFUSAL_DELAY);
   }
 
   function sendFromOrigin(request: ChunkRequest, sent: Bytes): void {
     if (isCancelled(request)) return;
-    const bytes = pieceAfter(sent);
-    request.by.originBytes += bytes;
-    const through = originLink.carry(bytes, clock.now());
-    clock.later(through - clock.now(), () => {
-      receive(request, bytes, sent + bytes);
+    const bytes = nextPieceSize(sent);
+    request.requester.originBytes += bytes;
+    const transmittedAt = originLink.transmit(bytes, clock.now());
+    clock.schedule(transmittedAt - clock.now(), () => {
+      receivePiece(request, bytes, sent + bytes);
       if (sent + bytes < site.chunkSize) sendFromOrigin(request, sent + bytes);
     });
   }
 
-  function askNeighbour(request: ChunkRequest, from: LinkedAgent): void {
-    const {by, digest} = request;
-    clock.later(latency(by, from), () => {
+  function requestFromNeighbour(
+    request: ChunkRequest,
+    from: SimulatedAgent,
+  ): void {
+    const {requester, digest} = request;
+    clock.schedule(latency(requester, from), () => {
       const upload = uploads.size + 1;
       uploads.set(upload, {from, request});
-      const neighbour = by.description.instance;
-      tell(from, {kind: 'uploadAsked', upload, neighbour, digest});
+      const neighbour = requester.description.instance;
+      dispatch(from, {kind: 'uploadAsked', upload, neighbour, digest});
     });
   }
 
   /** Sends an upload's next piece once the sender's pace lets it. */
-  function send(id: UploadId, {from, request}: Upload, sent: Bytes): void {
-    if (isFrozen(from, clock.now())) return;
+  function sendNextPiece(
+    id: UploadId,
+    {from, request}: Upload,
+    sent: Bytes,
+  ): void {
+    if (isUnresponsive(from, clock.now())) return;
     if (isCancelled(request)) {
-      return tell(from, {kind: 'uploadEnded', upload: id});
+      return dispatch(from, {kind: 'uploadEnded', upload: id});
     }
-    const bytes = pieceAfter(sent);
-    const paced = from.upPace.reserve(bytes, clock.now());
-    clock.later(paced - clock.now(), () => {
-      carry(from, request, bytes, sent + bytes);
-      tell(from, {kind: 'uploadProgress', upload: id});
+    const bytes = nextPieceSize(sent);
+    const allowedAt = from.uploadPacer.reserve(bytes, clock.now());
+    clock.schedule(allowedAt - clock.now(), () => {
+      transmitPiece(from, request, bytes, sent + bytes);
+      dispatch(from, {kind: 'uploadProgress', upload: id});
       if (sent + bytes < site.chunkSize) {
-        send(id, {from, request}, sent + bytes);
-      } else tell(from, {kind: 'uploadEnded', upload: id});
+        sendNextPiece(id, {from, request}, sent + bytes);
+      } else dispatch(from, {kind: 'uploadEnded', upload: id});
     });
   }
 
   /** Carries a piece over the sender's link and to the other machine. */
-  function carry(
-    from: LinkedAgent,
+  function transmitPiece(
+    from: SimulatedAgent,
     request: ChunkRequest,
     bytes: Bytes,
     received: Bytes,
   ): void {
-    const {by: to} = request;
+    const {requester: to} = request;
     if (to.description.zone !== from.description.zone) {
       to.crossZoneBytes += bytes;
     }
-    const through = from.upLink.carry(bytes, clock.now());
-    const arrival = through - clock.now() + latency(from, to);
-    clock.later(arrival, () => receive(request, bytes, received));
+    const transmittedAt = from.uplink.transmit(bytes, clock.now());
+    const arrival = transmittedAt - clock.now() + latency(from, to);
+    clock.schedule(arrival, () => receivePiece(request, bytes, received));
   }
 
-  function receive(request: ChunkRequest, bytes: Bytes, received: Bytes): void {
-    const {by, transfer, digest} = request;
-    const through = by.downLink.carry(bytes, clock.now());
-    clock.later(through - clock.now(), () => {
-      const paced = by.downPace.reserve(bytes, clock.now());
-      clock.later(paced - clock.now(), () => {
+  function receivePiece(
+    request: ChunkRequest,
+    bytes: Bytes,
+    received: Bytes,
+  ): void {
+    const {requester, transfer, digest} = request;
+    const transmittedAt = requester.downlink.transmit(bytes, clock.now());
+    clock.schedule(transmittedAt - clock.now(), () => {
+      const allowedAt = requester.downloadPacer.reserve(bytes, clock.now());
+      clock.schedule(allowedAt - clock.now(), () => {
         if (isCancelled(request)) return;
         if (received < site.chunkSize) {
-          return tell(by, {kind: 'progress', transfer, bytes});
+          return dispatch(requester, {kind: 'progress', transfer, bytes});
         }
-        tell(by, {kind: 'chunkArrived', transfer, digest, verified: true});
+        dispatch(requester, {
+          kind: 'chunkArrived',
+          transfer,
+          digest,
+          verified: true,
+        });
       });
     });
   }
 
   return {
-    askOrigin,
-    askNeighbour,
+    requestFromOrigin,
+    requestFromNeighbour,
     startUpload: id => {
       const upload = uploads.get(id);
-      if (upload !== undefined) send(id, upload, 0);
+      if (upload !== undefined) sendNextPiece(id, upload, 0);
     },
     refuseUpload: (id, failure) => {
       const upload = uploads.get(id);
       if (upload === undefined) return;
       const {from, request} = upload;
-      fail(request, failure, latency(from, request.by));
+      failRequest(request, failure, latency(from, request.requester));
     },
   };
 }
--- a/packages/laboratory/src/experiment/experiment_file.ts
+++ b/packages/laboratory/src/experiment/experiment_file.ts
@@ -3,8 +3,8 @@
 import {parseDocument} from 'yaml';
 import * as z from 'zod';
 
-const positive = z.number().positive();
-const whole = z.int().positive();
+const positiveNumber = z.number().positive();
+const positiveInteger = z.int().positive();
 const share = z.number().min(0).max(1);
 
 const caseSchema = z.discriminatedUnion('kind', [
@@ -15,7 +15,7 @@
   /** Engines join that serve nothing, one each `gap` ms; the others hold it. */
   z.strictObject({
     kind: z.literal('joining'),
-    engines: whole,
+    engines: positiveInteger,
     gap: z.number().min(0),
   }),
   /** One engine's machine freezes for good so many ms after the naming. */
@@ -24,36 +24,39 @@
 
 const policySchema = z
   .strictObject({
-    transferBuffer: whole,
-    downloadSlots: whole,
-    uploadSlots: whole,
-    crossZoneRanks: whole,
+    transferBuffer: positiveInteger,
+    downloadSlots: positiveInteger,
+    uploadSlots: positiveInteger,
+    crossZoneRanks: positiveInteger,
     settleTime: z.number().min(0),
     longestOriginWait: z.number().min(0),
     headroom: share,
     shareBesideLive: share,
-    pieceSize: whole,
+    pieceSize: positiveInteger,
   } satisfies {[field in keyof TransferPolicy]: z.ZodType<number>})
   .partial()
   .transform((changes): TransferPolicy => ({
     ...AGENT_TRANSFER_POLICY,
-    ...defined(changes),
+    ...omitUndefined(changes),
   }));
 
 const experimentSchema = z.strictObject({
   site: z.strictObject({
-    zones: whole,
-    engines: whole.max(2_000),
+    zones: positiveInteger,
+    engines: positiveInteger.max(2_000),
     /** Each way, of one engine's machine. */
-    engineLinkMegabits: positive,
-    originMegabits: positive,
+    engineLinkMegabits: positiveNumber,
+    originMegabits: positiveNumber,
     /** One way, in milliseconds. */
     latency: z.strictObject({
       withinZone: z.number().min(0),
       betweenZones: z.number().min(0),
     }),
   }),
-  version: z.strictObject({chunks: whole.max(65_536), chunkBytes: whole}),
+  version: z.strictObject({
+    chunks: positiveInteger.max(65_536),
+    chunkBytes: positiveInteger,
+  }),
   cases: z.array(caseSchema).min(1),
   /** By name; each has the fields that differ from what agents serve with. */
   policies: z.record(z.string(), policySchema),
@@ -91,7 +94,9 @@
   );
 }
 
-function defined(changes: Partial<TransferPolicy>): Partial<TransferPolicy> {
+function omitUndefined(
+  changes: Partial<TransferPolicy>,
+): Partial<TransferPolicy> {
   const entries = Object.entries(changes);
   return Object.fromEntries(entries.filter(([, value]) => value !== undefined));
 }
--- a/packages/laboratory/src/experiment/experiment_site.ts
+++ b/packages/laboratory/src/experiment/experiment_site.ts
@@ -3,53 +3,57 @@
 import type {Experiment, ExperimentCase} from './experiment_file';
 
 /** Bytes a second of a link of one megabit a second. */
-const MEGABIT = 1e6 / 8;
+const BYTES_PER_MEGABIT = 1e6 / 8;
 
 /** Time that an engine needs to stage a chunk, in milliseconds. */
-const STORE_TIME = 5;
+const STORE_TIME_MS = 5;
 
 /** The site of one run of an experiment. */
-export function siteOf(
+export function buildSite(
   experiment: Experiment,
-  which: ExperimentCase,
+  experimentCase: ExperimentCase,
   policy: TransferPolicy,
   seed: number,
 ): SwarmSite {
   const {site, version} = experiment;
   return {
-    agents: agentsOf(experiment, which, policy, seed),
-    originRate: site.originMegabits * MEGABIT,
-    originFrom: 0,
+    agents: buildAgents(experiment, experimentCase, policy, seed),
+    originRate: site.originMegabits * BYTES_PER_MEGABIT,
+    originStartsAt: 0,
     chunks: version.chunks,
     chunkSize: version.chunkBytes,
     latency: (from, to) =>
       from === to ? site.latency.withinZone : site.latency.betweenZones,
-    storeTime: STORE_TIME,
+    storeTime: STORE_TIME_MS,
     seed,
     policy,
   };
 }
 
-function agentsOf(
+function buildAgents(
   {site}: Experiment,
-  which: ExperimentCase,
+  experimentCase: ExperimentCase,
   policy: TransferPolicy,
   seed: number,
 ): readonly SiteAgent[] {
-  const joining = which.kind === 'joining' ? which.engines : 0;
-  return Array.from({length: site.engines + joining}, (_, place) => {
-    const joins = place >= site.engines;
-    const servesNothing = joins || which.kind === 'late';
+  const joiningCount =
+    experimentCase.kind === 'joining' ? experimentCase.engines : 0;
+  return Array.from({length: site.engines + joiningCount}, (_, index) => {
+    const joinsLater = index >= site.engines;
+    const servesNothing = joinsLater || experimentCase.kind === 'late';
     return {
-      instance: `engine-${seed}-${place}`,
-      zone: `zone-${place % site.zones}`,
+      instance: `engine-${seed}-${index}`,
+      zone: `zone-${index % site.zones}`,
       joinsAt:
-        which.kind === 'joining' && joins
-          ? (place - site.engines) * which.gap
+        experimentCase.kind === 'joining' && joinsLater
+          ? (index - site.engines) * experimentCase.gap
           : 0,
-      frozenFrom: which.kind === 'frozen' && place === 0 ? which.at : undefined,
-      holds: which.kind === 'joining' && !joins,
-      linkRate: site.engineLinkMegabits * MEGABIT,
+      frozenFrom:
+        experimentCase.kind === 'frozen' && index === 0
+          ? experimentCase.at
+          : undefined,
+      holds: experimentCase.kind === 'joining' && !joinsLater,
+      linkRate: site.engineLinkMegabits * BYTES_PER_MEGABIT,
       linkShare: servesNothing ? 1 : policy.shareBesideLive,
     };
   });
--- a/packages/laboratory/src/experiment/run_experiment.ts
+++ b/packages/laboratory/src/experiment/run_experiment.ts
@@ -1,7 +1,7 @@
 import type {Milliseconds} from '@hibiscusbeam/core';
 import {runSwarm} from '../swarm_run';
 import type {Experiment, ExperimentCase} from './experiment_file';
-import {siteOf} from './experiment_site';
+import {buildSite} from './experiment_site';
 
 /** What one policy gave in one case, over all seeds. */
 export interface ExperimentResult {
@@ -25,43 +25,48 @@
 export function* runExperiment(
   experiment: Experiment,
 ): Generator<ExperimentResult> {
-  for (const which of experiment.cases) {
+  for (const experimentCase of experiment.cases) {
     for (const policy of Object.keys(experiment.policies)) {
-      yield runCase(experiment, which, policy);
+      yield runCase(experiment, experimentCase, policy);
     }
   }
 }
 
 function runCase(
   experiment: Experiment,
-  which: ExperimentCase,
+  experimentCase: ExperimentCase,
   policy: string,
 ): ExperimentResult {
-  const times: Milliseconds[] = [];
+  const durations: Milliseconds[] = [];
   const last: Milliseconds[] = [];
   let without = 0;
   let originBytes = 0;
   let crossZoneBytes = 0;
   for (const seed of experiment.seeds) {
-    const site = siteOf(experiment, which, experiment.policies[policy]!, seed);
-    const taken: Milliseconds[] = [];
-    for (const [place, result] of runSwarm(site).entries()) {
+    const site = buildSite(
+      experiment,
+      experimentCase,
+      experiment.policies[policy]!,
+      seed,
+    );
+    const seedDurations: Milliseconds[] = [];
+    for (const [index, result] of runSwarm(site).entries()) {
       originBytes += result.originBytes;
       crossZoneBytes += result.crossZoneBytes;
-      const {joinsAt, holds, frozenFrom} = site.agents[place]!;
+      const {joinsAt, holds, frozenFrom} = site.agents[index]!;
       if (holds || frozenFrom !== undefined) continue;
       if (result.readyAt === undefined) without += 1;
-      else taken.push(result.readyAt - joinsAt);
+      else seedDurations.push(result.readyAt - joinsAt);
     }
-    times.push(...taken);
-    last.push(Math.max(0, ...taken));
+    durations.push(...seedDurations);
+    last.push(Math.max(0, ...seedDurations));
   }
   const {chunks, chunkBytes} = experiment.version;
   const bytes = chunks * chunkBytes * experiment.seeds.length;
   return {
     policy,
-    case: which,
-    mean: mean(times),
+    case: experimentCase,
+    mean: mean(durations),
     last: mean(last),
     worst: Math.max(...last),
     without,
--- a/packages/laboratory/src/linked_agent.ts
+++ b/packages/laboratory/src/simulated_agent.ts
@@ -11,49 +11,49 @@
 import type {SiteAgent, SwarmSite} from './swarm_site';
 
 /** An agent of a site with its swarm node and its links. */
-export interface LinkedAgent {
+export interface SimulatedAgent {
   readonly description: SiteAgent;
   readonly node: SwarmNode;
-  readonly upLink: Link;
-  readonly downLink: Link;
+  readonly uplink: Link;
+  readonly downlink: Link;
   /** What it takes of its links itself. */
-  readonly upPace: TransferPacer;
-  readonly downPace: TransferPacer;
+  readonly uploadPacer: TransferPacer;
+  readonly downloadPacer: TransferPacer;
   /** Downloads that were cancelled. */
   readonly cancelled: Set<TransferId>;
   /** When it next looks for what is due; undefined if nothing is. */
-  wakeUp: number | undefined;
+  wakeUpAt: number | undefined;
   readyAt: number | undefined;
   originBytes: Bytes;
   crossZoneBytes: Bytes;
 }
 
 /** Whether an agent has left, or its machine is frozen, at `now`. */
-export function isFrozen(
-  {description: {frozenFrom = Infinity, leavesAt = Infinity}}: LinkedAgent,
+export function isUnresponsive(
+  {description: {frozenFrom = Infinity, leavesAt = Infinity}}: SimulatedAgent,
   now: MonotonicInstant,
 ): boolean {
   return now >= Math.min(frozenFrom, leavesAt);
 }
 
 /** Creates an agent as it stands before it takes part. */
-export function createLinkedAgent(
+export function createSimulatedAgent(
   description: SiteAgent,
   site: SwarmSite,
   seed: number,
-): LinkedAgent {
+): SimulatedAgent {
   const {instance, zone, linkRate, linkShare} = description;
   const node = createSwarmNode({instance, zone, seed, ...site.policy});
   const share = (): number => Math.min(node.transferShare(), linkShare);
   return {
     description,
     node,
-    upLink: createLink(linkRate),
-    downLink: createLink(linkRate),
-    upPace: createTransferPacer(linkRate, share),
-    downPace: createTransferPacer(linkRate, share),
+    uplink: createLink(linkRate),
+    downlink: createLink(linkRate),
+    uploadPacer: createTransferPacer(linkRate, share),
+    downloadPacer: createTransferPacer(linkRate, share),
     cancelled: new Set(),
-    wakeUp: undefined,
+    wakeUpAt: undefined,
     readyAt: undefined,
     originBytes: 0,
     crossZoneBytes: 0,
--- a/packages/laboratory/src/swarm_run.ts
+++ b/packages/laboratory/src/swarm_run.ts
@@ -7,21 +7,25 @@
   type SwarmEvent,
 } from '@hibiscusbeam/core';
 import {createChunkTransfers} from './chunk_transfers';
-import {createLinkedAgent, isFrozen, type LinkedAgent} from './linked_agent';
+import {
+  createSimulatedAgent,
+  isUnresponsive,
+  type SimulatedAgent,
+} from './simulated_agent';
 import type {AgentResult, SwarmSite} from './swarm_site';
 import {createVirtualClock} from './virtual_clock';
 
 /** Longest played time. */
-const LONGEST_RUN: Milliseconds = 60_000;
+const MAX_RUN_TIME: Milliseconds = 60_000;
 
 /** Time until the others know of an agent that joins: a call and a change. */
-const MEMBERS_TIME: Milliseconds = 150;
+const MEMBERSHIP_DELAY: Milliseconds = 150;
 
 /** Time without an answer after which a neighbour counts as lost. */
-const LOST_AFTER: Milliseconds = 600;
+const NEIGHBOUR_TIMEOUT: Milliseconds = 600;
 
 /** Spread of the moments at which agents hear of a version. */
-const NEWS_SPREAD: Milliseconds = 100;
+const VERSION_DELAY_SPREAD: Milliseconds = 100;
 
 const VERSION = 'version';
 
@@ -37,54 +41,54 @@
     label: VERSION,
     chunks: digests.map(digest => ({digest, size: site.chunkSize})),
   };
-  const agents = site.agents.map((agent, place) =>
-    createLinkedAgent(agent, site, site.seed * 1000 + place),
+  const agents = site.agents.map((agent, index) =>
+    createSimulatedAgent(agent, site, site.seed * 1000 + index),
   );
-  const byName = new Map<InstanceName, LinkedAgent>(
+  const byName = new Map<InstanceName, SimulatedAgent>(
     agents.map(agent => [agent.description.instance, agent]),
   );
-  let joined: readonly LinkedAgent[] = [];
-  const transfers = createChunkTransfers({site, clock, tell});
+  let joined: readonly SimulatedAgent[] = [];
+  const transfers = createChunkTransfers({site, clock, dispatch});
 
-  function tell(agent: LinkedAgent, event: SwarmEvent): void {
-    if (isFrozen(agent, clock.now())) return;
+  function dispatch(agent: SimulatedAgent, event: SwarmEvent): void {
+    if (isUnresponsive(agent, clock.now())) return;
     for (const effect of agent.node.handle(event, clock.now())) {
-      carryOut(agent, effect);
+      runEffect(agent, effect);
     }
-    wakeUpLater(agent);
+    scheduleWakeUp(agent);
   }
 
-  function wakeUpLater(agent: LinkedAgent): void {
+  function scheduleWakeUp(agent: SimulatedAgent): void {
     const at = agent.node.nextWakeUp();
-    if (at === undefined || at === agent.wakeUp) return;
-    agent.wakeUp = at;
-    clock.later(Math.max(1, at - clock.now()), () => {
-      agent.wakeUp = undefined;
-      tell(agent, {kind: 'tick'});
+    if (at === undefined || at === agent.wakeUpAt) return;
+    agent.wakeUpAt = at;
+    clock.schedule(Math.max(1, at - clock.now()), () => {
+      agent.wakeUpAt = undefined;
+      dispatch(agent, {kind: 'tick'});
     });
   }
 
-  function carryOut(by: LinkedAgent, effect: SwarmEffect): void {
+  function runEffect(agent: SimulatedAgent, effect: SwarmEffect): void {
     switch (effect.kind) {
       case 'askOrigin':
-        return transfers.askOrigin({by, ...effect});
+        return transfers.requestFromOrigin({requester: agent, ...effect});
       case 'askNeighbour':
-        return transfers.askNeighbour(
-          {by, ...effect},
+        return transfers.requestFromNeighbour(
+          {requester: agent, ...effect},
           byName.get(effect.neighbour)!,
         );
       case 'cancel':
-        by.cancelled.add(effect.transfer);
+        agent.cancelled.add(effect.transfer);
         return;
       case 'storeChunk': {
         const {digest, life} = effect;
-        return clock.later(site.storeTime, () =>
-          tell(by, {kind: 'chunkStored', digest, life}),
+        return clock.schedule(site.storeTime, () =>
+          dispatch(agent, {kind: 'chunkStored', digest, life}),
         );
       }
       case 'announce':
         for (const name of effect.neighbours) {
-          announce(by, byName.get(name)!, effect.gained);
+          announce(agent, byName.get(name)!, effect.gained);
         }
         return;
       case 'startUpload':
@@ -92,7 +96,7 @@
       case 'refuseUpload':
         return transfers.refuseUpload(effect.upload, effect.failure);
       case 'ready':
-        by.readyAt ??= clock.now();
+        agent.readyAt ??= clock.now();
         return;
       case 'cutOff':
       case 'stopUpload':
@@ -103,40 +107,40 @@
   }
 
   function announce(
-    from: LinkedAgent,
-    to: LinkedAgent,
+    from: SimulatedAgent,
+    to: SimulatedAgent,
     gained: readonly number[],
   ): void {
     const {instance: neighbour, zone} = from.description;
-    const {instance: silent} = to.description;
-    clock.later(site.latency(zone, to.description.zone), () => {
-      if (isFrozen(to, clock.now())) {
-        return clock.later(LOST_AFTER, () =>
-          tell(from, {kind: 'neighbourGone', neighbour: silent}),
+    const {instance: frozenInstance} = to.description;
+    clock.schedule(site.latency(zone, to.description.zone), () => {
+      if (isUnresponsive(to, clock.now())) {
+        return clock.schedule(NEIGHBOUR_TIMEOUT, () =>
+          dispatch(from, {kind: 'neighbourGone', neighbour: frozenInstance}),
         );
       }
       const versionDigest = VERSION;
-      tell(to, {kind: 'neighbourHave', neighbour, versionDigest, gained});
+      dispatch(to, {kind: 'neighbourHave', neighbour, versionDigest, gained});
     });
   }
 
-  function setMembers(next: readonly LinkedAgent[]): void {
+  function setMembers(next: readonly SimulatedAgent[]): void {
     joined = next;
     for (const other of joined) {
       const members = joined
         .filter(member => member !== other)
         .map(({description: {instance, zone}}) => ({instance, zone}));
-      tell(other, {kind: 'membersChanged', members});
+      dispatch(other, {kind: 'membersChanged', members});
     }
   }
 
-  function want(agent: LinkedAgent): void {
-    tell(agent, {
+  function requestVersion(agent: SimulatedAgent): void {
+    dispatch(agent, {
       kind: 'heldReported',
       life: 'engine',
       digests: agent.description.holds ? digests : [],
     });
-    tell(agent, {
+    dispatch(agent, {
       kind: 'versionWanted',
       versionDigest: VERSION,
       manifest,
@@ -146,21 +150,28 @@
     });
   }
 
-  for (const [place, agent] of agents.entries()) {
-    const {joinsAt, wantsAt = joinsAt, leavesAt} = agent.description;
-    const delay = hash32(`${site.seed}:${place}`) % NEWS_SPREAD;
-    clock.later(joinsAt, () => setMembers([...joined, agent]));
-    clock.later(wantsAt + MEMBERS_TIME + delay, () => want(agent));
+  for (const [index, agent] of agents.entries()) {
+    const {
+      joinsAt,
+      versionKnownAt: wantsAt = joinsAt,
+      leavesAt,
+    } = agent.description;
+    const delay = hash32(`${site.seed}:${index}`) % VERSION_DELAY_SPREAD;
+    clock.schedule(joinsAt, () => setMembers([...joined, agent]));
+    clock.schedule(wantsAt + MEMBERSHIP_DELAY + delay, () =>
+      requestVersion(agent),
+    );
     if (leavesAt === undefined) continue;
-    clock.later(leavesAt, () =>
+    clock.schedule(leavesAt, () =>
       setMembers(joined.filter(member => member !== agent)),
     );
   }
   const isDone = (): boolean =>
     agents.every(
-      agent => agent.readyAt !== undefined || isFrozen(agent, clock.now()),
+      agent =>
+        agent.readyAt !== undefined || isUnresponsive(agent, clock.now()),
     );
-  clock.runUntil(isDone, LONGEST_RUN);
+  clock.runUntil(isDone, MAX_RUN_TIME);
   return agents.map(({description, ...result}) => ({
     instance: description.instance,
     readyAt: result.readyAt,
--- a/packages/laboratory/src/swarm_site.ts
+++ b/packages/laboratory/src/swarm_site.ts
@@ -15,7 +15,7 @@
   /** When it takes part; the version is named at 0. */
   readonly joinsAt: MonotonicInstant;
   /** When it learns of the version, if that is later than it takes part. */
-  readonly wantsAt?: MonotonicInstant;
+  readonly versionKnownAt?: MonotonicInstant;
   /** When it leaves by plan; undefined if it stays. */
   readonly leavesAt?: MonotonicInstant;
   /** When it freezes, for good; undefined if it never does. */
@@ -33,7 +33,7 @@
   readonly agents: readonly SiteAgent[];
   readonly originRate: BytesPerSecond;
   /** When the origin answers. */
-  readonly originFrom: MonotonicInstant;
+  readonly originStartsAt: MonotonicInstant;
   readonly chunks: number;
   readonly chunkSize: Bytes;
   /** One way, between two machines. */
--- a/packages/laboratory/src/virtual_clock.ts
+++ b/packages/laboratory/src/virtual_clock.ts
@@ -5,41 +5,45 @@
 export interface VirtualClock {
   readonly now: () => MonotonicInstant;
   /** Runs `act` after `delay`; events of one instant run in their order. */
-  readonly later: (delay: Milliseconds, act: () => void) => void;
+  readonly schedule: (delay: Milliseconds, callback: () => void) => void;
   /** Runs events until `isDone`; false if none is left, or at `longest`. */
   readonly runUntil: (
     isDone: () => boolean,
-    longest: MonotonicInstant,
+    maxTime: MonotonicInstant,
   ) => boolean;
 }
 
-interface PlannedEvent {
+interface ScheduledEvent {
   readonly at: MonotonicInstant;
   readonly order: number;
-  readonly act: () => void;
+  readonly callback: () => void;
 }
 
 /** Creates a clock that stands at 0. */
 export function createVirtualClock(): VirtualClock {
-  const events = new TinyQueue<PlannedEvent>(
+  const events = new TinyQueue<ScheduledEvent>(
     [],
     (one, other) => one.at - other.at || one.order - other.order,
   );
   let now: MonotonicInstant = 0;
-  let planned = 0;
+  let scheduledCount = 0;
   return {
     now: () => now,
-    later: (delay, act) => {
-      planned += 1;
-      events.push({at: now + Math.max(0, delay), order: planned, act});
+    schedule: (delay, callback) => {
+      scheduledCount += 1;
+      events.push({
+        at: now + Math.max(0, delay),
+        order: scheduledCount,
+        callback,
+      });
     },
-    runUntil: (isDone, longest) => {
+    runUntil: (isDone, maxTime) => {
       for (;;) {
         if (isDone()) return true;
         const next = events.pop();
-        if (next === undefined || next.at > longest) return false;
+        if (next === undefined || next.at > maxTime) return false;
         now = next.at;
-        next.act();
+        next.callback();
       }
     },
   };
--- a/packages/platform/src/node/chunk_stream.ts
+++ b/packages/platform/src/node/chunk_stream.ts
@@ -2,17 +2,17 @@
 import {Err, Ok} from 'ts-results';
 import type {Result} from 'ts-results';
 import {request} from 'undici';
-import {refusalOf, transportErrorOf} from './errors';
-import {baseAddress, createConnections} from './http_client';
+import {responseErrorOf, transportErrorOf} from './errors';
+import {baseAddress, createConnectionPool} from './http_client';
 
 /** Chunks in transfer at once; apart from other calls, which must not wait. */
-const CONNECTIONS = 16;
+const MAX_CONNECTIONS = 16;
 
 /**
  * Longest silence on a transfer. The caller gives up sooner, by what it has
  * learned; this only ends a transfer that the caller forgot.
  */
-const SILENCE_LIMIT: Milliseconds = 60_000;
+const MAX_SILENCE: Milliseconds = 60_000;
 
 /** Reads chunks from the origin as their bytes come. */
 export function createChunkStream(
@@ -22,7 +22,7 @@
   signal: AbortSignal,
 ) => AsyncIterable<Result<Uint8Array, PlatformError>> {
   const base = baseAddress(url);
-  const dispatcher = createConnections(CONNECTIONS);
+  const dispatcher = createConnectionPool(MAX_CONNECTIONS);
 
   return async function* chunk(digest, signal) {
     try {
@@ -31,11 +31,11 @@
         {
           dispatcher,
           signal,
-          headersTimeout: SILENCE_LIMIT,
-          bodyTimeout: SILENCE_LIMIT,
+          headersTimeout: MAX_SILENCE,
+          bodyTimeout: MAX_SILENCE,
         },
       );
-      const refusal = refusalOf(response, 'read');
+      const refusal = responseErrorOf(response, 'read');
       if (refusal !== undefined) {
         await response.body.dump();
         yield Err(refusal);
--- a/packages/platform/src/node/errors.ts
+++ b/packages/platform/src/node/errors.ts
@@ -31,7 +31,7 @@
 }
 
 /** What a response other than a success means; undefined for a success. */
-export function refusalOf(
+export function responseErrorOf(
   response: ResponseHead,
   effect: CallEffect,
 ): PlatformError | undefined {
--- a/packages/platform/src/node/http_client.ts
+++ b/packages/platform/src/node/http_client.ts
@@ -6,10 +6,10 @@
 import type {Dispatcher} from 'undici';
 import type {ZodType} from 'zod';
 import {parseJson} from './parse_json';
-import {refusalOf, transportErrorOf} from './errors';
+import {responseErrorOf, transportErrorOf} from './errors';
 
 /** Calls to the platform in flight at once; more wait for a connection. */
-const CONNECTIONS = 16;
+const MAX_CONNECTIONS = 16;
 
 /** One call to the platform. */
 export interface HttpCall {
@@ -51,7 +51,7 @@
 }
 
 /** Connections of their own, at most `connections` of them. */
-export function createConnections(connections: number): Agent {
+export function createConnectionPool(connections: number): Agent {
   return new Agent({connections, pipelining: 1});
 }
 
@@ -72,7 +72,7 @@
 /** Creates a client; it keeps connections open for later calls. */
 export function createHttpClient(options: HttpClientOptions): HttpClient {
   const base = baseAddress(options.url);
-  const dispatcher = createConnections(CONNECTIONS);
+  const dispatcher = createConnectionPool(MAX_CONNECTIONS);
 
   async function send(call: HttpCall): Promise<Dispatcher.ResponseData> {
     return request(`${base}${call.path}`, {
@@ -89,7 +89,7 @@
   ): Promise<Result<Body, PlatformError>> {
     try {
       const response = await send(call);
-      const refusal = refusalOf(response, call.effect);
+      const refusal = responseErrorOf(response, call.effect);
       if (refusal === undefined) return Ok(await readBody(response));
       await response.body.dump();
       return Err(refusal);
--- a/packages/platform/src/node/parse_json.ts
+++ b/packages/platform/src/node/parse_json.ts
@@ -4,7 +4,7 @@
 import type {ZodType} from 'zod';
 
 /** An answer that is not as agreed. */
-type Malformed = Extract<PlatformError, {readonly kind: 'malformed'}>;
+type MalformedError = Extract<PlatformError, {readonly kind: 'malformed'}>;
 
 function jsonOrUndefined(content: string): unknown {
   try {
@@ -19,7 +19,7 @@
   content: string,
   schema: ZodType<Body>,
   source: string,
-): Result<Body, Malformed> {
+): Result<Body, MalformedError> {
   const parsed = schema.safeParse(jsonOrUndefined(content));
   if (parsed.success) return Ok(parsed.data);
   const detail = `${source}: answer does not fit: ${parsed.error.message}`;
--- a/packages/standins/src/engine/batch.ts
+++ b/packages/standins/src/engine/batch.ts
@@ -85,12 +85,12 @@
   }
 
   async function stepWhileRunning(): Promise<void> {
-    let dueAt = clock.now();
+    let stepDueAt = clock.now();
     while (running.size > 0) {
       // A late timer is made up for by the next step, but not a long pause.
-      dueAt = Math.max(dueAt + stepTime(), clock.now() - stepTime());
-      await clock.wait(Math.max(0, dueAt - clock.now()));
-      await freezer.thawed();
+      stepDueAt = Math.max(stepDueAt + stepTime(), clock.now() - stepTime());
+      await clock.wait(Math.max(0, stepDueAt - clock.now()));
+      await freezer.whenUnfrozen();
       stepAll();
     }
     stepping = false;
@@ -100,10 +100,10 @@
     submit: run => {
       if (running.size >= slots && queue.length >= queueLimit) return false;
       const {priority} = run.generation;
-      const after = queue.findIndex(
+      const insertIndex = queue.findIndex(
         other => other.generation.priority > priority,
       );
-      queue.splice(after < 0 ? queue.length : after, 0, run);
+      queue.splice(insertIndex < 0 ? queue.length : insertIndex, 0, run);
       admit();
       options.onChange();
       if (!stepping) {
--- a/packages/standins/src/engine/chunk_store.ts
+++ b/packages/standins/src/engine/chunk_store.ts
@@ -16,7 +16,7 @@
   const chunks = new Map<Digest, Buffer>();
   const verified = new Set<Digest>();
 
-  async function isGood(digest: Digest, size: number): Promise<boolean> {
+  async function isIntact(digest: Digest, size: number): Promise<boolean> {
     const content = chunks.get(digest);
     if (content === undefined || content.length !== size) return false;
     if (trustChunks || verified.has(digest)) return true;
@@ -41,7 +41,7 @@
     missing: async manifest => {
       const missing: Digest[] = [];
       for (const {digest, size} of manifest.chunks) {
-        if (!(await isGood(digest, size))) missing.push(digest);
+        if (!(await isIntact(digest, size))) missing.push(digest);
       }
       return missing;
     },
--- a/packages/standins/src/engine/engine.ts
+++ b/packages/standins/src/engine/engine.ts
@@ -16,7 +16,7 @@
 import {createEngineVersions} from './versions';
 
 /** Defaults of an engine that is small enough for one test machine. */
-const DEFAULTS = {
+const DEFAULT_OPTIONS = {
   slots: 8,
   queueLimit: 64,
   cacheCapacity: 64,
@@ -48,7 +48,7 @@
   readonly trustChunks?: boolean;
 }
 
-function ifGiven<Value>(
+function applyIfDefined<Value>(
   value: Value | undefined,
   apply: (value: Value) => void,
 ): void {
@@ -57,7 +57,7 @@
 
 /** Starts a model engine. */
 export async function startEngine(options: EngineOptions): Promise<StandIn> {
-  const settings = {...DEFAULTS, ...options};
+  const settings = {...DEFAULT_OPTIONS, ...options};
   const clock = options.clock ?? createSystemClock();
   const life = randomUUID();
   const freezer = createFreezer();
@@ -73,7 +73,7 @@
     loadTime: settings.loadTime,
     fencing: options.fencing ?? 'checked',
     onChange: () => reports.record(currentReport()),
-    onUnload: cache.forget,
+    onUnload: cache.evictVersion,
   });
   const batch = createBatch({
     clock,
@@ -100,7 +100,7 @@
   const server = createServer();
   server.addHook('onRequest', async request => {
     const route = `${request.method} ${request.routeOptions.url ?? ''}`;
-    if (!CONTROL_ROUTES.has(route)) await freezer.thawed();
+    if (!CONTROL_ROUTES.has(route)) await freezer.whenUnfrozen();
   });
   addVersionRoutes(server, chunks, versions);
   addGenerateRoutes(server, {versions, batch, runs, answerFaults});
@@ -119,12 +119,12 @@
     const faults = parseBody(engineFaultsSchema, request);
     answerFaults.set(faults);
     batch.setTimes(faults);
-    ifGiven(faults.reportLag, reports.setLag);
-    ifGiven(faults.cacheEventLag, cache.setLag);
-    ifGiven(faults.cacheEventGapEvery, cache.setGapEvery);
-    ifGiven(faults.loadTime, versions.setLoadTime);
-    ifGiven(faults.fencing, versions.setFencing);
-    ifGiven(faults.frozen, freezer.set);
+    applyIfDefined(faults.reportLag, reports.setLag);
+    applyIfDefined(faults.cacheEventLag, cache.setLag);
+    applyIfDefined(faults.cacheEventGapEvery, cache.setGapEvery);
+    applyIfDefined(faults.loadTime, versions.setLoadTime);
+    applyIfDefined(faults.fencing, versions.setFencing);
+    applyIfDefined(faults.frozen, freezer.set);
     return reply.send({});
   });
 
--- a/packages/standins/src/engine/generate_routes.ts
+++ b/packages/standins/src/engine/generate_routes.ts
@@ -10,7 +10,7 @@
 import type {EngineVersions} from './versions';
 
 /** What the generate routes work on. */
-export interface GenerateParts {
+export interface GenerateRouteDependencies {
   readonly versions: EngineVersions;
   readonly batch: Batch;
   readonly runs: Runs;
@@ -44,19 +44,19 @@
 /** Adds generating, resuming and cancelling to `server`. */
 export function addGenerateRoutes(
   server: FastifyInstance,
-  parts: GenerateParts,
+  dependencies: GenerateRouteDependencies,
 ): void {
-  const {versions, batch, runs, answerFaults} = parts;
+  const {versions, batch, runs, answerFaults} = dependencies;
 
-  async function answer(
+  async function streamAnswer(
     run: Run,
     request: FastifyRequest,
     reply: FastifyReply,
   ): Promise<FastifyReply> {
-    const dropped = answerFaults.takeDrop();
-    const sent = await answerFaults.pass(run);
-    const half = Math.ceil(sent.generation.maximumTokens / 2);
-    const sink = openStream(request, reply, dropped ? half : Infinity);
+    const dropped = answerFaults.consumeDrop();
+    const sent = await answerFaults.applyFaults(run);
+    const halfTokens = Math.ceil(sent.generation.maximumTokens / 2);
+    const sink = openStream(request, reply, dropped ? halfTokens : Infinity);
     sent.follow(sink, 0);
     return reply;
   }
@@ -69,7 +69,7 @@
     const run = createRun({...body, versionDigest});
     if (!batch.submit(run)) return sendError(reply, 429, 'queueFull');
     runs.add(run);
-    return answer(run, request, reply);
+    return streamAnswer(run, request, reply);
   });
 
   server.get<{Params: {attempt: string}; Querystring: {from?: string}}>(
--- a/packages/standins/src/engine/prefix_cache.ts
+++ b/packages/standins/src/engine/prefix_cache.ts
@@ -5,7 +5,7 @@
 const PREFIX_LENGTH = 256;
 
 /** Events kept for readers that come late. */
-const KEPT_EVENTS = 10_000;
+const MAX_EVENTS = 10_000;
 
 /** What happened to a prefix; published late and with gaps. */
 export interface CacheEvent {
@@ -19,7 +19,7 @@
   /** Uses the prompt's prefix, storing it; true if it was there. */
   readonly use: (versionDigest: VersionDigest, prompt: string) => boolean;
   /** Drops what belongs to a version that is unloaded. */
-  readonly forget: (versionDigest: VersionDigest) => void;
+  readonly evictVersion: (versionDigest: VersionDigest) => void;
   readonly eventsAfter: (sequence: number) => {
     readonly events: readonly CacheEvent[];
     readonly latest: number;
@@ -30,7 +30,7 @@
 }
 
 /** The hash that stands for a prompt's beginning in cache events. */
-export function prefixOf(prompt: string): number {
+export function hashPrefix(prompt: string): number {
   return hash32(prompt.slice(0, PREFIX_LENGTH));
 }
 
@@ -50,10 +50,10 @@
     if (gapEvery > 0 && latestSequence % gapEvery === 0) return;
     const event = {sequence: latestSequence, kind, prefix};
     events.push({at: clock.now(), event});
-    if (events.length > 2 * KEPT_EVENTS) events = events.slice(-KEPT_EVENTS);
+    if (events.length > 2 * MAX_EVENTS) events = events.slice(-MAX_EVENTS);
   }
 
-  function evict(key: string): void {
+  function evictEntry(key: string): void {
     const entry = entries.get(key);
     if (entry === undefined) return;
     entries.delete(key);
@@ -62,18 +62,18 @@
 
   return {
     use: (versionDigest, prompt) => {
-      const prefix = prefixOf(prompt);
+      const prefix = hashPrefix(prompt);
       const key = `${versionDigest}/${prefix}`;
       const hit = entries.delete(key);
       entries.set(key, {versionDigest, prefix});
       if (!hit) publish('stored', prefix);
       const [oldest] = entries.keys();
-      if (entries.size > capacity && oldest !== undefined) evict(oldest);
+      if (entries.size > capacity && oldest !== undefined) evictEntry(oldest);
       return hit;
     },
-    forget: versionDigest => {
+    evictVersion: versionDigest => {
       for (const [key, entry] of [...entries]) {
-        if (entry.versionDigest === versionDigest) evict(key);
+        if (entry.versionDigest === versionDigest) evictEntry(key);
       }
     },
     eventsAfter: sequence => {
--- a/packages/standins/src/engine/runs.ts
+++ b/packages/standins/src/engine/runs.ts
@@ -2,7 +2,7 @@
 import type {Run} from './run';
 
 /** Finished runs kept, so that their streams can be resumed. */
-const KEPT_RUNS = 2_000;
+const MAX_KEPT_RUNS = 2_000;
 
 /** The runs an engine knows, and how often each attempt ran. */
 export interface Runs {
@@ -17,9 +17,9 @@
   const runs = new Map<AttemptId, Run>();
   const counts = new Map<AttemptId, number>();
 
-  function forgetOldest(): void {
+  function evictFinishedRuns(): void {
     for (const [attempt, run] of runs) {
-      if (runs.size <= KEPT_RUNS) return;
+      if (runs.size <= MAX_KEPT_RUNS) return;
       const state = run.state();
       if (state === 'queued' || state === 'running') continue;
       runs.delete(attempt);
@@ -29,7 +29,7 @@
   return {
     add: run => {
       runs.set(run.generation.attempt, run);
-      forgetOldest();
+      evictFinishedRuns();
     },
     find: attempt => runs.get(attempt),
     countStart: run => {
--- a/packages/standins/src/engine/versions.ts
+++ b/packages/standins/src/engine/versions.ts
@@ -74,16 +74,16 @@
   let loadTime = options.loadTime;
   let fencingSupport = options.fencing;
   let highestFencing = 0;
-  let previous: Promise<unknown> = Promise.resolve();
+  let lastOutcome: Promise<unknown> = Promise.resolve();
 
   /** An unload while the load is in progress abandons the load. */
   async function load(version: LoadedVersion): Promise<void> {
-    const mark = Symbol(version.versionDigest);
-    loading.set(version.versionDigest, mark);
+    const loadMark = Symbol(version.versionDigest);
+    loading.set(version.versionDigest, loadMark);
     options.onChange();
     await clock.wait(loadTime);
-    await freezer.thawed();
-    if (loading.get(version.versionDigest) !== mark) return;
+    await freezer.whenUnfrozen();
+    if (loading.get(version.versionDigest) !== loadMark) return;
     loading.delete(version.versionDigest);
     loaded.set(version.versionDigest, version);
     options.onChange();
@@ -95,7 +95,7 @@
     options.onChange();
   }
 
-  async function apply(order: Order): Promise<OrderOutcome> {
+  async function applyOrder(order: Order): Promise<OrderOutcome> {
     const {versionDigest} = order;
     if (order.kind === 'unload') {
       unload(versionDigest);
@@ -114,7 +114,7 @@
     return {kind: 'accepted'};
   }
 
-  async function applyFenced(
+  async function checkFencingAndApply(
     order: Order,
     fencing: number,
     giver: string,
@@ -123,7 +123,7 @@
       return {kind: 'staleFencing', highest: highestFencing};
     }
     highestFencing = Math.max(highestFencing, fencing);
-    const outcome = await apply(order);
+    const outcome = await applyOrder(order);
     if (outcome.kind === 'accepted') {
       const {kind, versionDigest} = order;
       orders.push({kind, versionDigest, fencing, giver});
@@ -133,8 +133,10 @@
 
   return {
     order: (order, fencing, giver) => {
-      const outcome = previous.then(() => applyFenced(order, fencing, giver));
-      previous = outcome;
+      const outcome = lastOutcome.then(() =>
+        checkFencingAndApply(order, fencing, giver),
+      );
+      lastOutcome = outcome;
       return outcome;
     },
     find: (model, versionDigest) => {
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -2,7 +2,7 @@
 export type {AnswerSource} from './engine/answer_text';
 export {startEngine} from './engine/engine';
 export type {EngineOptions} from './engine/engine';
-export {prefixOf} from './engine/prefix_cache';
+export {hashPrefix} from './engine/prefix_cache';
 export type {AnswerLine} from './engine/run';
 export {startOlderSystem} from './older_system/older_system';
 export type {
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -33,7 +33,7 @@
 }
 
 /** Says where the stand-in listens, and closes it when asked to end. */
-function announce(standIn: StandIn, name: string | undefined): void {
+function reportListening(standIn: StandIn, name: string | undefined): void {
   const line = {listening: standIn.address, ...(name !== undefined && {name})};
   process.stdout.write(`${JSON.stringify(line)}\n`);
   for (const signal of ['SIGINT', 'SIGTERM']) {
@@ -51,7 +51,7 @@
     .requiredOption('--listen <IP:port>', 'address to listen on; port 0 is any')
     .option('--name <NAME>', 'name to show in the line that says where')
     .action(async (options: Options) => {
-      announce(await start(options), options.name);
+      reportListening(await start(options), options.name);
     });
 }
 
--- a/packages/standins/src/older_system/http.ts
+++ b/packages/standins/src/older_system/http.ts
@@ -2,7 +2,7 @@
 import type {Dispatcher} from 'undici';
 
 /** Calls in flight to one address at once. */
-const CONNECTIONS = 8;
+const CONNECTIONS_PER_ADDRESS = 8;
 
 /** The older system's calls to the platform and the engines. */
 export interface OlderSystemHttp {
@@ -32,8 +32,8 @@
 
 /** Connections of its own. */
 export function createOlderSystemHttp(): OlderSystemHttp {
-  const dispatcher = new Agent({connections: CONNECTIONS});
-  const giver = {'x-order-giver': 'older-system'};
+  const dispatcher = new Agent({connections: CONNECTIONS_PER_ADDRESS});
+  const giverHeader = {'x-order-giver': 'older-system'};
 
   async function get(url: string, signal: AbortSignal) {
     return expectSuccess(await request(url, {dispatcher, signal}));
@@ -56,7 +56,11 @@
       const response = await request(url, {
         dispatcher,
         method: 'POST',
-        headers: {'content-type': 'application/json', ...giver, ...headers},
+        headers: {
+          'content-type': 'application/json',
+          ...giverHeader,
+          ...headers,
+        },
         body: JSON.stringify(body),
       });
       await response.body.text();
--- a/packages/standins/src/older_system/loader.ts
+++ b/packages/standins/src/older_system/loader.ts
@@ -2,7 +2,7 @@
 import type {OlderSystemHttp} from './http';
 
 /** It gives no fencing number of its own; this one loses to any other. */
-const FENCING = 0;
+const LOWEST_FENCING_NUMBER = 0;
 
 /** What the older system's loads did so far. */
 export interface LoaderState {
@@ -35,7 +35,7 @@
   const orders = {accepted: 0, refused: 0};
   let originBytes: Bytes = 0;
 
-  async function holds(
+  async function holdsVersion(
     engineUrl: string,
     versionDigest: string,
     signal: AbortSignal,
@@ -72,7 +72,7 @@
         `${origin}/models/${model}/versions/${label}`,
         signal,
       );
-      const isHeld = await holds(engineUrl, versionDigest, signal);
+      const isHeld = await holdsVersion(engineUrl, versionDigest, signal);
       if (isHeld && !reorder) return;
       const manifest = await http.getJson<Manifest>(
         `${origin}/manifests/${versionDigest}`,
@@ -80,7 +80,7 @@
       );
       await copyChunks(engineUrl, manifest, signal);
       const order = {kind: 'load', versionDigest, manifest};
-      const body = {order, fencing: FENCING};
+      const body = {order, fencing: LOWEST_FENCING_NUMBER};
       if (signal.aborted) return;
       // An order that is on its way is waited for: cut off here it would still
       // arrive, after the older system has said that it is not busy any more.
--- a/packages/standins/src/older_system/older_system.ts
+++ b/packages/standins/src/older_system/older_system.ts
@@ -7,7 +7,7 @@
 import {createOlderSystemHttp} from './http';
 import {createLoader} from './loader';
 
-const PERIOD: Milliseconds = 500;
+const DEFAULT_PERIOD: Milliseconds = 500;
 
 /** Its requests are short. */
 const REQUEST_TOKENS = 8;
@@ -72,7 +72,7 @@
   let round = 0;
   let closed = false;
 
-  async function keepLoaded(engine: OlderSystemEngine): Promise<void> {
+  async function ensureLoaded(engine: OlderSystemEngine): Promise<void> {
     if (loading.has(engine.target)) return;
     const abort = new AbortController();
     loading.set(engine.target, abort);
@@ -90,28 +90,28 @@
     const attempt = `older-system/${workspace}/${round}`;
     const prompt = `${workspace} asks ${round}`;
     const body = {attempt, model, prompt, maximumTokens: REQUEST_TOKENS};
-    await whileBusy(workspace, engine.target, () =>
+    await trackInProgress(workspace, engine.target, () =>
       http.postJson(`http://${engine.address}/generate`, body),
     );
   }
 
-  async function whileBusy(
+  async function trackInProgress(
     workspace: string,
     target: string,
     send: () => Promise<boolean>,
   ): Promise<boolean> {
-    const work = {workspace, target};
-    inProgress.push(work);
+    const entry = {workspace, target};
+    inProgress.push(entry);
     requests.running += 1;
     const answered = await send().catch(() => false);
     requests.running -= 1;
-    inProgress.splice(inProgress.indexOf(work), 1);
+    inProgress.splice(inProgress.indexOf(entry), 1);
     requests[answered ? 'answered' : 'failed'] += 1;
     return answered;
   }
 
   /** A service that it may call for the workspace, if it owns both. */
-  function serviceFor(workspace: string): OlderSystemService | undefined {
+  function findOwnedService(workspace: string): OlderSystemService | undefined {
     if (!workspaces.includes(workspace)) return undefined;
     return services.find(({target}) => targets.has(target));
   }
@@ -119,7 +119,7 @@
   function startRound(): void {
     round += 1;
     const owned = engines.filter(engine => targets.has(engine.target));
-    for (const engine of owned) void keepLoaded(engine);
+    for (const engine of owned) void ensureLoaded(engine);
     workspaces.forEach((workspace, position) => {
       const engine = owned[(round + position) % owned.length];
       if (engine !== undefined) void sendRequest(workspace, engine);
@@ -129,7 +129,7 @@
   async function run(): Promise<void> {
     while (!closed) {
       startRound();
-      await clock.wait(options.period ?? PERIOD);
+      await clock.wait(options.period ?? DEFAULT_PERIOD);
     }
   }
 
@@ -158,11 +158,11 @@
     '/calls/:operation',
     async (request, reply) => {
       const {workspace, body} = parseBody(callSchema, request);
-      const service = serviceFor(workspace);
+      const service = findOwnedService(workspace);
       if (service === undefined) return reply.send({outcome: 'notRun'});
       const url = `http://${service.address}/calls/${request.params.operation}`;
       const headers = {'x-attempt': `older-system/${randomUUID()}`};
-      const answered = await whileBusy(workspace, service.target, () =>
+      const answered = await trackInProgress(workspace, service.target, () =>
         http.postJson(url, body, headers),
       );
       const outcome = answered ? 'answered' : 'outcomeUnknown';
--- a/packages/standins/src/plain_service/plain_service.ts
+++ b/packages/standins/src/plain_service/plain_service.ts
@@ -13,7 +13,7 @@
 } from '../shared/server';
 import type {StandIn, StandInOptions} from '../shared/server';
 
-const CALL_TIME: Milliseconds = 5;
+const DEFAULT_CALL_TIME: Milliseconds = 5;
 
 const callBodySchema = z.looseObject({reference: z.string().min(1)});
 
@@ -39,28 +39,28 @@
   const freezer = createFreezer();
   const answerFaults = createAnswerFaults(clock);
   const runs = new Map<string, number>();
-  let callTime = options.callTime ?? CALL_TIME;
+  let callTime = options.callTime ?? DEFAULT_CALL_TIME;
   let failNext = 0;
   const server = createServer();
 
   server.post<{Params: {operation: string}}>(
     '/calls/:operation',
     async (request, reply) => {
-      await freezer.thawed();
+      await freezer.whenUnfrozen();
       const {operation} = request.params;
       const {reference} = parseBody(callBodySchema, request);
       const attempt = String(request.headers['x-attempt'] ?? '');
       await clock.wait(callTime);
-      await freezer.thawed();
+      await freezer.whenUnfrozen();
       if (failNext > 0) {
         failNext -= 1;
         return sendError(reply, 500, 'failed', 'before it took effect');
       }
       runs.set(reference, (runs.get(reference) ?? 0) + 1);
-      if (answerFaults.takeDrop()) return cutConnection(request, reply);
+      if (answerFaults.consumeDrop()) return cutConnection(request, reply);
       const receipt = hash32(`${operation}\0${reference}`);
       const result = {operation, reference, receipt};
-      return answerFaults.pass({attempt, result});
+      return answerFaults.applyFaults({attempt, result});
     },
   );
 
--- a/packages/standins/src/platform/pacer.ts
+++ b/packages/standins/src/platform/pacer.ts
@@ -1,10 +1,10 @@
 import type {Bytes, BytesPerSecond, MonotonicInstant} from '@hibiscusbeam/core';
 import type {Clock} from '../shared/clock';
 
-const SECOND = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 /** A late timer may be made up for by sending this much early, in ms. */
-const BURST = 20;
+const MAX_BURST_MS = 20;
 
 /** Shares one byte rate among all that send. */
 export interface Pacer {
@@ -20,18 +20,20 @@
   initialRate: BytesPerSecond | null,
 ): Pacer {
   let rate = initialRate;
-  let freeAt: MonotonicInstant = clock.now();
+  let nextSendAt: MonotonicInstant = clock.now();
 
   return {
     take: async amount => {
       if (rate === null) return;
       const now = clock.now();
-      freeAt = Math.max(freeAt, now - BURST) + (amount * SECOND) / rate;
-      if (freeAt > now) await clock.wait(freeAt - now);
+      nextSendAt =
+        Math.max(nextSendAt, now - MAX_BURST_MS) +
+        (amount * MILLISECONDS_PER_SECOND) / rate;
+      if (nextSendAt > now) await clock.wait(nextSendAt - now);
     },
     setRate: newRate => {
       rate = newRate;
-      freeAt = Math.min(freeAt, clock.now());
+      nextSendAt = Math.min(nextSendAt, clock.now());
     },
   };
 }
--- a/packages/standins/src/platform/table.ts
+++ b/packages/standins/src/platform/table.ts
@@ -20,7 +20,7 @@
   const rows = new Map<TableKey, TableRow>();
   const sortedKeys: TableKey[] = [];
 
-  function position(key: TableKey): number {
+  function lowerBound(key: TableKey): number {
     let low = 0;
     let high = sortedKeys.length;
     while (low < high) {
@@ -33,12 +33,12 @@
 
   function put(key: TableKey, value: JsonValue): void {
     const current = rows.get(key);
-    if (current === undefined) sortedKeys.splice(position(key), 0, key);
+    if (current === undefined) sortedKeys.splice(lowerBound(key), 0, key);
     rows.set(key, {key, version: (current?.version ?? 0) + 1, value});
   }
 
   function remove(key: TableKey): void {
-    if (rows.delete(key)) sortedKeys.splice(position(key), 1);
+    if (rows.delete(key)) sortedKeys.splice(lowerBound(key), 1);
   }
 
   function apply(write: TableWrite): void {
@@ -50,7 +50,7 @@
     }
   }
 
-  function holds(condition: TableCondition): boolean {
+  function isMet(condition: TableCondition): boolean {
     const row = rows.get(condition.key);
     switch (condition.kind) {
       case 'absent':
@@ -64,7 +64,7 @@
     read: key => rows.get(key),
     scan: (prefix, limit) => {
       const found: TableRow[] = [];
-      for (let next = position(prefix); found.length < limit; next += 1) {
+      for (let next = lowerBound(prefix); found.length < limit; next += 1) {
         const key = sortedKeys[next];
         if (key === undefined || !key.startsWith(prefix)) break;
         const row = rows.get(key);
@@ -74,7 +74,7 @@
     },
     commit: ({conditions, writes}) => {
       const failed = conditions
-        .filter(condition => !holds(condition))
+        .filter(condition => !isMet(condition))
         .map(({key}) => ({key, row: rows.get(key)}));
       if (failed.length > 0) return {kind: 'conditionFailed', failed};
       writes.forEach(apply);
--- a/packages/standins/src/platform/table_routes.ts
+++ b/packages/standins/src/platform/table_routes.ts
@@ -9,7 +9,7 @@
 import {createTable} from './table';
 
 /** Most rows that one transaction may name. */
-const TRANSACTION_ROW_LIMIT = 100;
+const MAX_TRANSACTION_ROWS = 100;
 
 /** Several hundred writes and about 2,000 reads a second, as of today. */
 const WRITES_PER_SECOND = 400;
@@ -31,7 +31,7 @@
   readonly counters: () => TableCounters;
 }
 
-function rowsNamed({transaction}: CommitBody): number {
+function countRows({transaction}: CommitBody): number {
   const {conditions, writes} = transaction;
   return new Set([...conditions, ...writes].map(({key}) => key)).size;
 }
@@ -49,7 +49,7 @@
   let outage = false;
   let loseReplies = 0;
 
-  function refusal(limit: RateLimit, reply: FastifyReply) {
+  function refuseOverLimit(limit: RateLimit, reply: FastifyReply) {
     if (outage) {
       counters.refused += 1;
       return sendError(reply, 503, 'unavailable', 'outage');
@@ -61,7 +61,7 @@
     return sendError(reply, 429, 'rateLimited');
   }
 
-  async function travel(): Promise<void> {
+  async function waitHalfLatency(): Promise<void> {
     if (latency > 0) await clock.wait(latency / 2);
   }
 
@@ -71,10 +71,10 @@
     reply: FastifyReply,
     call: () => Answer,
   ): Promise<Answer | FastifyReply> {
-    await travel();
-    const refused = refusal(limit, reply);
+    await waitHalfLatency();
+    const refused = refuseOverLimit(limit, reply);
     const answer = refused ?? call();
-    await travel();
+    await waitHalfLatency();
     return answer;
   }
 
@@ -108,7 +108,7 @@
 
   server.post('/table/commit', (request, reply) => {
     const body = parseBody(commitBodySchema, request);
-    if (rowsNamed(body) > TRANSACTION_ROW_LIMIT) {
+    if (countRows(body) > MAX_TRANSACTION_ROWS) {
       return sendError(reply, 400, 'transactionTooLarge');
     }
     return serve(writeLimit, reply, () => commit(body, request, reply));
--- a/packages/standins/src/platform/versions.ts
+++ b/packages/standins/src/platform/versions.ts
@@ -5,10 +5,10 @@
 import type {PublishBody} from './schemas';
 
 const KEY_LENGTH = 16;
-const ZERO_VECTOR = Buffer.alloc(KEY_LENGTH);
+const ZERO_IV = Buffer.alloc(KEY_LENGTH);
 
 /** Generated chunks kept, so that a popular one is not generated each time. */
-const KEPT_CHUNKS = 32;
+const MAX_CACHED = 32;
 
 /** How to generate a chunk's content again. */
 interface ChunkRecipe {
@@ -34,9 +34,7 @@
     .update(`${seed}/${position}`)
     .digest()
     .subarray(0, KEY_LENGTH);
-  return createCipheriv('aes-128-ctr', key, ZERO_VECTOR).update(
-    Buffer.alloc(size),
-  );
+  return createCipheriv('aes-128-ctr', key, ZERO_IV).update(Buffer.alloc(size));
 }
 
 /** Published versions; chunk content is generated when asked for. */
@@ -53,12 +51,12 @@
   const labels = new Map<string, VersionDigest>();
   const manifests = new Map<VersionDigest, PublishedManifest>();
   const recipes = new Map<Digest, ChunkRecipe>();
-  const kept = new Map<Digest, Buffer>();
+  const cache = new Map<Digest, Buffer>();
 
-  function keep(digest: Digest, content: Buffer): void {
-    kept.set(digest, content);
-    const [oldest] = kept.keys();
-    if (kept.size > KEPT_CHUNKS && oldest !== undefined) kept.delete(oldest);
+  function cacheChunk(digest: Digest, content: Buffer): void {
+    cache.set(digest, content);
+    const [oldest] = cache.keys();
+    if (cache.size > MAX_CACHED && oldest !== undefined) cache.delete(oldest);
   }
 
   function sharedChunks(body: PublishBody): readonly PublishedChunk[] {
@@ -95,8 +93,8 @@
     chunk: digest => {
       const recipe = recipes.get(digest);
       if (recipe === undefined) return undefined;
-      const content = kept.get(digest) ?? generateChunk(recipe);
-      keep(digest, content);
+      const content = cache.get(digest) ?? generateChunk(recipe);
+      cacheChunk(digest, content);
       return content;
     },
   };
--- a/packages/standins/src/platform/weight_routes.ts
+++ b/packages/standins/src/platform/weight_routes.ts
@@ -9,10 +9,10 @@
 import {createVersionStore} from './versions';
 
 /** Bytes sent per turn on the shared link; small, so that transfers mix. */
-const SLICE: Bytes = 64 * 1024;
+const SLICE_BYTES: Bytes = 64 * 1024;
 
 /** One slice read ahead, so that few bytes count that nobody receives. */
-const ONE_AHEAD = {highWaterMark: 1};
+const READ_AHEAD_OPTIONS = {highWaterMark: 1};
 
 /** What the origin sent so far. */
 export interface WeightCounters {
@@ -39,13 +39,13 @@
   let stallNext = 0;
   let corruptNext = 0;
 
-  async function* paced(
+  async function* pacedSlices(
     content: Buffer,
     stalls: boolean,
   ): AsyncGenerator<Buffer> {
     const end = stalls ? content.length >>> 1 : content.length;
-    for (let sent = 0; sent < end; sent += SLICE) {
-      const slice = content.subarray(sent, Math.min(end, sent + SLICE));
+    for (let sent = 0; sent < end; sent += SLICE_BYTES) {
+      const slice = content.subarray(sent, Math.min(end, sent + SLICE_BYTES));
       await pacer.take(slice.length);
       counters.bytes += slice.length;
       yield slice;
@@ -54,7 +54,7 @@
     counters.chunks += 1;
   }
 
-  function corrupted(content: Buffer): Buffer {
+  function corruptIfSet(content: Buffer): Buffer {
     if (corruptNext === 0) return content;
     corruptNext -= 1;
     const copy = Buffer.from(content);
@@ -70,7 +70,12 @@
     return reply
       .type('application/octet-stream')
       .header('content-length', content.length)
-      .send(Readable.from(paced(corrupted(content), stalls), ONE_AHEAD));
+      .send(
+        Readable.from(
+          pacedSlices(corruptIfSet(content), stalls),
+          READ_AHEAD_OPTIONS,
+        ),
+      );
   }
 
   server.register((routes, _options, done) => {
--- a/packages/standins/src/shared/answer_faults.ts
+++ b/packages/standins/src/shared/answer_faults.ts
@@ -3,7 +3,7 @@
 import type {Clock} from './clock';
 
 /** How long an answer waits for another one to be crossed with. */
-const CROSSING_PATIENCE: Milliseconds = 1_000;
+const CROSSING_TIMEOUT_MS: Milliseconds = 1_000;
 
 const count = z.int().nonnegative();
 
@@ -25,9 +25,9 @@
 export interface AnswerFaults {
   readonly set: (settings: AnswerFaultSettings) => void;
   /** Waits if the answer is to be late; gives the answer to send. */
-  readonly pass: <Answer>(answer: Answer) => Promise<Answer>;
+  readonly applyFaults: <Answer>(answer: Answer) => Promise<Answer>;
   /** Whether this answer's connection is to be cut. */
-  readonly takeDrop: () => boolean;
+  readonly consumeDrop: () => boolean;
 }
 
 /** No fault until set. */
@@ -36,13 +36,13 @@
   let lateNext = 0;
   let lateBy: Milliseconds = 0;
   let dropNext = 0;
-  let partner: ((other: unknown) => unknown) | undefined;
+  let pendingSwap: ((other: unknown) => unknown) | undefined;
 
   /** The first of a pair waits for the second; both then swap. */
-  async function cross<Answer>(answer: Answer): Promise<Answer> {
-    if (partner !== undefined) {
-      const swap = partner;
-      partner = undefined;
+  async function swapWithNext<Answer>(answer: Answer): Promise<Answer> {
+    if (pendingSwap !== undefined) {
+      const swap = pendingSwap;
+      pendingSwap = undefined;
       crossNext -= 1;
       return swap(answer) as Answer;
     }
@@ -51,9 +51,9 @@
         resolve(other as Answer);
         return answer;
       };
-      partner = offer;
-      void clock.wait(CROSSING_PATIENCE).then(() => {
-        if (partner === offer) partner = undefined;
+      pendingSwap = offer;
+      void clock.wait(CROSSING_TIMEOUT_MS).then(() => {
+        if (pendingSwap === offer) pendingSwap = undefined;
         resolve(answer);
       });
     });
@@ -66,14 +66,14 @@
       lateBy = settings.lateBy ?? lateBy;
       dropNext = settings.dropNext ?? dropNext;
     },
-    pass: async answer => {
+    applyFaults: async answer => {
       if (lateNext > 0) {
         lateNext -= 1;
         await clock.wait(lateBy);
       }
-      return crossNext > 0 ? cross(answer) : answer;
+      return crossNext > 0 ? swapWithNext(answer) : answer;
     },
-    takeDrop: () => {
+    consumeDrop: () => {
       if (dropNext === 0) return false;
       dropNext -= 1;
       return true;
--- a/packages/standins/src/shared/freezer.ts
+++ b/packages/standins/src/shared/freezer.ts
@@ -2,25 +2,25 @@
 export interface Freezer {
   readonly set: (frozen: boolean) => void;
   /** Resolves at once, or when the freeze ends. */
-  readonly thawed: () => Promise<void>;
+  readonly whenUnfrozen: () => Promise<void>;
 }
 
 /** A freezer that is off. */
 export function createFreezer(): Freezer {
   let frozen = false;
-  let waiting: (() => void)[] = [];
+  let waiters: (() => void)[] = [];
 
   return {
     set: value => {
       frozen = value;
       if (frozen) return;
-      const released = waiting;
-      waiting = [];
-      for (const release of released) release();
+      const pendingWaiters = waiters;
+      waiters = [];
+      for (const release of pendingWaiters) release();
     },
-    thawed: async () => {
+    whenUnfrozen: async () => {
       while (frozen) {
-        await new Promise<void>(resolve => waiting.push(resolve));
+        await new Promise<void>(resolve => waiters.push(resolve));
       }
     },
   };
--- a/packages/standins/src/shared/lagged_view.ts
+++ b/packages/standins/src/shared/lagged_view.ts
@@ -20,7 +20,7 @@
     {at: started, value: initial},
   ];
 
-  function forgetBefore(instant: MonotonicInstant): void {
+  function dropBefore(instant: MonotonicInstant): void {
     const last = history.findLastIndex(entry => entry.at <= instant);
     if (last > 0) history = history.slice(last);
   }
@@ -29,11 +29,11 @@
     record: value => {
       const at = clock.now();
       history.push({at, value});
-      forgetBefore(at - lag);
+      dropBefore(at - lag);
     },
     read: () => {
       const now = clock.now();
-      forgetBefore(now - lag);
+      dropBefore(now - lag);
       const [oldest] = history;
       const value = oldest === undefined ? initial : oldest.value;
       return {value, age: Math.min(lag, now - started)};
--- a/packages/standins/src/shared/rate_limit.ts
+++ b/packages/standins/src/shared/rate_limit.ts
@@ -1,7 +1,7 @@
 import type {Milliseconds} from '@hibiscusbeam/core';
 import type {Clock} from './clock';
 
-const SECOND = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 /** Refuses what exceeds a rate. */
 export interface RateLimit {
@@ -14,7 +14,7 @@
 export function createRateLimit(clock: Clock, initialRate: number): RateLimit {
   let rate = initialRate;
   let tokens = capacity();
-  let filledAt = clock.now();
+  let refilledAt = clock.now();
 
   /** A rate below one a second still lets one call pass when its time comes. */
   function capacity(): number {
@@ -23,9 +23,9 @@
 
   function refill(): void {
     const now = clock.now();
-    const filled = ((now - filledAt) * rate) / SECOND;
-    tokens = Math.min(capacity(), tokens + filled);
-    filledAt = now;
+    const addedTokens = ((now - refilledAt) * rate) / MILLISECONDS_PER_SECOND;
+    tokens = Math.min(capacity(), tokens + addedTokens);
+    refilledAt = now;
   }
 
   return {
@@ -35,7 +35,7 @@
         tokens -= 1;
         return 0;
       }
-      return Math.ceil(((1 - tokens) * SECOND) / rate);
+      return Math.ceil(((1 - tokens) * MILLISECONDS_PER_SECOND) / rate);
     },
     setRate: newRate => {
       refill();
--- a/packages/standins/src/shared/server.ts
+++ b/packages/standins/src/shared/server.ts
@@ -25,14 +25,14 @@
 }
 
 /** Largest body taken: above any chunk size in use. */
-const BODY_LIMIT = 64 * 1024 * 1024;
+const MAX_BODY_BYTES = 64 * 1024 * 1024;
 
 const BAD_REQUEST = 400;
 
 /** An HTTP server that takes JSON and raw bytes and logs nothing. */
 export function createServer(): FastifyInstance {
   const server = fastify({
-    bodyLimit: BODY_LIMIT,
+    bodyLimit: MAX_BODY_BYTES,
     forceCloseConnections: true,
     exposeHeadRoutes: false,
   });
--- a/test/caller_client/caller_client.test.ts
+++ b/test/caller_client/caller_client.test.ts
@@ -1,21 +1,21 @@
 import {createCallerClient} from '@hibiscusbeam/daemon';
 import {describe, expect, onTestFinished, test} from 'vitest';
-import {startFakeEntries, wholeAnswer, type EntryScript} from './fake_entry';
+import {startFakeEntries, completeAnswer, type EntryScript} from './fake_entry';
 
-const PROMPT = {
+const GENERATE_CALL = {
   model: 'repair-notes',
   prompt: 'fault 12',
   maximumTokens: 8,
   deadline: 10_000,
 };
-const CHARGE = {
+const CHARGE_CALL = {
   service: 'invoicing',
   operation: 'charge',
   body: {reference: 'r1'},
   deadline: 10_000,
 };
-const CUT: EntryScript = {kind: 'cut', lines: []};
-const whole = wholeAnswer(['blade ', 'worn']);
+const DROPPED_CONNECTION: EntryScript = {kind: 'cut', lines: []};
+const completeLines = completeAnswer(['blade ', 'worn']);
 
 function notRun(reason: string, retryAfterMilliseconds: number): EntryScript {
   const status = reason === 'inProgress' || reason === 'keyReused' ? 409 : 503;
@@ -23,7 +23,11 @@
   return {kind: 'reply', status, body};
 }
 
-const DONE: EntryScript = {kind: 'reply', status: 200, body: {charged: 1}};
+const CHARGED_REPLY: EntryScript = {
+  kind: 'reply',
+  status: 200,
+  body: {charged: 1},
+};
 
 /** A client of scripted entries, on a clock that only waits move. */
 async function setUp(
@@ -57,10 +61,10 @@
     expect(await client.entry()).toBe(entries.addresses[1]);
     pass(999);
     await client.entry();
-    expect(entries.questions()).toBe(1);
+    expect(entries.listRequests()).toBe(1);
     pass(1);
     expect(await client.entry()).toBe(entries.addresses[1]);
-    expect(entries.questions()).toBe(2);
+    expect(entries.listRequests()).toBe(2);
   });
 
   test('and learns at once that none can be reached', async () => {
@@ -70,7 +74,7 @@
       wait: async () => {},
     });
     onTestFinished(client.close);
-    expect(await client.generate(PROMPT)).toMatchObject({
+    expect(await client.generate(GENERATE_CALL)).toMatchObject({
       kind: 'notRun',
       reason: 'unreachable',
     });
@@ -81,25 +85,29 @@
 // breaks half way, or a token is lost: what is on the screen is not the note.
 describe('a caller reads a stream', () => {
   test('to its end line, and then has the whole answer', async () => {
-    const {client} = await setUp([{kind: 'stream', lines: whole}]);
-    expect(await client.generate(PROMPT)).toEqual({
+    const {client} = await setUp([{kind: 'stream', lines: completeLines}]);
+    expect(await client.generate(GENERATE_CALL)).toEqual({
       kind: 'answered',
       answer: {text: 'blade worn', versionDigest: 'sha256:v', tokenCount: 2},
     });
   });
 
   test.each<[string, readonly object[]]>([
-    ['without its end line', whole.slice(0, -1)],
-    ['with a token missing', whole.toSpliced(1, 1)],
-    ['with the last token missing', whole.toSpliced(2, 1)],
+    ['without its end line', completeLines.slice(0, -1)],
+    ['with a token missing', completeLines.toSpliced(1, 1)],
+    ['with the last token missing', completeLines.toSpliced(2, 1)],
     [
       'with a token changed',
-      whole.toSpliced(1, 1, {kind: 'token', sequence: 0, text: 'shaft '}),
+      completeLines.toSpliced(1, 1, {
+        kind: 'token',
+        sequence: 0,
+        text: 'shaft ',
+      }),
     ],
     [
       'that ends with an outcome',
       [
-        ...whole.slice(0, -1),
+        ...completeLines.slice(0, -1),
         {kind: 'outcome', outcome: 'outcomeUnknown', detail: 'x'},
       ],
     ],
@@ -107,22 +115,22 @@
     const {client, entries} = await setUp([{kind: 'stream', lines}]);
     const shown: string[] = [];
     const onToken = (text: string) => void shown.push(text);
-    const outcome = await client.generate({...PROMPT, onToken});
+    const outcome = await client.generate({...GENERATE_CALL, onToken});
     expect(outcome.kind).toBe('outcomeUnknown');
     // What is shown may be cut short but has no hole.
     const given = lines.flatMap(line => ('text' in line ? [line.text] : []));
     const hasHole = given[0] === 'worn';
     expect(shown).toEqual(hasHole ? [] : given);
-    if (shown.length > 0) expect(entries.seen).toHaveLength(1);
+    if (shown.length > 0) expect(entries.received).toHaveLength(1);
   });
 
   test('from another entry if it broke off before the first token', async () => {
     const {client, entries} = await setUp([
-      CUT,
-      {kind: 'stream', lines: whole},
+      DROPPED_CONNECTION,
+      {kind: 'stream', lines: completeLines},
     ]);
-    expect((await client.generate(PROMPT)).kind).toBe('answered');
-    const [first, second] = entries.seen;
+    expect((await client.generate(GENERATE_CALL)).kind).toBe('answered');
+    const [first, second] = entries.received;
     expect(first?.entry).not.toBe(second?.entry);
   });
 });
@@ -133,28 +141,28 @@
 describe('a caller of an operation that may not be repeated', () => {
   test('sends it again under the same key only', async () => {
     const {client, entries} = await setUp([
-      CUT,
+      DROPPED_CONNECTION,
       notRun('inProgress', 70),
-      DONE,
+      CHARGED_REPLY,
     ]);
-    const outcome = await client.call({...CHARGE, idempotencyKey: 'k1'});
+    const outcome = await client.call({...CHARGE_CALL, idempotencyKey: 'k1'});
     expect(outcome).toEqual({kind: 'answered', answer: {charged: 1}});
-    expect(entries.seen.map(({key}) => key)).toEqual(['k1', 'k1', 'k1']);
-    expect(new Set(entries.seen.map(({body}) => body)).size).toBe(1);
+    expect(entries.received.map(({key}) => key)).toEqual(['k1', 'k1', 'k1']);
+    expect(new Set(entries.received.map(({body}) => body)).size).toBe(1);
   });
 
   test('sends it once if it has no key and may have run', async () => {
-    const {client, entries} = await setUp([CUT, DONE]);
-    expect((await client.call(CHARGE)).kind).toBe('outcomeUnknown');
-    expect(entries.seen).toHaveLength(1);
+    const {client, entries} = await setUp([DROPPED_CONNECTION, CHARGED_REPLY]);
+    expect((await client.call(CHARGE_CALL)).kind).toBe('outcomeUnknown');
+    expect(entries.received).toHaveLength(1);
   });
 
   test.each(['platformUnavailable', 'inProgress', 'keyReused'])(
     'does not take %s for "not run" after a send that may have run',
     async reason => {
       const refusals = Array.from({length: 9}, () => notRun(reason, 50));
-      const {client} = await setUp([CUT, ...refusals]);
-      const outcome = await client.call({...CHARGE, idempotencyKey: 'k1'});
+      const {client} = await setUp([DROPPED_CONNECTION, ...refusals]);
+      const outcome = await client.call({...CHARGE_CALL, idempotencyKey: 'k1'});
       expect(outcome.kind).toBe('outcomeUnknown');
     },
   );
@@ -164,7 +172,7 @@
       notRun('queueFull', 3000),
       notRun('platformUnavailable', 8000),
     ]);
-    expect(await client.call({...CHARGE, idempotencyKey: 'k1'})).toEqual({
+    expect(await client.call({...CHARGE_CALL, idempotencyKey: 'k1'})).toEqual({
       kind: 'notRun',
       reason: 'platformUnavailable',
       retryAfter: 8000,
@@ -175,7 +183,7 @@
   test('hears of a wrong request at once', async () => {
     const body = {error: 'badField', detail: 'x'};
     const {client, entries} = await setUp([{kind: 'reply', status: 400, body}]);
-    expect((await client.call(CHARGE)).kind).toBe('rejected');
-    expect(entries.seen).toHaveLength(1);
+    expect((await client.call(CHARGE_CALL)).kind).toBe('rejected');
+    expect(entries.received).toHaveLength(1);
   });
 });
--- a/test/caller_client/fake_entry.ts
+++ b/test/caller_client/fake_entry.ts
@@ -10,7 +10,7 @@
   | {readonly kind: 'reply'; readonly status: number; readonly body: object};
 
 /** One request as the entry saw it. */
-export interface SeenRequest {
+export interface ReceivedRequest {
   readonly entry: string;
   readonly path: string;
   readonly key: string | undefined;
@@ -20,13 +20,13 @@
 /** Entries that answer by script, on loopback. */
 export interface FakeEntries {
   readonly addresses: readonly string[];
-  readonly seen: readonly SeenRequest[];
-  readonly questions: () => number;
+  readonly received: readonly ReceivedRequest[];
+  readonly listRequests: () => number;
   readonly close: () => Promise<void>;
 }
 
 /** The lines of a whole answer. */
-export function wholeAnswer(tokens: readonly string[]): readonly object[] {
+export function completeAnswer(tokens: readonly string[]): readonly object[] {
   const digest = createHash('sha256').update(tokens.join('')).digest('hex');
   return [
     {kind: 'started', versionDigest: 'sha256:v'},
@@ -47,13 +47,13 @@
   script: readonly EntryScript[],
 ): Promise<FakeEntries> {
   const pending = [...script];
-  const seen: SeenRequest[] = [];
+  const received: ReceivedRequest[] = [];
   const addresses: string[] = [];
-  let questions = 0;
+  let listRequests = 0;
   const servers = zones.map((_zone, position) =>
     createServer((request, response) => {
       if (request.url === '/v1/entries') {
-        questions += 1;
+        listRequests += 1;
         const entries = addresses.map((address, at) => ({
           address,
           zone: zones[at],
@@ -64,7 +64,7 @@
       }
       void readBody(request).then(body => {
         const key = request.headers['idempotency-key'];
-        seen.push({
+        received.push({
           entry: addresses[position]!,
           path: request.url!,
           key: typeof key === 'string' ? key : undefined,
@@ -91,8 +91,8 @@
   }
   return {
     addresses,
-    seen,
-    questions: () => questions,
+    received,
+    listRequests: () => listRequests,
     async close() {
       for (const server of servers) {
         server.closeAllConnections();
--- a/test/command_line/experiment.test.ts
+++ b/test/command_line/experiment.test.ts
@@ -29,10 +29,10 @@
 }
 
 test('prints a row for each case and policy', async () => {
-  const played = await run(['experiment', experimentFile()]);
-  expect(played.error).toBe('');
-  expect(played.code).toBe(0);
-  const rows = played.out.trim().split('\n');
+  const result = await run(['experiment', experimentFile()]);
+  expect(result.error).toBe('');
+  expect(result.code).toBe(0);
+  const rows = result.out.trim().split('\n');
   expect(rows).toHaveLength(5);
   expect(rows[0]).toMatch(/^case +policy +mean ms +last ms/);
   expect(rows[1]).toMatch(/^late +served +\d+/);
@@ -69,16 +69,16 @@
     cases: [{kind: 'frozen', at: -1}],
     policies: {served: {downloadSlots: 0, hops: 2}},
   });
-  const played = await run(['experiment', file]);
-  expect(played.code).toBe(2);
-  expect(played.out).toBe('');
+  const result = await run(['experiment', file]);
+  expect(result.code).toBe(2);
+  expect(result.out).toBe('');
   for (const field of [
     'seeds',
     'cases.0.at',
     'policies.served.downloadSlots',
     'policies.served',
   ]) {
-    expect(played.error).toContain(`${file}: ${field}: `);
+    expect(result.error).toContain(`${file}: ${field}: `);
   }
 });
 
@@ -89,7 +89,7 @@
 });
 
 test('says which file can’t be read', async () => {
-  const played = await run(['experiment', 'no-such-file.yaml']);
-  expect(played.code).toBe(2);
-  expect(played.error).toContain('no-such-file.yaml: ');
+  const result = await run(['experiment', 'no-such-file.yaml']);
+  expect(result.code).toBe(2);
+  expect(result.error).toContain('no-such-file.yaml: ');
 });
--- a/test/command_line/operators.test.ts
+++ b/test/command_line/operators.test.ts
@@ -2,9 +2,9 @@
 import {createServer, type AddressInfo} from 'node:net';
 import {describe, expect, test} from 'vitest';
 import {
-  keyFile,
+  writeKeyFile,
   OPERATOR_KEY,
-  replying,
+  replyWith,
   run,
   serveEntry,
 } from './program_fixture';
@@ -25,28 +25,33 @@
   warnings: [],
 };
 
-const options = (entry: string) => ['--entry', entry, '--key-file', keyFile()];
+const options = (entry: string) => [
+  '--entry',
+  entry,
+  '--key-file',
+  writeKeyFile(),
+];
 
 describe('operators', () => {
   test('state an intent and read its plan', async () => {
-    const seen: string[] = [];
+    const received: string[] = [];
     const entry = await serveEntry((request, response) => {
       const {method, url, headers} = request;
-      seen.push(`${method} ${url} ${headers.authorization}`);
-      seen.push(`${headers['content-type']}`);
-      request.on('data', (piece: Buffer) => seen.push(piece.toString()));
+      received.push(`${method} ${url} ${headers.authorization}`);
+      received.push(`${headers['content-type']}`);
+      request.on('data', (piece: Buffer) => received.push(piece.toString()));
       request.on('end', () =>
-        replying(200, {plan: PLAN, state: {kind: 'planned'}})(
+        replyWith(200, {plan: PLAN, state: {kind: 'planned'}})(
           request,
           response,
         ),
       );
     });
-    const file = `${keyFile()}.yaml`;
+    const file = `${writeKeyFile()}.yaml`;
     writeFileSync(file, 'summary: x\n');
     const result = await run(['intent', 'plan', file, ...options(entry)]);
     expect(result.code).toBe(0);
-    expect(seen).toEqual([
+    expect(received).toEqual([
       `POST /v1/intents/plan Bearer ${OPERATOR_KEY}`,
       'application/yaml',
       'summary: x\n',
@@ -76,7 +81,7 @@
 
   test('get a reply as it came with --json', async () => {
     const reply = {planId: 'p-1', generation: 7, wasConfirmed: true, more: [1]};
-    const entry = await serveEntry(replying(200, reply));
+    const entry = await serveEntry(replyWith(200, reply));
     const command = ['intent', 'confirm', 'p-1', '--json', ...options(entry)];
     const result = await run(command);
     expect(JSON.parse(result.out)).toEqual(reply);
@@ -84,7 +89,7 @@
 
   test('who come second see each change that came first', async () => {
     const entry = await serveEntry(
-      replying(409, {
+      replyWith(409, {
         error: 'overtaken',
         detail: 'another change came first',
         advice: 'plan again',
@@ -136,7 +141,7 @@
     ['an entry that still starts', 503, {error: 'starting'}, 3],
     ['a key that opens nothing', 403, {error: 'wrongKey'}, 1],
   ])('get the exit code for %s', async (_name, status, body, code) => {
-    const entry = await serveEntry(replying(status, body));
+    const entry = await serveEntry(replyWith(status, body));
     const result = await run(['intent', 'confirm', 'p-1', ...options(entry)]);
     expect(result.code).toBe(code);
   });
@@ -153,27 +158,27 @@
   });
 
   test('watch versions until every instance is done', async () => {
-    let asked = 0;
+    let requestCount = 0;
     const entry = await serveEntry((request, response) => {
-      asked += 1;
+      requestCount += 1;
       const version = {
         model: 'repair-notes',
         label: '2026-12-02.1',
         versionDigest: `sha256:${'0'.repeat(64)}`,
-        instancesDone: asked,
+        instancesDone: requestCount,
         instancesTotal: 2,
         chunksHeld: 300,
         chunksTotal: 512,
         originBytes: 1_536,
-        expectedEnd: asked === 1 ? 4_000 : null,
+        expectedEnd: requestCount === 1 ? 4_000 : null,
       };
       const body = {generation: 7, versions: [version]};
       // An entry that is replaced meanwhile is asked again.
-      if (asked === 2) request.socket.destroy();
-      else replying(200, body)(request, response);
+      if (requestCount === 2) request.socket.destroy();
+      else replyWith(200, body)(request, response);
     });
     const result = await run(['status', '--watch', ...options(entry)]);
-    expect([result.code, asked]).toEqual([0, 3]);
+    expect([result.code, requestCount]).toEqual([0, 3]);
     expect(
       result.out.split('\n').filter(line => line.startsWith('rep')),
     ).toEqual([
--- a/test/command_line/program_fixture.ts
+++ b/test/command_line/program_fixture.ts
@@ -10,11 +10,11 @@
 import {runProgram, type ExitCode, type ProgramContext} from 'hibiscusbeam';
 import {onTestFinished} from 'vitest';
 
-/** The key in {@link keyFile}. */
+/** The key in {@link writeKeyFile}. */
 export const OPERATOR_KEY = 'an-operator-key-of-good-length';
 
 /** Writes a file with the operator's key; gives its path. */
-export function keyFile(): string {
+export function writeKeyFile(): string {
   const folder = mkdtempSync(join(tmpdir(), 'hibiscusbeam-command-'));
   onTestFinished(() => rmSync(folder, {recursive: true}));
   const file = join(folder, 'operator.key');
@@ -32,12 +32,12 @@
 /** Runs the program within the test. */
 export async function run(
   programArguments: readonly string[],
-  replaced: Partial<ProgramContext> = {},
+  overrides: Partial<ProgramContext> = {},
   input = '',
 ): Promise<ProgramRun> {
   const out: string[] = [];
   const error: string[] = [];
-  const notUsed = () => Promise.reject(new Error('not used'));
+  const rejectUnexpected = () => Promise.reject(new Error('not used'));
   const context: ProgramContext = {
     io: {
       out: text => void out.push(text),
@@ -46,10 +46,10 @@
       readInput: () => Promise.resolve(input),
     },
     signals: () => () => undefined,
-    startEntry: notUsed,
-    startAgent: notUsed,
+    startEntry: rejectUnexpected,
+    startAgent: rejectUnexpected,
     wait: () => Promise.resolve(),
-    ...replaced,
+    ...overrides,
   };
   const code = await runProgram(context, programArguments);
   return {code, out: out.join(''), error: error.join('')};
@@ -69,7 +69,7 @@
 }
 
 /** Answers each request with the same status and JSON. */
-export function replying(status: number, body: unknown) {
+export function replyWith(status: number, body: unknown) {
   return (_request: IncomingMessage, response: ServerResponse) => {
     response.writeHead(status, {'content-type': 'application/json'});
     response.end(JSON.stringify(body));
--- a/test/command_line/stopping.test.ts
+++ b/test/command_line/signals.test.ts
@@ -19,8 +19,8 @@
 function fakeProcess() {
   let listener = (_signal: string): void => undefined;
   let finish = (): void => undefined;
-  let begin = (): void => undefined;
-  const begun = new Promise<void>(resolve => (begin = resolve));
+  let allowStart = (): void => undefined;
+  const startAllowed = new Promise<void>(resolve => (allowStart = resolve));
   const stopped = new Promise<void>(resolve => (finish = resolve));
   const events: string[] = [];
   const process: RunningProcess = {
@@ -33,28 +33,28 @@
   return {
     events,
     signal: () => listener('SIGTERM'),
-    begin: () => begin(),
+    allowStart: () => allowStart(),
     finish: () => finish(),
     context: {
       signals: (given: (signal: string) => void) => {
         listener = given;
         return () => (listener = () => undefined);
       },
-      startEntry: () => begun.then(() => process),
+      startEntry: () => startAllowed.then(() => process),
     },
   };
 }
 
-const settled = () => new Promise(resolve => setImmediate(resolve));
+const flushPromises = () => new Promise(resolve => setImmediate(resolve));
 
 describe('a signal', () => {
   test('lets the process finish what is in progress', async () => {
     const fake = fakeProcess();
-    fake.begin();
+    fake.allowStart();
     const ended = run(['entry', '--settings', settingsFile()], fake.context);
-    await settled();
+    await flushPromises();
     fake.signal();
-    await settled();
+    await flushPromises();
     expect(fake.events).toEqual(['stop']);
     fake.finish();
     const result = await ended;
@@ -68,9 +68,9 @@
   test('that comes while the process starts is not lost', async () => {
     const fake = fakeProcess();
     const ended = run(['entry', '--settings', settingsFile()], fake.context);
-    await settled();
+    await flushPromises();
     fake.signal();
-    fake.begin();
+    fake.allowStart();
     fake.finish();
     expect((await ended).code).toBe(0);
     expect(fake.events).toEqual(['stop']);
@@ -78,9 +78,9 @@
 
   test('given twice ends the process at once', {timeout: 5_000}, async () => {
     const fake = fakeProcess();
-    fake.begin();
+    fake.allowStart();
     const ended = run(['entry', '--settings', settingsFile()], fake.context);
-    await settled();
+    await flushPromises();
     fake.signal();
     fake.signal();
     expect((await ended).code).toBe(1);
--- a/test/command_line/spawned.test.ts
+++ b/test/command_line/spawned.test.ts
@@ -22,7 +22,7 @@
   onTestFinished,
   test,
 } from 'vitest';
-import {keyFile, OPERATOR_KEY, run} from './program_fixture';
+import {writeKeyFile, OPERATOR_KEY, run} from './program_fixture';
 
 const FOLDER = mkdtempSync(join(tmpdir(), 'hibiscusbeam-spawned-'));
 const PROGRAM = join(FOLDER, 'hibiscusbeam.cjs');
@@ -100,7 +100,7 @@
 describe('a dump', () => {
   test('is printed as JSON, on one line for scripts', async () => {
     const address = await serveDumps();
-    const dump = ['dump', address, '--key-file', keyFile()];
+    const dump = ['dump', address, '--key-file', writeKeyFile()];
     expect((await run(dump)).out).toBe('{\n  "queues": []\n}\n');
     expect((await run([...dump, '--json'])).out).toBe('{"queues":[]}\n');
   });
--- a/test/command_line/usage.test.ts
+++ b/test/command_line/usage.test.ts
@@ -8,14 +8,14 @@
 } from 'hibiscusbeam';
 import {describe, expect, test} from 'vitest';
 import {tableRows} from '../fixtures/markdown';
-import {keyFile, OPERATOR_KEY, run} from './program_fixture';
+import {writeKeyFile, OPERATOR_KEY, run} from './program_fixture';
 
 const PAGE = readFileSync('docs/command_line.md', 'utf8');
 
 const KEY_OPTIONS = ['--entry', 'http://127.0.0.1:9', '--key-file', 'x'];
 
 /** Commands that do something, with the words that call them. */
-function workingCommands() {
+function leafCommands() {
   const context = {io: {}} as ProgramContext;
   return commandsOf(createProgram(context, () => undefined))
     .filter(command => command.commands.length === 0)
@@ -40,7 +40,7 @@
           options: flags.map(([, option]) => option).sort(),
         };
       });
-    const expected = workingCommands().map(({command, words}) => ({
+    const expected = leafCommands().map(({command, words}) => ({
       words,
       options: command.options.map(option => option.flags).sort(),
     }));
@@ -52,7 +52,7 @@
   });
 
   test('every command has help with an example', async () => {
-    for (const {command, parent} of workingCommands()) {
+    for (const {command, parent} of leafCommands()) {
       const result = await run([...parent, command.name(), '--help']);
       expect(result.code).toBe(0);
       expect(result.out).toContain('Example:\n  $ hibiscusbeam');
@@ -94,7 +94,7 @@
   });
 
   test('faults of settings come one a line, and as JSON', async () => {
-    const file = keyFile();
+    const file = writeKeyFile();
     const result = await run(['settings', 'check', file, '--json']);
     expect(result.code).toBe(2);
     expect(result.error).toContain(`${file}:1:1: must be a mapping`);
--- a/test/distribution/grpc_chunks.test.ts
+++ b/test/distribution/grpc_chunks.test.ts
@@ -6,8 +6,8 @@
 } from '@grpc/grpc-js';
 import type {RequestFailure} from '@hibiscusbeam/core';
 import {
-  answerFetchChunk,
-  fetchChunkOver,
+  handleFetchChunk,
+  fetchChunkOverGrpc,
   type SwarmDriver,
 } from '@hibiscusbeam/daemon';
 import {
@@ -39,7 +39,7 @@
   const server = new Server();
   type Call = ServerWritableStream<FetchChunkRequest, ChunkPiece>;
   server.addService(AgentService, {
-    fetchChunk: (call: Call) => void answerFetchChunk(call, {serveChunk}),
+    fetchChunk: (call: Call) => void handleFetchChunk(call, {serveChunk}),
   });
   const port = await new Promise<number>((resolve, reject) => {
     const insecure = ServerCredentials.createInsecure();
@@ -69,7 +69,7 @@
     }
     const client = await serve(async () => Ok(endless()));
     const controller = new AbortController();
-    const pieces = fetchChunkOver(client, 'a', 'd', controller.signal);
+    const pieces = fetchChunkOverGrpc(client, 'a', 'd', controller.signal);
     await pieces.next();
     let before = -1;
     while (before !== sentBytes) {
@@ -89,7 +89,7 @@
     const client = await serve(async () => Err(failure));
     const {signal} = new AbortController();
     const seen = [];
-    for await (const piece of fetchChunkOver(client, 'a', 'd', signal)) {
+    for await (const piece of fetchChunkOverGrpc(client, 'a', 'd', signal)) {
       seen.push(piece.val);
     }
     expect(seen).toEqual([failure]);
@@ -109,7 +109,7 @@
       return Ok(chunk());
     });
     const {signal} = new AbortController();
-    const pieces = fetchChunkOver(client, 'a', 'd', signal);
+    const pieces = fetchChunkOverGrpc(client, 'a', 'd', signal);
     const first = await pieces.next();
     admit();
     expect(first.value.val.length).toBe(0);
@@ -128,7 +128,12 @@
       return Err({kind: 'unavailable'});
     });
     const controller = new AbortController();
-    const pieces = fetchChunkOver(client, 'agent-7', 'd', controller.signal);
+    const pieces = fetchChunkOverGrpc(
+      client,
+      'agent-7',
+      'd',
+      controller.signal,
+    );
     const first = pieces.next();
     while (reader === '') await sleep(5);
     controller.abort();
--- a/test/laboratory/swarm_run.test.ts
+++ b/test/laboratory/swarm_run.test.ts
@@ -3,44 +3,44 @@
 import {expect, test} from 'vitest';
 
 /** Bytes a second of links of 6.58 and 15 Mbit/s. */
-const LINK = 822_500;
-const ORIGIN = 1_875_000;
+const LINK_RATE = 822_500;
+const ORIGIN_RATE = 1_875_000;
 
 const CHUNKS = 48;
 const CHUNK_SIZE = 49_152;
 const VERSION_BYTES = CHUNKS * CHUNK_SIZE;
 
 /** What a link needs for a version. */
-const LINK_TIME = (VERSION_BYTES * 1000) / LINK;
+const LINK_TIME = (VERSION_BYTES * 1000) / LINK_RATE;
 
 /** Until an agent knows the others, has heard of a version and has settled. */
-const START = 150 + 100 + AGENT_TRANSFER_POLICY.settleTime;
+const START_DELAY = 150 + 100 + AGENT_TRANSFER_POLICY.settleTime;
 
 function agents(
   count: number,
-  changes: (place: number) => Partial<SiteAgent>,
+  changes: (index: number) => Partial<SiteAgent>,
 ): readonly SiteAgent[] {
-  return Array.from({length: count}, (_, place) => ({
-    instance: `engine-${place}`,
-    zone: `zone-${place % 3}`,
+  return Array.from({length: count}, (_, index) => ({
+    instance: `engine-${index}`,
+    zone: `zone-${index % 3}`,
     joinsAt: 0,
     holds: false,
-    linkRate: LINK,
+    linkRate: LINK_RATE,
     linkShare: 1,
-    ...changes(place),
+    ...changes(index),
   }));
 }
 
-function play(
+function runSite(
   members: readonly SiteAgent[],
   changes: Partial<TransferPolicy> = {},
-  originFrom = 0,
+  originStartsAt = 0,
   seed = 1,
 ) {
   return runSwarm({
     agents: members,
-    originRate: ORIGIN,
-    originFrom,
+    originRate: ORIGIN_RATE,
+    originStartsAt,
     chunks: CHUNKS,
     chunkSize: CHUNK_SIZE,
     latency: (from, to) => (from === to ? 0.2 : 2.8),
@@ -55,10 +55,10 @@
 }
 
 test('one agent alone needs what its link needs', () => {
-  const [only] = play(agents(1, () => ({})));
-  const least = LINK_TIME / (1 - AGENT_TRANSFER_POLICY.headroom);
-  expect(only!.readyAt).toBeGreaterThan(least);
-  expect(only!.readyAt).toBeLessThan(least + START + 100);
+  const [only] = runSite(agents(1, () => ({})));
+  const minTime = LINK_TIME / (1 - AGENT_TRANSFER_POLICY.headroom);
+  expect(only!.readyAt).toBeGreaterThan(minTime);
+  expect(only!.readyAt).toBeLessThan(minTime + START_DELAY + 100);
   expect(only!.originBytes).toBe(VERSION_BYTES);
 });
 
@@ -66,14 +66,14 @@
 // site is short of them: 3,313 ms each with a tenth of the link left free,
 // 3,084 ms with what reports need.
 test('an engine that joins waits for little but its own link', () => {
-  const members = agents(19, place =>
-    place < 11
+  const members = agents(19, index =>
+    index < 11
       ? {holds: true, linkShare: AGENT_TRANSFER_POLICY.shareBesideLive}
-      : {joinsAt: (place - 11) * 500},
+      : {joinsAt: (index - 11) * 500},
   );
-  const results = play(members);
+  const results = runSite(members);
   const times = results
-    .map(({readyAt}, place) => readyAt! - members[place]!.joinsAt)
+    .map(({readyAt}, index) => readyAt! - members[index]!.joinsAt)
     .slice(11);
   const mean = times.reduce((sum, time) => sum + time, 0) / times.length;
   expect(mean).toBeLessThan(3_150);
@@ -85,7 +85,7 @@
 // had it after 4,055 ms with four downloads, three uploads and a tenth of the
 // link left free.
 test('all engines have a late version soon after the origin is back', () => {
-  const results = play(agents(19, () => ({})));
+  const results = runSite(agents(19, () => ({})));
   expect(lastReady(results)).toBeLessThan(3_900);
   const sent = results.reduce((sum, {originBytes}) => sum + originBytes, 0);
   expect(sent).toBe(VERSION_BYTES);
@@ -93,8 +93,8 @@
 
 test('a lost origin is asked again soon after it is back', () => {
   const members = agents(3, () => ({}));
-  const before = lastReady(play(members));
-  const after = lastReady(play(members, {}, 5_000));
+  const before = lastReady(runSite(members));
+  const after = lastReady(runSite(members, {}, 5_000));
   expect(after - 5_000).toBeLessThan(
     before + AGENT_TRANSFER_POLICY.longestOriginWait,
   );
@@ -107,11 +107,11 @@
 // anything for two seconds. Now it is 4,591 to 4,618 ms; 4,618 if nobody freezes.
 test('an agent that freezes holds up the others for little', () => {
   const last = [200, 300, 400, 500, 600, 800, 1_000].map(frozenFrom => {
-    const members = agents(15, place => ({
+    const members = agents(15, index => ({
       linkShare: AGENT_TRANSFER_POLICY.shareBesideLive,
-      ...(place === 4 ? {frozenFrom} : {}),
+      ...(index === 4 ? {frozenFrom} : {}),
     }));
-    return lastReady(play(members).filter((_, place) => place !== 4));
+    return lastReady(runSite(members).filter((_, index) => index !== 4));
   });
   expect(Math.max(...last)).toBeLessThan(4_800);
 });
@@ -122,12 +122,12 @@
 // 6,099 with three.
 test('a part that nobody knows to be lost is asked for soon', () => {
   const last = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10].map(seed => {
-    const members = agents(19, place => ({
-      instance: `engine-${seed}-${place}`,
+    const members = agents(19, index => ({
+      instance: `engine-${seed}-${index}`,
       linkShare: AGENT_TRANSFER_POLICY.shareBesideLive,
-      ...(place === 0 ? {frozenFrom: 300} : {}),
+      ...(index === 0 ? {frozenFrom: 300} : {}),
     }));
-    return lastReady(play(members, {}, 0, seed).slice(1));
+    return lastReady(runSite(members, {}, 0, seed).slice(1));
   });
   expect(Math.max(...last)).toBeLessThan(6_500);
 });
@@ -142,14 +142,14 @@
   const chunks = 64;
   const chunkSize = 32_768;
   const seeds = [1, 2, 3];
-  const plays = seeds.map(seed =>
+  const runs = seeds.map(seed =>
     runSwarm({
-      agents: agents(41, place => ({
-        instance: `engine-${seed}-${place}`,
+      agents: agents(41, index => ({
+        instance: `engine-${seed}-${index}`,
         linkRate: rate,
       })),
       originRate: (5.94 * 1e6) / 8,
-      originFrom: 0,
+      originStartsAt: 0,
       chunks,
       chunkSize,
       latency: (from, to) => (from === to ? 0.2 : 1),
@@ -162,8 +162,8 @@
   const mean = (values: readonly number[]): number =>
     values.reduce((sum, value) => sum + value, 0) / values.length;
   const linkTime = (bytes * 1_000) / rate;
-  expect(mean(plays.map(lastReady))).toBeLessThan(1.5 * linkTime);
-  const results = plays.flat();
+  expect(mean(runs.map(lastReady))).toBeLessThan(1.5 * linkTime);
+  const results = runs.flat();
   const copies = (field: 'originBytes' | 'crossZoneBytes'): number =>
     results.reduce((sum, result) => sum + result[field], 0) /
     (bytes * seeds.length);
@@ -173,14 +173,14 @@
 });
 
 test('agents that learn of a version late wait for no fetcher that others expect', () => {
-  const originFrom = 6_500;
-  const members = agents(19, place => {
-    if (place < 3) return {leavesAt: 4_000};
-    return place < 8 ? {wantsAt: originFrom + 100} : {};
+  const originStartsAt = 6_500;
+  const members = agents(19, index => {
+    if (index < 3) return {leavesAt: 4_000};
+    return index < 8 ? {versionKnownAt: originStartsAt + 100} : {};
   });
   for (const seed of [1, 2, 3, 4, 5]) {
-    const results = play(members, {}, originFrom, seed).slice(3);
-    const taken = lastReady(results) - originFrom;
-    expect(taken).toBeLessThan(1.5 * LINK_TIME + START);
+    const results = runSite(members, {}, originStartsAt, seed).slice(3);
+    const duration = lastReady(results) - originStartsAt;
+    expect(duration).toBeLessThan(1.5 * LINK_TIME + START_DELAY);
   }
 });
--- a/test/logs/log.test.ts
+++ b/test/logs/log.test.ts
@@ -15,7 +15,7 @@
 }
 
 /** Values of any shape with the key somewhere inside. */
-const withKey = fc.letrec<{node: unknown}>(tie => ({
+const valuesWithSecret = fc.letrec<{node: unknown}>(tie => ({
   node: fc.oneof(
     {maxDepth: 3},
     fc.string().map(text => `${text}${SITE_KEY}`),
@@ -38,7 +38,7 @@
     'in %s never shows a secret, whatever is logged',
     format => {
       fc.assert(
-        fc.property(withKey, value => {
+        fc.property(valuesWithSecret, value => {
           const lines: string[] = [];
           const log = logTo(lines, {format});
           log.error(`refused ${SITE_KEY}`, {value});
--- a/test/metrics/metrics.test.ts
+++ b/test/metrics/metrics.test.ts
@@ -9,7 +9,10 @@
 import {describe, expect, test} from 'vitest';
 import {tableRows} from '../fixtures/markdown';
 
-function open(settings: MetricsSettings | undefined, errors: Error[] = []) {
+function createTestMetrics(
+  settings: MetricsSettings | undefined,
+  errors: Error[] = [],
+) {
   return createMetrics({
     settings,
     tags: {role: 'entry', instance: 'bilbao-7', zone: 'bilbao-hall'},
@@ -19,12 +22,12 @@
 
 describe('metrics', () => {
   test('are listed on their page as the program has them', () => {
-    const expected = Object.entries(METRICS).map(([name, notes]) => [
+    const expected = Object.entries(METRICS).map(([name, definition]) => [
       name,
-      notes.kind,
-      notes.unit,
-      notes.tags.join(', ') || 'none',
-      notes.meaning,
+      definition.kind,
+      definition.unit,
+      definition.tags.join(', ') || 'none',
+      definition.meaning,
     ]);
     const page = readFileSync('docs/metrics.md', 'utf8');
     expect(tableRows(page, 'Name')).toEqual(expected);
@@ -35,7 +38,10 @@
     await once(receiver, 'listening');
     const {port} = receiver.address();
     const datagram = once(receiver, 'message');
-    const metrics = open({address: {host: '127.0.0.1', port}, prefix: 'hb.'});
+    const metrics = createTestMetrics({
+      address: {host: '127.0.0.1', port},
+      prefix: 'hb.',
+    });
     metrics.count('requests.received', {workspace: 'oviedo-counter'}, 2);
     metrics.gauge('requests.waiting', {}, 7);
     await metrics.close();
@@ -49,7 +55,7 @@
   });
 
   test('cost nothing and close at once when there is no receiver', async () => {
-    const metrics = open(undefined);
+    const metrics = createTestMetrics(undefined);
     metrics.count('requests.retried', {});
     await metrics.close();
     await metrics.close();
@@ -62,7 +68,7 @@
     const errors: Error[] = [];
     // Sending to the broadcast address is refused without a special option.
     const address = {host: '255.255.255.255', port: 8125};
-    const metrics = open({address, prefix: 'hb.'}, errors);
+    const metrics = createTestMetrics({address, prefix: 'hb.'}, errors);
     // Fills several datagrams, each of which is sent as soon as it is full.
     for (let sent = 0; sent < 100; sent += 1) {
       metrics.count('requests.retried', {});
--- a/test/moving/acquaintances.test.ts
+++ b/test/moving/acquaintances.test.ts
@@ -1,13 +1,13 @@
 import fc from 'fast-check';
 import {describe, expect, test} from 'vitest';
-import {createAcquaintances} from '../../packages/daemon/src/site/acquaintances';
+import {createKnownProcesses} from '../../packages/daemon/src/site/known_processes';
 import {propertySettings} from '../fixtures/property_settings';
 
 const FROZEN = {instance: 'engine-3', address: '10.0.1.3:7400'};
 
 const helloOf = (incarnation: number) => ({...FROZEN, incarnation});
 
-const names = (acquaintances: ReturnType<typeof createAcquaintances>) =>
+const names = (acquaintances: ReturnType<typeof createKnownProcesses>) =>
   acquaintances.all().map(({instance}) => instance);
 
 describe('acquaintances', () => {
@@ -21,7 +21,7 @@
     });
     fc.assert(
       fc.property(fc.array(step, {maxLength: 20}), steps => {
-        const acquaintances = createAcquaintances();
+        const acquaintances = createKnownProcesses();
         acquaintances.hello(helloOf(1));
         let now = 0;
         let absentFrom: number | undefined;
@@ -41,7 +41,7 @@
   });
 
   test('forget an instance after its goodbye, but not after one of an earlier incarnation', () => {
-    const acquaintances = createAcquaintances();
+    const acquaintances = createKnownProcesses();
     acquaintances.hello(helloOf(2));
     acquaintances.goodbye(FROZEN.instance, 1);
     expect(names(acquaintances)).toEqual(['engine-3']);
--- a/test/moving/agent_work.test.ts
+++ b/test/moving/agent_work.test.ts
@@ -3,7 +3,7 @@
 import {expect, test} from 'vitest';
 import {
   prepareGenerate,
-  refuseClosed,
+  refuseClosedWorkspace,
 } from '../../packages/daemon/src/agent/agent_work';
 import type {EngineControl} from '../../packages/daemon/src/agent/engine_control';
 import type {EngineRuns} from '../../packages/daemon/src/agent/target_runs';
@@ -58,10 +58,10 @@
     };
     const workspaces = {'call-centre': workspace};
     const configuration = {...base.configuration, workspaces};
-    return refuseClosed(request, {...base, configuration})?.kind;
+    return refuseClosedWorkspace(request, {...base, configuration})?.kind;
   };
   expect(at('hibiscusbeam', true)).toBeUndefined();
   expect(at('hibiscusbeam', false)).toBe('notReady');
   expect(at('older-system', true)).toBe('notReady');
-  expect(refuseClosed(request, undefined)?.kind).toBe('notReady');
+  expect(refuseClosedWorkspace(request, undefined)?.kind).toBe('notReady');
 });
--- a/test/moving/survey.test.ts
+++ b/test/moving/survey.test.ts
@@ -19,17 +19,17 @@
   const node = {
     listed: () => [{instance: 'entry-2', address: 'at-entry-2'}],
     sessions: {peers: () => []},
-    acquaintances: {
+    knownProcesses: {
       all: () => [],
       delistedFor: (instance: string) => (instance === 'gone' ? 31_000 : 0),
     },
     ownActivity: () => idle(),
-    askActivity: (address: string) =>
+    requestActivity: (address: string) =>
       Promise.resolve(replies[address.replace('at-', '')]),
   } as unknown as SiteNode;
   const olderSystem = {
     state: () => Promise.resolve(state),
-    tell: () => Promise.resolve(),
+    sendOwnership: () => Promise.resolve(),
     close: () => Promise.resolve(),
   };
   return createProcessSurvey({instance: 'entry-1', node, olderSystem})();
--- a/test/platform/foreign_rows.test.ts
+++ b/test/platform/foreign_rows.test.ts
@@ -56,7 +56,7 @@
   return {key, revision, isRemoved: false, value, bytes};
 }
 
-function storeOf(rows: readonly StoreRow[]): StoreClient {
+function createStubStore(rows: readonly StoreRow[]): StoreClient {
   const reading: Result<RowsReading, HostError> = Ok({
     revision: 9,
     era: 0,
@@ -73,19 +73,19 @@
 }
 
 async function readTargets(...rows: readonly StoreRow[]) {
-  return (await createTargetList(storeOf(rows)).read(1)).unwrap();
+  return (await createTargetList(createStubStore(rows)).read(1)).unwrap();
 }
 
 async function readMembers(...rows: readonly StoreRow[]) {
-  return (await createMemberTable(storeOf(rows)).readAll(1)).unwrap();
+  return (await createMemberTable(createStubStore(rows)).readAll(1)).unwrap();
 }
 
 async function readOperator(...rows: readonly StoreRow[]) {
-  return (await createOperatorFeed(storeOf(rows)).readAll(1)).unwrap();
+  return (await createOperatorFeed(createStubStore(rows)).readAll(1)).unwrap();
 }
 
 /** What another writer may leave in the place of `valid`, and is never valid. */
-function spoilt(valid: object, required: readonly string[]) {
+function corrupted(valid: object, required: readonly string[]) {
   const field = fc.constantFrom(...required);
   const otherType = fc.constantFrom(null, true, {}, [], -1.5, '');
   return fc.oneof(
@@ -127,7 +127,7 @@
   });
 
   test('those of other writers name none, and the others hold', async () => {
-    const foreign = spoilt(REGISTRATION, fields);
+    const foreign = corrupted(REGISTRATION, fields);
     await fc.assert(
       fc.asyncProperty(fc.array(foreign, {maxLength: 8}), async values => {
         const rows = values.map((value, at) => row(`x-${at}`, value, at));
@@ -163,7 +163,7 @@
   test('those of other writers name none, and the others hold', async () => {
     await fc.assert(
       fc.asyncProperty(
-        fc.array(spoilt(MEMBER, fields), {maxLength: 8}),
+        fc.array(corrupted(MEMBER, fields), {maxLength: 8}),
         async values => {
           const rows = values.map((value, at) => row(`x-${at}`, value, at));
           const read = await readMembers(...rows, row('front-1', MEMBER));
@@ -188,7 +188,7 @@
   test('versions of other writers name none, and the others hold', async () => {
     await fc.assert(
       fc.asyncProperty(
-        fc.array(spoilt(NAMED, ['Model', 'Version']), {maxLength: 8}),
+        fc.array(corrupted(NAMED, ['Model', 'Version']), {maxLength: 8}),
         async values => {
           const rows = values.map((value, at) =>
             row(`version/x-${at}`, value, at),
@@ -210,7 +210,7 @@
   });
 
   test('a configuration of another writer is none, versions hold', async () => {
-    const foreign = spoilt(CONFIGURATION, ['Version', 'Routes']).filter(
+    const foreign = corrupted(CONFIGURATION, ['Version', 'Routes']).filter(
       // A configuration without routes is one.
       value => !isWithoutRoutes(value),
     );
--- a/test/platform/http_platform.test.ts
+++ b/test/platform/http_platform.test.ts
@@ -180,13 +180,15 @@
     ['{}', 429, 'rateLimited', 'rateLimited'],
     ['{}', 502, 'replyLost', 'unavailable'],
     ['{}', 503, 'unavailable', 'unavailable'],
-  ])('maps %s with status %i', async (body, status, ofCommit, ofRead) => {
+  ])('maps %s with status %i', async (body, status, commitError, readError) => {
     const address = await serve((_request, response) => {
       response.writeHead(status).end(body);
     });
     const {table} = connect(address);
-    expect((await table.commit(PUT_ONCE)).val).toMatchObject({kind: ofCommit});
-    expect((await table.read('a')).val).toMatchObject({kind: ofRead});
+    expect((await table.commit(PUT_ONCE)).val).toMatchObject({
+      kind: commitError,
+    });
+    expect((await table.read('a')).val).toMatchObject({kind: readError});
   });
 
   it('rejects a manifest whose digest is another one', async () => {
--- a/test/platform/restored_store.test.ts
+++ b/test/platform/restored_store.test.ts
@@ -4,9 +4,9 @@
 import {createStoreClient, type StoreClient} from '../../platform/store_client';
 import {
   eraOf,
-  MOST_ERAS,
+  MAX_ERAS,
   toRevision,
-  VERSIONS_IN_ERA,
+  VERSIONS_PER_ERA,
   versionOf,
 } from '../../platform/store_revision';
 import {startHostStore, type HostStore} from '../fleet/fixtures/host_store';
@@ -61,9 +61,9 @@
 
 test.each([
   [0, 0],
-  [0, VERSIONS_IN_ERA - 1],
+  [0, VERSIONS_PER_ERA - 1],
   [3, 17],
-  [MOST_ERAS - 1, VERSIONS_IN_ERA - 1],
+  [MAX_ERAS - 1, VERSIONS_PER_ERA - 1],
 ])(
   'era %d and version %d are read back from their revision',
   (era, version) => {
@@ -74,7 +74,7 @@
   },
 );
 
-test.each(['-1', 'second', '1.5', String(MOST_ERAS)])(
+test.each(['-1', 'second', '1.5', String(MAX_ERAS)])(
   'an answer with the era %j is malformed, by the name of its line',
   async era => {
     const server = createServer((_, response) =>
--- a/test/requests/fake_agent.ts
+++ b/test/requests/fake_agent.ts
@@ -5,7 +5,7 @@
   type AttemptId,
   type AttemptRegistry,
   type TombstoneAnswer,
-  type WholeAnswer,
+  type CompleteAnswer,
 } from '@hibiscusbeam/core';
 import {bytesOf, digestOf} from './sha256_digester';
 
@@ -49,7 +49,7 @@
 }
 
 /** The answer that a target gives to an attempt, in three frames. */
-export function answerTo(attempt: AttemptId, text: string): WholeAnswer {
+export function answerTo(attempt: AttemptId, text: string): CompleteAnswer {
   const frames = [0, 1, 2].map(part => bytesOf(`${text}|${attempt}|${part}`));
   const digest = digestOf(frames);
   return {attempt, versionDigest: undefined, frames, digest};
@@ -57,7 +57,7 @@
 
 /** An answer as the frames of its stream. */
 export function framesOf(
-  answer: WholeAnswer,
+  answer: CompleteAnswer,
   incarnation: number,
 ): readonly AttemptEvent[] {
   const {attempt, versionDigest, frames, digest} = answer;
--- a/test/settings/load_settings.test.ts
+++ b/test/settings/load_settings.test.ts
@@ -17,7 +17,7 @@
 }
 
 /** Faults as `line:column kind path`, which is what an operator goes by. */
-function placesOf(text: string): readonly string[] {
+function locationsOf(text: string): readonly string[] {
   return faultsOf(text).map(
     fault => `${fault.line}:${fault.column} ${fault.kind} ${fault.path}`,
   );
@@ -89,7 +89,7 @@
       'transferBuffer: 1MiB', // 19
       'zone: oviedo-hall', // 20
     ].join('\n');
-    expect(placesOf(text)).toEqual([
+    expect(locationsOf(text)).toEqual([
       '1:1 missingField region',
       '2:11 wrongValue instance',
       '4:9 unknownField colour',
--- a/test/settings/settings_check.test.ts
+++ b/test/settings/settings_check.test.ts
@@ -23,9 +23,9 @@
 
 function check(read: () => string): readonly string[] {
   const lines: string[] = [];
-  const note = (sentence: string, fields?: unknown) =>
+  const record = (sentence: string, fields?: unknown) =>
     void lines.push(`${sentence} ${JSON.stringify(fields ?? {})}`);
-  const log: Log = {debug: note, info: note, warn: note, error: note};
+  const log: Log = {debug: record, info: record, warn: record, error: record};
   recheckSettings(read, loadFleetSettings(TEXT).unwrap(), log);
   return lines;
 }
--- a/test/standins/batch.test.ts
+++ b/test/standins/batch.test.ts
@@ -2,7 +2,7 @@
 import {createBatch} from '../../packages/standins/src/engine/batch';
 import {
   createPrefixCache,
-  prefixOf,
+  hashPrefix,
 } from '../../packages/standins/src/engine/prefix_cache';
 import {createRun} from '../../packages/standins/src/engine/run';
 import type {Run} from '../../packages/standins/src/engine/run';
@@ -140,10 +140,10 @@
     await clock.advance(50);
     const {events, latest} = cache.eventsAfter(0);
     expect(events.map(event => [event.kind, event.prefix])).toEqual([
-      ['stored', prefixOf('a')],
-      ['stored', prefixOf('b')],
-      ['stored', prefixOf('c')],
-      ['evicted', prefixOf('b')],
+      ['stored', hashPrefix('a')],
+      ['stored', hashPrefix('b')],
+      ['stored', hashPrefix('c')],
+      ['evicted', hashPrefix('b')],
     ]);
     expect(latest).toBe(4);
     expect(cache.use('sha256:1', 'a')).toBe(true);
--- a/test/standins/engine.test.ts
+++ b/test/standins/engine.test.ts
@@ -53,17 +53,17 @@
   return send('POST', `${engine.address}/generate`, body);
 }
 
-function faults(settings: unknown): Promise<Answer> {
+function setFaults(settings: unknown): Promise<Answer> {
   return send('POST', `${engine.address}/faults`, settings);
 }
 
-function linesOf(answer: Answer): readonly AnswerLine[] {
+function parseLines(answer: Answer): readonly AnswerLine[] {
   const lines = answer.text.split('\n').filter(line => line !== '');
   return lines.map(line => JSON.parse(line) as AnswerLine);
 }
 
 function textOf(answer: Answer): string {
-  return linesOf(answer)
+  return parseLines(answer)
     .map(line => (line.kind === 'token' ? line.text : ''))
     .join('');
 }
@@ -76,7 +76,7 @@
 it('streams an answer that depends on version and prompt alone', async () => {
   await loadVersion();
   const answer = await generate('a');
-  const lines = linesOf(answer);
+  const lines = parseLines(answer);
   const common = {attempt: 'a', versionDigest: VERSION};
   expect(lines[0]).toEqual({...common, kind: 'started'});
   expect(lines.at(-1)).toEqual({...common, kind: 'end', count: 6});
@@ -89,10 +89,10 @@
   // attempt, and the caller sees each token once. Cause: the link was cut
   // while the engine went on.
   await loadVersion();
-  await faults({dropNext: 1, tokenTime: 2});
+  await setFaults({dropNext: 1, tokenTime: 2});
   await expect(generate('a')).rejects.toThrow();
   const rest = await send('GET', `${engine.address}/generate/a?from=3`);
-  const sequences = linesOf(rest).flatMap(line =>
+  const sequences = parseLines(rest).flatMap(line =>
     line.kind === 'token' ? [line.sequence] : [],
   );
   expect(sequences).toEqual([3, 4, 5]);
@@ -103,9 +103,9 @@
 
 it('crosses the answers of a pair', async () => {
   await loadVersion();
-  await faults({crossNext: 1});
+  await setFaults({crossNext: 1});
   const answers = await Promise.all([generate('a'), generate('b')]);
-  expect(answers.map(answer => linesOf(answer)[0]?.attempt)).toEqual([
+  expect(answers.map(answer => parseLines(answer)[0]?.attempt)).toEqual([
     'b',
     'a',
   ]);
@@ -114,17 +114,19 @@
 
 it('ends a cancelled stream without an end line', async () => {
   await loadVersion();
-  await faults({tokenTime: 1});
+  await setFaults({tokenTime: 1});
   const answer = generate('a', 100_000);
   const url = `${engine.address}/generate/a`;
   await expect.poll(async () => (await send('DELETE', url)).status).toBe(200);
-  expect(linesOf(await answer).some(line => line.kind === 'end')).toBe(false);
+  expect(parseLines(await answer).some(line => line.kind === 'end')).toBe(
+    false,
+  );
 });
 
 it('refuses what it has not loaded and what its queue cannot hold', async () => {
   expect((await generate('early')).status).toBe(404);
   await loadVersion();
-  await faults({tokenTime: 1});
+  await setFaults({tokenTime: 1});
   const running = ['a', 'b', 'c'].map(attempt => generate(attempt, 100_000));
   const load = () => sendJson('GET', `${engine.address}/report`);
   await expect.poll(load).toMatchObject({running: 2, queued: 1});
@@ -149,7 +151,7 @@
     error: 'staleFencing',
     highest: 5,
   });
-  await faults({fencing: 'ignored'});
+  await setFaults({fencing: 'ignored'});
   expect((await order(UNLOAD, 4)).status).toBe(200);
   expect((await generate('a')).status).toBe(404);
 });
@@ -173,7 +175,7 @@
 
 it('finishes a running answer after its version is unloaded', async () => {
   await loadVersion();
-  await faults({tokenTime: 2});
+  await setFaults({tokenTime: 2});
   const answer = generate('a', 20);
   const load = () => sendJson('GET', `${engine.address}/report`);
   await expect.poll(load).toMatchObject({running: 1});
@@ -183,7 +185,7 @@
 
 it('answers nothing while frozen, and goes on after', async () => {
   await loadVersion();
-  await faults({frozen: true});
+  await setFaults({frozen: true});
   let answered = false;
   const answer = generate('a').then(value => {
     answered = true;
@@ -196,6 +198,6 @@
     expect(runs).toEqual({runs: {}});
   }
   expect(answered).toBe(false);
-  await faults({frozen: false});
+  await setFaults({frozen: false});
   expect(textOf(await answer)).toBe(expectedText('a'));
 });
--- a/test/standins/manual_clock.ts
+++ b/test/standins/manual_clock.ts
@@ -7,7 +7,7 @@
 }
 
 /** Lets all that follows from settled promises run. */
-function settle(): Promise<void> {
+function flushPromises(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
 
@@ -23,7 +23,7 @@
     advance: async duration => {
       const end = now + duration;
       for (;;) {
-        await settle();
+        await flushPromises();
         const due = Math.min(...waits.map(wait => wait.at));
         if (due > end) break;
         now = due;
--- a/test/standins/services.test.ts
+++ b/test/standins/services.test.ts
@@ -12,7 +12,7 @@
 
 const running: StandIn[] = [];
 
-async function started(standIn: Promise<StandIn>): Promise<string> {
+async function trackStandIn(standIn: Promise<StandIn>): Promise<string> {
   running.push(await standIn);
   return (await standIn).address;
 }
@@ -27,7 +27,7 @@
 }
 
 it('counts a call that took effect though its reply was cut', async () => {
-  const address = await started(startPlainService({listen: LISTEN}));
+  const address = await trackStandIn(startPlainService({listen: LISTEN}));
   await send('POST', `${address}/faults`, {dropNext: 1, callTime: 0});
   await expect(call(address, 'a')).rejects.toThrow();
   await send('POST', `${address}/faults`, {failNext: 1});
@@ -37,7 +37,7 @@
 });
 
 it('crosses the replies of a pair of calls', async () => {
-  const address = await started(startPlainService({listen: LISTEN}));
+  const address = await trackStandIn(startPlainService({listen: LISTEN}));
   await send('POST', `${address}/faults`, {crossNext: 1, callTime: 0});
   const replies = await Promise.all([call(address, 'a'), call(address, 'b')]);
   const attempts = replies.map(
@@ -47,7 +47,7 @@
 });
 
 it('refuses a transaction over more than 100 rows', async () => {
-  const address = await started(startPlatform({listen: LISTEN}));
+  const address = await trackStandIn(startPlatform({listen: LISTEN}));
   const commit = (count: number) => {
     const keys = Array.from({length: count}, (_, position) => `k/${position}`);
     const conditions = keys.map(key => ({kind: 'absent', key}));
@@ -60,7 +60,7 @@
 });
 
 it('shares the leading chunks of a version, and corrupts one as set', async () => {
-  const address = await started(startPlatform({listen: LISTEN}));
+  const address = await trackStandIn(startPlatform({listen: LISTEN}));
   const publish = async (changes: object) => {
     const version = {model: 'notes', chunkCount: 4, chunkSize: 1_000};
     const body = {...version, ...changes};
@@ -88,11 +88,11 @@
 it('stops orders and requests at once for what the older system loses', async () => {
   // During the switch both systems would give one engine orders. Order: the
   // older system loads its version, loses the target, and a newer label comes.
-  const platform = await started(startPlatform({listen: LISTEN}));
-  const engine = await started(startEngine({listen: LISTEN, loadTime: 0}));
+  const platform = await trackStandIn(startPlatform({listen: LISTEN}));
+  const engine = await trackStandIn(startEngine({listen: LISTEN, loadTime: 0}));
   const version = {model: 'notes', label: '1', chunkCount: 2, chunkSize: 1_000};
   await send('POST', `${platform}/weights/versions`, {...version, seed: 1});
-  const olderSystem = await started(
+  const olderSystem = await trackStandIn(
     startOlderSystem({
       listen: LISTEN,
       platform,
