--- a/packages/daemon/src/caller_client/caller_client.ts
+++ b/packages/daemon/src/caller_client/caller_client.ts
@@ -19,13 +19,13 @@
 
 const DEFAULT_MAX_ATTEMPTS = 5;
 
-/** The entry answers by the deadline; this is for the way back. */
+/** Extra time for the response, as the entry may answer at the deadline. */
 const RESPONSE_GRACE: Milliseconds = 500;
 
-/** Pause before a send that follows a broken one. */
+/** Delay before the attempt that follows a failed one. */
 const FAILURE_RETRY_DELAY: Milliseconds = 100;
 
-/** One request, in the form that sends it to an entry. */
+/** A request in the form in which it is sent to an entry. */
 interface PreparedRequest<Answer> {
   readonly path: string;
   readonly headers: (
@@ -38,11 +38,11 @@
       {kind: 'response'}
     >,
   ) => Promise<AttemptResult<Answer>>;
-  /** Whether it may be sent again although it may have run. */
+  /** Whether the request may be retried although it may have run. */
   readonly repeatable: () => boolean;
 }
 
-/** Creates a client for one workspace. */
+/** Creates the client of one workspace. */
 export function createCallerClient(options: CallerClientOptions): CallerClient {
   const now = options.now ?? (() => performance.now());
   const wait = options.wait ?? (duration => sleep(duration));
@@ -56,7 +56,10 @@
   });
   const maximumSends = options.maximumSends ?? DEFAULT_MAX_ATTEMPTS;
 
-  /** Sends once; `unreachable` if the entry can't have seen the request. */
+  /**
+   * Makes one attempt; `unreachable` if the entry can't have received the
+   * request.
+   */
   async function sendOnce<Answer>(
     prepared: PreparedRequest<Answer>,
     remaining: Milliseconds,
@@ -77,12 +80,12 @@
     }
     if (response.status === 200) {
       const result = await prepared.read(response);
-      // Its answer broke off: the next send goes to another entry.
+      // The response was cut off, so the next attempt uses another entry.
       if (result.kind === 'outcomeUnknown') entries.markFailed(entry);
       return result;
     }
     const refusal = await readRefusal<Answer>(response);
-    // An entry that is being stopped will not serve the next send either.
+    // An entry that is stopping would refuse the next attempt as well.
     const isStopping =
       refusal.kind === 'notRun' && refusal.reason === 'stopping';
     if (isStopping) entries.markFailed(entry);
@@ -113,8 +116,8 @@
       if (retryDelay === undefined || now() + retryDelay >= deadline) break;
       await wait(retryDelay);
     }
-    // "Not run" is the entry's word on one send. After an earlier send that
-    // may have run it would be a lie about the call.
+    // An entry reports `notRun` for one attempt only. If an earlier attempt may
+    // have run, the outcome of the call is unknown.
     return mayHaveRun === undefined ? last : unknownAfter(mayHaveRun);
   }
 
@@ -139,7 +142,7 @@
   return outcome.kind === 'notRun' && outcome.reason === 'inProgress';
 }
 
-/** How long to wait before the next send; undefined: it would not help. */
+/** Delay before the next attempt; undefined if a retry can't succeed. */
 function retryDelayAfter(
   outcome: CallerOutcome<unknown>,
 ): Milliseconds | undefined {
@@ -176,7 +179,7 @@
           : {firstTokenWithin: formatDuration(firstTokenWithin)}),
       }),
     read: response => readStream(response, onToken),
-    // Tokens already shown would be shown twice, or mixed with others.
+    // After a retry, the caller would get tokens twice or from two answers.
     repeatable: () => !hasTokens,
   };
 }
@@ -195,7 +198,7 @@
     }),
     body: () => body,
     read: readResult,
-    // Under one key the system runs the call once, however often it is sent.
+    // Calls with the same key run once, no matter how often they are sent.
     repeatable: () => idempotencyKey !== undefined,
   };
 }
--- a/packages/daemon/src/caller_client/entry_list.ts
+++ b/packages/daemon/src/caller_client/entry_list.ts
@@ -2,18 +2,21 @@
 import * as z from 'zod';
 import type {EntryExchange} from './exchange';
 
-/** Which entry a caller uses, as the system tells it. */
+/** Selects the entry for a caller from the list that the entries provide. */
 export interface EntryList {
-  /** The entry to use: the same one until it fails or the list changes. */
+  /**
+   * Address of the entry to use; the same one until it fails or the list
+   * changes. Throws if no entry is known.
+   */
   readonly current: () => Promise<string>;
-  /** Goes on to another entry after `entry` failed. */
+  /** Moves `entry` to the end of the list, so that another one is used. */
   readonly markFailed: (entry: string) => void;
 }
 
 /** Options of {@link createEntryList}. */
 export interface EntryListOptions {
   readonly exchange: EntryExchange;
-  /** Entries to ask first. */
+  /** Addresses (`IP:port`) of the entries to query first. */
   readonly entries: readonly string[];
   readonly zone: ZoneName | undefined;
   readonly now: () => Milliseconds;
@@ -27,13 +30,13 @@
   keepForMilliseconds: z.number().nonnegative(),
 });
 
-/** An entry that doesn't say in this time which to use is passed over. */
+/** Timeout of a request for the list; the next entry is tried after it. */
 const REFRESH_TIMEOUT: Milliseconds = 2_000;
 
-/** After a failed question, the old list serves this long. */
+/** How long the old list stays in use after no entry has answered. */
 const REFRESH_RETRY_DELAY: Milliseconds = 1_000;
 
-/** Keeps the system's answer to "which entry shall I use". */
+/** Creates a list that is refreshed from the entries when it expires. */
 export function createEntryList(options: EntryListOptions): EntryList {
   const {exchange, now, random} = options;
   let order = shuffle(options.entries, random);
@@ -48,12 +51,15 @@
       validUntil = now() + reply.keepForMilliseconds;
       return;
     }
-    // No entry answers. The old addresses stay in use: an entry that is being
-    // stopped serves as long as callers may hold its address.
+    // No entry answers. The old addresses stay in use, as a stopping entry
+    // serves requests for as long as callers may have its address.
     validUntil = now() + REFRESH_RETRY_DELAY;
   }
 
-  /** Own zone first, each group in random order, the entry in use kept. */
+  /**
+   * Puts the entries of the caller's own zone first, each zone group in random
+   * order. The entry in use stays first if its group comes first.
+   */
   function sortEntries(
     entries: z.infer<typeof ENTRIES_REPLY>['entries'],
     inUse: string | undefined,
--- a/packages/daemon/src/caller_client/exchange.ts
+++ b/packages/daemon/src/caller_client/exchange.ts
@@ -1,7 +1,7 @@
 import type {Milliseconds} from '@hibiscusbeam/core';
 import {Agent, request, type Dispatcher} from 'undici';
 
-/** One HTTP request to one entry. */
+/** An HTTP request to an entry. */
 export interface EntryRequest {
   /** `IP:port`. */
   readonly entry: string;
@@ -12,24 +12,24 @@
   readonly timeout: Milliseconds;
 }
 
-/** How far a request came that has no response. */
+/** Why a request has no response, and whether the entry may have seen it. */
 export type ExchangeFailure =
-  /** No connection: the entry can't have seen the request. */
+  /** No connection was made, so the entry can't have seen the request. */
   | {readonly kind: 'notSent'; readonly detail: string}
-  /** The entry may have seen it. */
+  /** The connection failed later; the entry may have seen the request. */
   | {readonly kind: 'cut'; readonly detail: string};
 
-/** A response whose body is still to be read. */
+/** A response whose body has not been read yet. */
 export interface EntryResponse {
   readonly kind: 'response';
   readonly status: number;
   readonly headers: Dispatcher.ResponseData['headers'];
-  /** Throws if the connection breaks off. */
+  /** Throws if the connection is lost or a line is too long. */
   readonly lines: () => AsyncGenerator<string>;
   readonly json: () => Promise<unknown>;
 }
 
-/** HTTP to entries, connections kept open. */
+/** HTTP client for entries, with persistent connections. */
 export interface EntryExchange {
   readonly send: (
     entryRequest: EntryRequest,
@@ -39,10 +39,10 @@
 
 const CONNECT_TIMEOUT: Milliseconds = 2_000;
 
-/** A line or body beyond this is no answer of an entry. */
+/** Limit for a body or a line of a stream; entries send less. */
 const MAX_BODY_BYTES = 16 * 1024 * 1024;
 
-/** Errors before any byte of a request is sent. */
+/** Codes of errors that occur before any byte of a request is sent. */
 const UNSENT_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -50,7 +50,7 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** Creates the caller's connections. */
+/** Creates an HTTP client that authenticates with `workspaceKey`. */
 export function createEntryExchange(workspaceKey: string): EntryExchange {
   const agent = new Agent({connect: {timeout: CONNECT_TIMEOUT}});
   return {
@@ -76,7 +76,7 @@
   };
 }
 
-/** Turns what undici throws into how far the request came. */
+/** Maps an error thrown by undici to an {@link ExchangeFailure}. */
 export function failureOf(error: unknown): ExchangeFailure {
   const detail = error instanceof Error ? error.message : String(error);
   const code = (error as {code?: unknown} | null)?.code;
--- a/packages/daemon/src/caller_client/response_reading.ts
+++ b/packages/daemon/src/caller_client/response_reading.ts
@@ -4,7 +4,7 @@
 import type {EntryResponse} from './exchange';
 import type {CallerOutcome, GeneratedAnswer} from './types';
 
-/** What one send came to. */
+/** The result of one attempt. */
 export type AttemptResult<Answer> =
   | Exclude<CallerOutcome<Answer>, {readonly kind: 'notRun'}>
   | {
@@ -43,7 +43,7 @@
   return {kind: 'outcomeUnknown', detail};
 }
 
-/** Reads a response other than 200. */
+/** Reads a response whose status is not 200. */
 export async function readRefusal<Answer>(
   response: EntryResponse,
 ): Promise<AttemptResult<Answer>> {
@@ -52,8 +52,8 @@
   if (outcome !== undefined) return outcome;
   const rejection = REJECTION.safeParse(body).data;
   const {status} = response;
-  // Only an entry's own word makes a request rejected; 5xx from anybody else
-  // on the way says nothing about whether it ran.
+  // Only an entry can reject a request. A 5xx from a proxy in between doesn't
+  // tell whether the request ran.
   if (rejection === undefined || status >= 500) {
     return unknownOutcome(`status ${status} without an outcome`);
   }
@@ -70,18 +70,18 @@
   return {kind: 'notRun', reason, retryAfter};
 }
 
-/** Reads the result of a plain service's operation. */
+/** Reads the result of an operation of a plain service. */
 export async function readResult(
   response: EntryResponse,
 ): Promise<AttemptResult<unknown>> {
   try {
     return {kind: 'answered', answer: await response.json()};
   } catch {
-    return unknownOutcome('the answer broke off');
+    return unknownOutcome('the response body could not be read');
   }
 }
 
-/** Reads a stream of tokens; only one with its end line is an answer. */
+/** Reads a stream of tokens; it is an answer only with a valid end line. */
 export async function readStream(
   response: EntryResponse,
   onToken: (text: string) => void,
@@ -97,22 +97,22 @@
           versionDigest = line.versionDigest;
           break;
         case 'token':
-          // A hole or a double would change what the answer says.
+          // A missing or repeated token would change the answer.
           if (line.sequence !== texts.length) {
-            return unknownOutcome('a token is lost');
+            return unknownOutcome('a token is missing');
           }
           texts.push(line.text);
           hash.update(line.text);
           onToken(line.text);
           break;
         case 'outcome':
-          return outcomeOf(line) ?? unknownOutcome('the answer broke off');
+          return outcomeOf(line) ?? unknownOutcome('the outcome is malformed');
         case 'end': {
           const digest = `sha256:${hash.digest('hex')}`;
           const isComplete =
             line.count === texts.length && line.digest === digest;
           if (!isComplete || versionDigest === undefined) {
-            return unknownOutcome('the answer does not fit its end');
+            return unknownOutcome('the answer does not match its end line');
           }
           const answer = {
             text: texts.join(''),
@@ -124,8 +124,8 @@
       }
     }
   } catch (error) {
-    return unknownOutcome(`the answer broke off: ${String(error)}`);
+    return unknownOutcome(`the stream could not be read: ${String(error)}`);
   }
-  // A stream that closes without its end line is no answer.
-  return unknownOutcome('the answer has no end');
+  // Without the end line, the answer may be truncated.
+  return unknownOutcome('the stream has no end line');
 }
--- a/packages/daemon/src/caller_client/types.ts
+++ b/packages/daemon/src/caller_client/types.ts
@@ -5,18 +5,21 @@
   ZoneName,
 } from '@hibiscusbeam/core';
 
-/** What a caller learns in the end; exactly one of these. */
+/** The final outcome of a request. */
 export type CallerOutcome<Answer> =
   | {readonly kind: 'answered'; readonly answer: Answer}
-  /** It certainly did not run. Come back after `retryAfter`. */
+  /** The request did not run. It may be retried after `retryAfter`. */
   | {
       readonly kind: 'notRun';
       readonly reason: NotRunReason | 'unreachable';
       readonly retryAfter: Milliseconds;
     }
-  /** It may have run. A call with a key may be asked again with that key. */
+  /**
+   * The request may have run. A call with an idempotency key may be retried
+   * with the same key.
+   */
   | {readonly kind: 'outcomeUnknown'; readonly detail: string}
-  /** The request itself is wrong; asking again gives the same. */
+  /** The request is invalid; a retry would be rejected as well. */
   | {
       readonly kind: 'rejected';
       readonly status: number;
@@ -24,7 +27,7 @@
       readonly detail: string;
     };
 
-/** A whole answer of a model. */
+/** A complete answer of a model. */
 export interface GeneratedAnswer {
   readonly text: string;
   readonly versionDigest: VersionDigest;
@@ -36,11 +39,11 @@
   readonly model: string;
   readonly prompt: string;
   readonly maximumTokens: number;
-  /** A request whose first token would come later is refused at once. */
+  /** A request whose first token is expected later is refused at once. */
   readonly firstTokenWithin?: Milliseconds;
-  /** Time for the whole request, waits and retries included. */
+  /** Time for the whole request, including waits and retries. */
   readonly deadline: Milliseconds;
-  /** Sees each token as it comes; the answer is whole only at the end. */
+  /** Receives each token; the answer is complete only at the end. */
   readonly onToken?: (text: string) => void;
 }
 
@@ -51,39 +54,39 @@
   /** Sent as JSON. */
   readonly body: unknown;
   /**
-   * Names this call for ever. Without it, a call that may have run is never
-   * sent again.
+   * Identifies this call permanently. Without it, a call that may have run is
+   * never retried.
    */
   readonly idempotencyKey?: string;
-  /** Time for the whole call, waits and retries included. */
+  /** Time for the whole call, including waits and retries. */
   readonly deadline: Milliseconds;
 }
 
 /** Options of `createCallerClient`. */
 export interface CallerClientOptions {
-  /** Entries to ask first, `IP:port`. */
+  /** Addresses (`IP:port`) of the entries to query first. */
   readonly entries: readonly string[];
   readonly workspaceKey: string;
-  /** The caller's own availability zone: its entries go first. */
+  /** The caller's own availability zone, whose entries are preferred. */
   readonly zone?: ZoneName;
-  /** Most sends of one request; default 5. */
+  /** Maximum number of attempts per request; default 5. */
   readonly maximumSends?: number;
-  /** Monotonic milliseconds; for tests. */
+  /** Monotonic clock in milliseconds; for tests. */
   readonly now?: () => Milliseconds;
-  /** Pauses; for tests. */
+  /** Waits for a duration; for tests. */
   readonly wait?: (duration: Milliseconds) => Promise<void>;
-  /** From 0 up to 1, to spread callers over entries; for tests. */
+  /** Number from 0 up to 1 that spreads callers over entries; for tests. */
   readonly random?: () => number;
 }
 
-/** A caller's side of hibiscusbeam. */
+/** Client for callers of hibiscusbeam. */
 export interface CallerClient {
   readonly generate: (
     call: GenerateCall,
   ) => Promise<CallerOutcome<GeneratedAnswer>>;
-  /** The answer is the operation's JSON result. */
+  /** Calls an operation; the answer is its JSON result. */
   readonly call: (call: ServiceCall) => Promise<CallerOutcome<unknown>>;
-  /** The entry that the next request goes to. */
+  /** Address of the entry that the next request goes to. */
   readonly entry: () => Promise<string>;
   readonly close: () => Promise<void>;
 }
--- a/test/caller_client/caller_client.test.ts
+++ b/test/caller_client/caller_client.test.ts
@@ -29,7 +29,7 @@
   body: {charged: 1},
 };
 
-/** A client of scripted entries, on a clock that only waits move. */
+/** Starts scripted entries and a client on a manual clock. */
 async function setUp(
   script: readonly EntryScript[],
   zones: readonly string[] = ['far', 'near', 'far'],
@@ -52,22 +52,22 @@
     await client.close();
     await entries.close();
   });
-  return {client, entries, waits, pass: (time: number) => (now += time)};
+  return {client, entries, waits, advance: (time: number) => (now += time)};
 }
 
-describe('a caller picks an entry', () => {
-  test('in its own zone, and keeps the answer as long as it is told', async () => {
-    const {client, entries, pass} = await setUp([]);
+describe('the choice of an entry', () => {
+  test('prefers the own zone and lasts until the list expires', async () => {
+    const {client, entries, advance} = await setUp([]);
     expect(await client.entry()).toBe(entries.addresses[1]);
-    pass(999);
+    advance(999);
     await client.entry();
     expect(entries.listRequests()).toBe(1);
-    pass(1);
+    advance(1);
     expect(await client.entry()).toBe(entries.addresses[1]);
     expect(entries.listRequests()).toBe(2);
   });
 
-  test('and learns at once that none can be reached', async () => {
+  test('reports a request as not run if no entry can be reached', async () => {
     const client = createCallerClient({
       entries: ['127.0.0.1:1'],
       workspaceKey: 'key',
@@ -81,10 +81,10 @@
   });
 });
 
-// A shop counter reads a repair note while it is written. The connection
-// breaks half way, or a token is lost: what is on the screen is not the note.
-describe('a caller reads a stream', () => {
-  test('to its end line, and then has the whole answer', async () => {
+// A stream can break half way or lose a token. The caller must not take the
+// tokens it has received for the complete answer.
+describe('a stream of tokens', () => {
+  test('gives the complete answer after its end line', async () => {
     const {client} = await setUp([{kind: 'stream', lines: completeLines}]);
     expect(await client.generate(GENERATE_CALL)).toEqual({
       kind: 'answered',
@@ -111,20 +111,20 @@
         {kind: 'outcome', outcome: 'outcomeUnknown', detail: 'x'},
       ],
     ],
-  ])('%s and has no answer', async (_name, lines) => {
+  ])('%s gives no answer', async (_name, lines) => {
     const {client, entries} = await setUp([{kind: 'stream', lines}]);
     const shown: string[] = [];
     const onToken = (text: string) => void shown.push(text);
     const outcome = await client.generate({...GENERATE_CALL, onToken});
     expect(outcome.kind).toBe('outcomeUnknown');
-    // What is shown may be cut short but has no hole.
+    // The tokens shown may be truncated, but none is missing in between.
     const given = lines.flatMap(line => ('text' in line ? [line.text] : []));
     const hasHole = given[0] === 'worn';
     expect(shown).toEqual(hasHole ? [] : given);
     if (shown.length > 0) expect(entries.received).toHaveLength(1);
   });
 
-  test('from another entry if it broke off before the first token', async () => {
+  test('is requested from another entry if it ends before the first token', async () => {
     const {client, entries} = await setUp([
       DROPPED_CONNECTION,
       {kind: 'stream', lines: completeLines},
@@ -135,11 +135,11 @@
   });
 });
 
-// A warranty charge is sent and the connection breaks before the answer. It
-// may have been booked. Sent again as another call it would be booked twice;
-// "not run" for the second send must not pass for "not booked".
-describe('a caller of an operation that may not be repeated', () => {
-  test('sends it again under the same key only', async () => {
+// A charge is sent and the connection breaks before the answer, so it may have
+// been booked. A retry as a new call would book it twice, and "not run" for the
+// retry must not be reported as "not booked".
+describe('a call of an operation that must run at most once', () => {
+  test('is retried with the same key', async () => {
     const {client, entries} = await setUp([
       DROPPED_CONNECTION,
       notRun('inProgress', 70),
@@ -151,14 +151,14 @@
     expect(new Set(entries.received.map(({body}) => body)).size).toBe(1);
   });
 
-  test('sends it once if it has no key and may have run', async () => {
+  test('is sent once if it has no key and may have run', async () => {
     const {client, entries} = await setUp([DROPPED_CONNECTION, CHARGED_REPLY]);
     expect((await client.call(CHARGE_CALL)).kind).toBe('outcomeUnknown');
     expect(entries.received).toHaveLength(1);
   });
 
   test.each(['platformUnavailable', 'inProgress', 'keyReused'])(
-    'does not take %s for "not run" after a send that may have run',
+    'is not reported as not run for %s after an attempt that may have run',
     async reason => {
       const refusals = Array.from({length: 9}, () => notRun(reason, 50));
       const {client} = await setUp([DROPPED_CONNECTION, ...refusals]);
@@ -167,7 +167,7 @@
     },
   );
 
-  test('comes back when it is told to, and not past its deadline', async () => {
+  test('is retried after the requested delay, but not past its deadline', async () => {
     const {client, waits} = await setUp([
       notRun('queueFull', 3000),
       notRun('platformUnavailable', 8000),
@@ -180,7 +180,7 @@
     expect(waits).toEqual([3000]);
   });
 
-  test('hears of a wrong request at once', async () => {
+  test('is not retried if the request is invalid', async () => {
     const body = {error: 'badField', detail: 'x'};
     const {client, entries} = await setUp([{kind: 'reply', status: 400, body}]);
     expect((await client.call(CHARGE_CALL)).kind).toBe('rejected');
--- a/test/caller_client/fake_entry.ts
+++ b/test/caller_client/fake_entry.ts
@@ -2,14 +2,14 @@
 import {createServer, type IncomingMessage} from 'node:http';
 import type {AddressInfo} from 'node:net';
 
-/** How a fake entry answers one request. */
+/** How a fake entry responds to one request. */
 export type EntryScript =
   | {readonly kind: 'stream'; readonly lines: readonly object[]}
-  /** Sends the lines and breaks the connection. */
+  /** Sends the lines and closes the connection. */
   | {readonly kind: 'cut'; readonly lines: readonly object[]}
   | {readonly kind: 'reply'; readonly status: number; readonly body: object};
 
-/** One request as the entry saw it. */
+/** A request as an entry received it. */
 export interface ReceivedRequest {
   readonly entry: string;
   readonly path: string;
@@ -17,15 +17,16 @@
   readonly body: string;
 }
 
-/** Entries that answer by script, on loopback. */
+/** Entries on loopback that respond by script. */
 export interface FakeEntries {
   readonly addresses: readonly string[];
   readonly received: readonly ReceivedRequest[];
+  /** Number of requests for the list of entries. */
   readonly listRequests: () => number;
   readonly close: () => Promise<void>;
 }
 
-/** The lines of a whole answer. */
+/** Returns the lines of a complete answer. */
 export function completeAnswer(tokens: readonly string[]): readonly object[] {
   const digest = createHash('sha256').update(tokens.join('')).digest('hex');
   return [
@@ -41,7 +42,7 @@
   return body;
 }
 
-/** Starts one entry per zone; they share one script, taken in order. */
+/** Starts one entry per zone. All share one script, which is used in order. */
 export async function startFakeEntries(
   zones: readonly string[],
   script: readonly EntryScript[],
