--- a/packages/daemon/src/entry/answer_writer.ts
+++ b/packages/daemon/src/entry/answer_writer.ts
@@ -1,7 +1,7 @@
 import type {ServerResponse} from 'node:http';
 import {bodyOf, responseOf, type UnansweredOutcome} from './outcome_mapping';
 
-/** One line of the answer to a caller; the stream's form is NDJSON. */
+/** One line of the NDJSON stream with which a caller is answered. */
 export type AnswerLine =
   | {readonly kind: 'started'; readonly versionDigest: string}
   | {readonly kind: 'token'; readonly sequence: number; readonly text: string}
@@ -9,9 +9,9 @@
 
 /** Writes one answer to one caller. */
 export interface AnswerWriter {
-  /** Undefined at once, or a promise until the connection takes more. */
+  /** Returns a promise if the connection is full; it resolves once drained. */
   readonly write: (line: AnswerLine) => Promise<void> | undefined;
-  /** Ends with an outcome instead of an answer. */
+  /** Ends the response with an outcome instead of an answer. */
   readonly endWithOutcome: (outcome: UnansweredOutcome) => void;
   readonly end: () => void;
 }
@@ -21,7 +21,7 @@
   'cache-control': 'no-store',
 };
 
-/** Streams an answer as NDJSON; the status is sent with the first line. */
+/** Creates a writer that streams NDJSON; the first line sends the status. */
 export function createAnswerWriter(response: ServerResponse): AnswerWriter {
   const untilDrained = (): Promise<void> =>
     new Promise(resolve => {
--- a/packages/daemon/src/entry/attempt_stream.ts
+++ b/packages/daemon/src/entry/attempt_stream.ts
@@ -7,22 +7,25 @@
 import type {ServeFrame} from '@hibiscusbeam/wire';
 import type {Clock} from '../runtime/clock';
 
-/** Events that may wait for a slow caller before the agent is held back. */
+/** Events buffered for a slow caller before the agent's stream is paused. */
 const MAX_BUFFERED_EVENTS = 64;
 
-/** The events of one attempt, in the order in which they came. */
+/** The events of one attempt, in the order of arrival. */
 export interface AttemptStream {
-  /** The next event, or `timedOut` at `until`. At hand, or a promise. */
+  /**
+   * Returns the next event, or `timedOut` at `until`. A buffered event is
+   * returned without a promise.
+   */
   readonly next: (
     until: MonotonicInstant,
   ) => AttemptEvent | Promise<AttemptEvent>;
-  /** Delivers an event that did not come from the agent. */
+  /** Delivers an event that doesn't come from the agent. */
   readonly interrupt: (event: AttemptEvent) => void;
-  /** Ends interest; the agent sees the call as cancelled. */
+  /** Cancels the call to the agent and stops reading. */
   readonly cancel: () => void;
 }
 
-/** Turns an agent's stream of frames into events with back-pressure. */
+/** Converts an agent's stream of frames to events, with backpressure. */
 export function createAttemptStream(
   stream: ClientReadableStream<ServeFrame>,
   clock: Clock,
--- a/packages/daemon/src/entry/caller_service.ts
+++ b/packages/daemon/src/entry/caller_service.ts
@@ -30,17 +30,17 @@
 import type {GenerateBody} from './request_parsing';
 import type {RequestRunner} from './request_runner';
 
-/** When to come back to a workspace that is closed while it moves. */
+/** Retry delay for a workspace that is closed, for example while it moves. */
 const WORKSPACE_CLOSED_RETRY_AFTER: Milliseconds = 2_000;
 
-/** When to come back to an entry that has too much in progress. */
+/** Retry delay for an entry that is overloaded or has no configuration. */
 const UNAVAILABLE_RETRY_AFTER: Milliseconds = 1_000;
 
-/** A caller's call of a plain service. */
+/** A call to a plain service. */
 export interface ServiceCall {
   readonly service: ServiceName;
   readonly operation: string;
-  /** JSON text of the body. */
+  /** The body as JSON text. */
   readonly content: Uint8Array;
   readonly idempotencyKey: string | undefined;
   readonly deadline: Milliseconds;
@@ -49,11 +49,11 @@
 /** The final answer to a call of a plain service. */
 export interface CallResult {
   readonly outcome: RequestResult['outcome'];
-  /** JSON text of the answer, if there is one. */
+  /** The answer as JSON text; undefined if there is none. */
   readonly content: Uint8Array | undefined;
 }
 
-/** Serves callers' requests. */
+/** Serves the requests of callers. */
 export interface CallerService {
   /** Streams the answer; always ends with an end line or an outcome. */
   readonly generate: (
@@ -67,7 +67,10 @@
     workspace: WorkspaceName,
     call: ServiceCall,
   ) => Promise<CallResult>;
-  /** Whether the operation must run at most once, so that it needs a key. */
+  /**
+   * Whether a call needs an idempotency key, as the operation must run at most
+   * once. True if the configuration, service or operation is not known.
+   */
   readonly needsKey: (service: ServiceName, operation: string) => boolean;
 }
 
@@ -79,13 +82,13 @@
   readonly runner: RequestRunner;
   readonly dispatcher: Dispatcher;
   readonly limits: WorkspaceLimits;
-  /** Most requests in progress at this entry. */
+  /** Maximum number of requests in progress at this entry. */
   readonly maxInProgress: number;
   /** Workspaces with requests in progress. */
   readonly workspacesInProgress: ActivityCounter;
 }
 
-/** Creates the service of one life of an entry. */
+/** Creates the caller service of one incarnation of an entry. */
 export function createCallerService(
   options: CallerServiceOptions,
 ): CallerService {
@@ -94,7 +97,10 @@
     `${options.instance}.${randomUUID()}`,
   );
 
-  /** The reason to refuse before anything is dispatched, if there is one. */
+  /**
+   * Returns the configuration of the workspace, or the result with which the
+   * request is refused before anything is dispatched.
+   */
   const admit = (
     workspace: WorkspaceName,
   ): RequestResult | WorkspaceConfiguration => {
@@ -107,8 +113,11 @@
       );
     }
     const {configuration} = accepted;
-    const described = lookUp(configuration.workspaces, workspace);
-    if (described === undefined || !mayServe(workspace, configuration)) {
+    const workspaceConfiguration = lookUp(configuration.workspaces, workspace);
+    if (
+      workspaceConfiguration === undefined ||
+      !mayServe(workspace, configuration)
+    ) {
       return refuse(
         createAttempt,
         'workspaceClosed',
@@ -118,11 +127,11 @@
     if (runner.running() >= options.maxInProgress) {
       return refuse(createAttempt, 'queueFull', UNAVAILABLE_RETRY_AFTER);
     }
-    const taken = limits.take(workspace, clock());
-    if (taken.kind === 'limited') {
-      return refuse(createAttempt, 'workspaceLimit', taken.retryAfter);
+    const limitDecision = limits.take(workspace, clock());
+    if (limitDecision.kind === 'limited') {
+      return refuse(createAttempt, 'workspaceLimit', limitDecision.retryAfter);
     }
-    return described;
+    return workspaceConfiguration;
   };
 
   /** Counts a request from its admission to its final answer. */
@@ -130,8 +139,9 @@
     workspace: WorkspaceName,
     work: () => Promise<Value>,
   ): Promise<Value> => {
-    // Failure: a move sees the workspace idle between a request's admission
-    // and its dispatch, opens it on the other side, and the request runs here.
+    // Without this, a move could see the workspace as idle between a request's
+    // admission and its dispatch and open it on the other side, while the
+    // request still runs here.
     const end = options.workspacesInProgress.begin(workspace);
     try {
       return await work();
@@ -275,8 +285,11 @@
     needsKey: (service, operation) => {
       const accepted = options.configuration();
       if (accepted === undefined) return true;
-      const described = lookUp(accepted.configuration.services, service);
-      return described?.notRepeatable.includes(operation) ?? true;
+      const serviceConfiguration = lookUp(
+        accepted.configuration.services,
+        service,
+      );
+      return serviceConfiguration?.notRepeatable.includes(operation) ?? true;
     },
   };
 }
@@ -287,7 +300,7 @@
   retryAfter: Milliseconds,
 ): RequestResult {
   const evidence = createOwnAttempt(createAttempt()).disown();
-  if (evidence === undefined) throw new Error('a new attempt was dispatched');
+  if (evidence === undefined) throw new Error('the attempt was already sent');
   return {
     outcome: {kind: 'notRun', evidence, reason, retryAfter},
     answer: undefined,
@@ -324,7 +337,7 @@
   }
 }
 
-/** The same key must mean the same call: this is what is compared. */
+/** Digest of a call, to detect an idempotency key used for two calls. */
 function fingerprintOf(call: ServiceCall): string {
   const {service, operation, content} = call;
   const body = Buffer.from(content).toString();
--- a/packages/daemon/src/entry/dispatcher.ts
+++ b/packages/daemon/src/entry/dispatcher.ts
@@ -22,24 +22,24 @@
   DispatcherOptions,
 } from './dispatcher_types';
 
-/** First token goal of the users: 1.9 s for 95 in 100. */
+/** Users expect the first token within 1.9 s for 95 of 100 requests. */
 const FIRST_TOKEN_GOAL: Milliseconds = 1_900;
 
-/** How often targets and attempts under way are judged. */
+/** How often targets and attempts in flight are evaluated. */
 const EVALUATION_PERIOD: Milliseconds = 100;
 
-/** How often waiting requests are looked at. */
+/** How often queued requests are checked. */
 const QUEUE_CHECK_PERIOD: Milliseconds = 20;
 
-/** Weight of the newest answer in the mean number of tokens. */
+/** Weight of the newest answer in the moving average of answer lengths. */
 const SAMPLE_WEIGHT = 0.05;
 
-/** Tokens of an answer until one was seen. */
+/** Expected tokens of a model's answer before its first one. */
 const INITIAL_MEAN_TOKENS = 64;
 
 const QUEUE_FULL_RETRY_AFTER: Milliseconds = 1_000;
 
-/** Joins router, admission, fair queue and retry budget. */
+/** Creates a dispatcher from router, admission, fair queue and retry budget. */
 export function createDispatcher(options: DispatcherOptions): Dispatcher {
   const {clock, directory} = options;
   const router = createRouter();
@@ -56,7 +56,7 @@
     AttemptId,
     {readonly request: RoutedRequest; readonly target: TargetName}
   >();
-  /** Requests whose next try is paid for. */
+  /** Requests whose next retry has already been taken from the budget. */
   const prepaidRetries = new WeakSet<RoutedRequest>();
   let reservations = 0;
 
@@ -78,9 +78,9 @@
   ): Reservation => {
     const agent = directory.findByTarget(routed.target);
     if (agent === undefined) return refuse('noTarget', QUEUE_FULL_RETRY_AFTER);
-    // Several requests may be given a target in one turn of the loop, before
-    // any of them is dispatched; without a reservation each would see the
-    // target as idle and all would go there.
+    // Several requests may be given a target in one turn of the event loop,
+    // before any of them is dispatched. Without a reservation, each would see
+    // the target as idle and all would go there.
     reservations += 1;
     const attempt = `reservation/${reservations}`;
     const {target} = routed;
@@ -124,13 +124,13 @@
   };
 
   const enqueue = (
-    waiter: QueuedRequest,
+    queued: QueuedRequest,
     queueClass: Parameters<typeof queue.enqueue>[1],
   ): void => {
-    const enqueued = queue.enqueue(waiter, queueClass);
+    const enqueued = queue.enqueue(queued, queueClass);
     startQueueChecks();
     if (enqueued.kind === 'full') {
-      waiter.resolve(refuse('queueFull', QUEUE_FULL_RETRY_AFTER));
+      queued.resolve(refuse('queueFull', QUEUE_FULL_RETRY_AFTER));
     }
     if (enqueued.kind === 'displaced') {
       enqueued.item.resolve(refuse('queueFull', QUEUE_FULL_RETRY_AFTER));
@@ -139,26 +139,26 @@
 
   const dispatchQueued = (): void => {
     for (;;) {
-      const waiter = queue.peek();
-      if (waiter === undefined) return;
-      const routed = route(waiter);
+      const queued = queue.peek();
+      if (queued === undefined) return;
+      const routed = route(queued);
       if (routed.err) {
         queue.dequeue();
-        waiter.resolve(refuse('noTarget', routed.val.retryAfter));
+        queued.resolve(refuse('noTarget', routed.val.retryAfter));
         continue;
       }
-      const waited = clock() - waiter.queuedAt;
+      const waited = clock() - queued.queuedAt;
       if (!admission.mayLeaveQueue(routed.val, waited)) return;
       queue.dequeue();
-      waiter.resolve(reserve(waiter.request, routed.val));
+      queued.resolve(reserve(queued.request, routed.val));
     }
   };
 
   const refuseOverdue = (): void => {
     const now = clock();
-    const overdue = queue.drop(waiter => waiter.effect.until <= now);
-    for (const waiter of overdue) {
-      waiter.resolve(refuse('deadlineTooShort', QUEUE_FULL_RETRY_AFTER));
+    const overdue = queue.drop(queued => queued.effect.until <= now);
+    for (const queued of overdue) {
+      queued.resolve(refuse('deadlineTooShort', QUEUE_FULL_RETRY_AFTER));
     }
   };
 
@@ -168,7 +168,7 @@
     return Math.min(maximumTokens, mean);
   };
 
-  /** Another target for an attempt's request, if there is one. */
+  /** Returns another target for the request of an attempt, if there is one. */
   const findOtherTarget = (attempt: AttemptId): TargetChoice | undefined => {
     const startedAttempt = attempts.get(attempt);
     if (startedAttempt === undefined) return undefined;
@@ -191,7 +191,7 @@
     options.onWithdraw(attempt);
   };
 
-  /** Takes attempts back from targets that have stalled. */
+  /** Withdraws attempts from targets that have stalled. */
   const withdrawStalled = (): void => {
     for (const {attempt} of router.stalledAttempts()) {
       if (findOtherTarget(attempt) === undefined) continue;
@@ -199,7 +199,7 @@
     }
   };
 
-  /** Takes back what waits at a target while another one has a free slot. */
+  /** Withdraws attempts that wait at a target while another one is idle. */
   const withdrawOverdue = (): void => {
     for (const {attempt} of router.overdueAttempts(clock())) {
       const startedAttempt = attempts.get(attempt);
@@ -216,8 +216,8 @@
     withdrawOverdue();
   });
 
-  // Only while something waits: fifty turns a second of an idle entry would be
-  // a good part of its budget of processor time.
+  // Runs only while requests wait: 50 checks a second would take much of an
+  // idle entry's CPU budget.
   let stopQueueChecks: (() => void) | undefined;
   const startQueueChecks = (): void => {
     stopQueueChecks ??= every(QUEUE_CHECK_PERIOD, () => {
@@ -247,7 +247,7 @@
     recordAttempt: (attempt, request, target) =>
       void attempts.set(attempt, {request, target}),
     spendRetry: request => {
-      // Already paid for by whoever took the attempt back.
+      // Already taken from the budget when the attempt was withdrawn.
       if (prepaidRetries.delete(request)) return true;
       const isTaken = retryBudget.takeRetry();
       if (isTaken) options.onRetry();
--- a/packages/daemon/src/entry/dispatcher_types.ts
+++ b/packages/daemon/src/entry/dispatcher_types.ts
@@ -15,29 +15,32 @@
 import type {Clock} from '../runtime/clock';
 import type {TargetDirectory} from './target_directory';
 
-/** What a request needs, and for whom. */
+/** What the dispatcher needs to know of a request. */
 export interface RoutedRequest {
   readonly workspace: WorkspaceName;
   readonly precedence: Pick<WorkspaceConfiguration, 'priority' | 'weight'>;
   readonly work: RoutedWork;
   readonly prompt: string;
-  /** Most tokens of the answer; 0 for a plain service. */
+  /** Maximum number of tokens in the answer; 0 for a plain service. */
   readonly maximumTokens: number;
   readonly firstTokenBy: MonotonicInstant | undefined;
   readonly deadline: MonotonicInstant;
 }
 
-/** A choice, held until its attempt is dispatched or given up. */
+/**
+ * A chosen target, reserved until the attempt is dispatched or given up; or the
+ * reason why there is none.
+ */
 export interface Reservation {
   readonly choice: DispatchTarget;
-  /** To be called once, when the attempt is dispatched or never will be. */
+  /** To be called once, when the attempt is dispatched or given up. */
   readonly release: () => void;
-  /** To be called once, when the work at the target is over. */
+  /** To be called once, when the work at the target has ended. */
   readonly end: () => void;
   readonly expectedFirstToken: Milliseconds;
 }
 
-/** Chooses targets for the requests of this entry and queues what waits. */
+/** Chooses targets for the requests of this entry and queues requests. */
 export interface Dispatcher {
   readonly choose: (
     request: RoutedRequest,
@@ -50,9 +53,9 @@
   ) => void;
   readonly recordAnswer: (work: RoutedWork, tokens: number) => void;
   readonly recordFirstTry: () => void;
-  /** Whether the request may be tried once more. */
+  /** Takes a retry from the budget; false if none is left. */
   readonly spendRetry: (request: RoutedRequest) => boolean;
-  /** Says which request an attempt at a target is for, until it ends. */
+  /** Records which request and target an attempt belongs to, until it ends. */
   readonly recordAttempt: (
     attempt: AttemptId,
     request: RoutedRequest,
@@ -63,6 +66,7 @@
   readonly close: () => void;
 }
 
+/** A request that waits for a target. */
 export interface QueuedRequest {
   readonly request: RoutedRequest;
   readonly effect: Pick<
@@ -79,9 +83,9 @@
   readonly zone: ZoneName;
   readonly directory: TargetDirectory;
   readonly queueCapacity: number;
-  /** Requests per second that a workspace sends to the whole site. */
+  /** Requests per second that a workspace sends to all entries. */
   readonly siteUse: (workspace: WorkspaceName) => number;
-  /** Told of attempts that should be given up, as another target is better. */
+  /** Called with attempts to withdraw, as another target can serve them. */
   readonly onWithdraw: (attempt: AttemptId) => void;
   readonly onRetry: () => void;
 }
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -36,22 +36,26 @@
 import {createTargetFeed} from './target_feed';
 import {createTargetDirectory} from './target_directory';
 
-/** Addresses in one answer to "which entry shall I use". */
+/** Maximum number of entry addresses returned to a caller. */
 const MAX_ADDRESSES = 8;
 
-/** How long a planned stop waits for requests in progress. */
+/** How long a planned stop waits for requests in progress, in milliseconds. */
 const MAX_DRAIN_TIME = 120_000;
 
 /**
- * How long others may name a stopping entry to callers: one that has not heard
- * its word by then has lost the session and names it no more.
+ * How long other entries may still list a stopping entry, in milliseconds. An
+ * entry that has not received its announcement by then has lost the session
+ * and stops listing it.
  */
 const MAX_STALE_LISTING_TIME = SUSPECT_AFTER;
 
-/** Pause between looks at what still runs while stopping. */
+/** Interval between checks for running requests while stopping, in ms. */
 const DRAIN_CHECK_PERIOD = 50;
 
-/** Our share of the origin's link and an instance's link, for estimates. */
+/**
+ * Bytes per second of our share of the origin's link and of an instance's link,
+ * for estimates.
+ */
 const ESTIMATED_RATES = {originRate: 125_000_000, instanceRate: 1_250_000_000};
 
 /** Starts an entry. */
@@ -76,8 +80,8 @@
   );
   const directory = createTargetDirectory();
   const callerAddress = formatAddress(settings.callerAddress);
-  // Higher at each start of the same instance, also while the platform is
-  // down; it orders the hellos of one entry's lives, nothing else.
+  // Grows with each start of the same instance, also while the platform is
+  // down. It is only used to order the hellos of one entry's incarnations.
   const incarnation = Date.now();
   let leaving = false;
   let uses: readonly WorkspaceUse[] = [];
@@ -100,7 +104,7 @@
       incarnation: () => incarnation,
       callerAddress,
       isLeaving: () => leaving,
-      // What is in progress at a target is its agent's to say.
+      // Agents report what is in progress at their targets.
       activity: () => ({
         busyTargets: [],
         busyWorkspaces: workspacesInProgress.names(),
@@ -180,7 +184,7 @@
     metrics,
     clock,
   );
-  /** Position among the live entries; 0 acts first. */
+  /** Position of this entry among the live ones for a subject; 0 is first. */
   const rankFor = (subject: string): number => {
     const others = node.membership
       .members()
@@ -292,16 +296,17 @@
       }).stop;
     }
     refreshSessions();
-    processLog.info(`serves callers at ${callerAddress}`);
+    processLog.info(`listening for callers at ${callerAddress}`);
   };
 
   const stop = async (): Promise<void> => {
     leaving = true;
-    processLog.info('leaves the list of addresses');
+    processLog.info('stopping: leaving the list of entries for callers');
     node.sessions.sendHeartbeats();
-    // Callers may keep the old answer so long; until then this entry serves
-    // whoever comes, or they would meet a refused connection. Another entry
-    // that hears of the stop late gives the address out for a while longer.
+    // Callers may use this address until their list expires, and another entry
+    // that learns of the stop late may list it for a while longer. Until then,
+    // this entry serves requests, as its callers' connections would be refused
+    // otherwise.
     await sleep(settings.addressesKeptFor + MAX_STALE_LISTING_TIME);
     const deadline = clock() + MAX_DRAIN_TIME;
     while (runner.running() > 0 && clock() < deadline) {
@@ -321,5 +326,5 @@
   return {start, stop};
 }
 
-/** Requests in progress for each one that may wait for a target. */
+/** Requests allowed in progress for each one that may wait for a target. */
 const IN_PROGRESS_PER_WAITING = 8;
--- a/packages/daemon/src/entry/group_commit_driver.ts
+++ b/packages/daemon/src/entry/group_commit_driver.ts
@@ -8,28 +8,29 @@
 import type {Result} from 'ts-results';
 import type {Clock} from '../runtime/clock';
 
-/** The table allows at most so many rows in one transaction. */
+/** The table's limit of rows in one transaction. */
 const MAX_ROWS = 100;
 
 /**
- * How long a claim waits for company. At 1,900 requests a second over 390
- * entries few claims meet; the wait is kept short against the first token.
+ * How long a claim waits for others to share its batch. At 1,900 requests per
+ * second over 390 entries, few claims meet in one batch. The wait is kept short
+ * to not delay the first token.
  */
 const BATCH_WINDOW_MS = 3;
 
-/** Batches on their way at once; more claims wait and share a batch. */
+/** Maximum number of batches in flight; further claims share a batch later. */
 const MAX_IN_FLIGHT = 4;
 
-/** Commits small transactions, several as one write of the table. */
+/** Commits small transactions, several in one write to the table. */
 export interface GroupCommitDriver {
   readonly commit: (
     transaction: TableTransaction,
   ) => Promise<Result<CommitOutcome, PlatformError>>;
-  /** Transactions that wait or are on their way. */
+  /** Number of transactions that wait or are in flight. */
   readonly pending: () => number;
 }
 
-/** Drives the group commit of core over the platform's table. */
+/** Creates a driver for core's group commit on the platform's table. */
 export function createGroupCommitDriver(
   table: TableService,
   clock: Clock,
--- a/packages/daemon/src/entry/http_access.ts
+++ b/packages/daemon/src/entry/http_access.ts
@@ -4,21 +4,21 @@
 import type {EntrySettings, HashedKey} from '../types/settings';
 import type {HttpRefusal} from './http_errors';
 
-/** Refuses a request, with the status that fits. */
+/** Replies to a request with the status and body of a refusal. */
 export type Refuse = (
   request: FastifyRequest,
   reply: FastifyReply,
   refusal: HttpRefusal,
 ) => FastifyReply;
 
-/** Lets in who shows a key of one kind, and remembers whose it is. */
+/** Authenticates requests by keys of one kind and records the key's name. */
 export interface HttpAccess<Name extends string> {
-  /** For a route's `onRequest`. */
+  /** Hook for a route's `onRequest`; refuses a missing or unknown key. */
   readonly check: (
     request: FastifyRequest,
     reply: FastifyReply,
   ) => Promise<unknown>;
-  /** Whose key a request has shown that `check` let in. */
+  /** Name of the key with which `check` accepted the request; else throws. */
   readonly nameOf: (request: FastifyRequest) => Name;
 }
 
@@ -28,8 +28,8 @@
 ): HttpAccess<Name> {
   const names = new WeakMap<FastifyRequest, Name>();
   return {
-    // Before the body is read: who has no key would otherwise make the entry
-    // receive and parse as much as those that have one.
+    // Runs before the body is read. Otherwise, clients without a key could make
+    // the entry receive and parse large bodies.
     check: (request, reply) => {
       const key = bearerKey(request.headers.authorization);
       const refusal = key === undefined ? 'noKey' : 'wrongKey';
@@ -42,13 +42,13 @@
     },
     nameOf: request => {
       const name = names.get(request);
-      if (name === undefined) throw new Error('the route checks no key');
+      if (name === undefined) throw new Error('the route has no key check');
       return name;
     },
   };
 }
 
-/** Access of workspaces' callers. */
+/** Creates the access for callers of workspaces. */
 export function createCallerAccess(
   settings: EntrySettings,
   refuse: Refuse,
@@ -56,7 +56,7 @@
   return createAccess(settings.workspaceKeys, refuse);
 }
 
-/** Access of operators. */
+/** Creates the access for operators. */
 export function createOperatorAccess(
   settings: EntrySettings,
   refuse: Refuse,
--- a/packages/daemon/src/entry/http_errors.ts
+++ b/packages/daemon/src/entry/http_errors.ts
@@ -1,4 +1,4 @@
-/** A request that the HTTP face refuses before it reaches routing. */
+/** Why the HTTP server refuses a request before it reaches routing. */
 export type HttpRefusal =
   | {readonly kind: 'noKey'}
   | {readonly kind: 'wrongKey'}
@@ -6,7 +6,7 @@
   | {readonly kind: 'tooDeep'; readonly limit: number}
   | {readonly kind: 'unknown'; readonly detail: string};
 
-/** The status and body with which a refusal is answered. */
+/** Returns the status and body for a refusal. */
 export function refusalResponse(refusal: HttpRefusal): {
   readonly status: number;
   readonly body: Readonly<Record<string, string>>;
--- a/packages/daemon/src/entry/http_server.ts
+++ b/packages/daemon/src/entry/http_server.ts
@@ -19,20 +19,20 @@
   parseIdempotencyKey,
 } from './request_parsing';
 
-/** Connections of callers held at once. */
+/** Maximum number of open connections. */
 const MAX_CONNECTIONS = 4_096;
 
-/** A caller that sends its request slower than this is cut. */
+/** Time in milliseconds in which a whole request must arrive. */
 const REQUEST_TIMEOUT = 30_000;
 
-/** An address that a caller may use, and where it is. */
+/** The address of an entry for callers, and its location. */
 export interface EntryAddress {
   readonly address: string;
   readonly zone: string;
   readonly region: string;
 }
 
-/** What the face shows and asks. */
+/** Options of {@link createHttpServer}. */
 export interface HttpServerOptions {
   readonly settings: EntrySettings;
   readonly callers: CallerService;
@@ -43,7 +43,7 @@
   readonly onRefused: (reason: string) => void;
 }
 
-/** Builds the HTTP face for callers and operators. */
+/** Creates the HTTP server for callers and operators. */
 export function createHttpServer(options: HttpServerOptions): FastifyInstance {
   const {settings, log} = options;
   const server = fastify({
@@ -60,11 +60,12 @@
       code?: string;
     };
     const status = statusCode ?? 500;
-    if (status >= 500) log.error('a call failed', {error});
+    if (status >= 500) log.error('a request failed', {error});
     else options.onRefused(code ?? 'badRequest');
-    // Failure: closed with a part of the body unread, the connection is reset
-    // while the caller still writes, and it sees no answer. Guard: a connection
-    // that stays open has its rest read and dropped, for the request's timeout.
+    // If the connection were closed with part of the body unread, it would be
+    // reset while the caller still writes, and the caller would see no answer.
+    // On an open connection, the rest of the body is read and discarded, for up
+    // to the request timeout.
     if (status < 500) reply.removeHeader('connection');
     void reply
       .status(status)
@@ -81,7 +82,7 @@
   return server;
 }
 
-/** Bodies are read as text first, so that their depth is checked. */
+/** Adds parsers that read bodies as text first, to check the JSON depth. */
 function addBodyParsers(server: FastifyInstance, depth: number): void {
   server.removeAllContentTypeParsers();
   server.addContentTypeParser(
@@ -191,8 +192,8 @@
     route,
     async (request, reply) => {
       const {text, value} = bodyOf(request);
-      // What is not JSON would be claimed under its key, refused by the
-      // service, and its outcome be unknown for ever.
+      // Without this, a call whose body is not JSON would be claimed under its
+      // key and refused by the service, and its outcome would stay unknown.
       if (value === undefined) {
         return refuse(options, request, reply, NOT_JSON);
       }
@@ -238,7 +239,7 @@
   );
   const route = {onRequest: access.check};
 
-  /** Serves a route to operators only. */
+  /** Passes the operator's name to the handler of a route. */
   const operatorRoute =
     <Route extends {Params?: unknown}>(
       handle: (
@@ -302,7 +303,7 @@
     route,
     operatorRoute<PlanRoute>(async (operator, request, reply) => {
       const {planId} = request.params;
-      options.log.info(`${operator} confirms ${planId}`);
+      options.log.info(`operator ${operator} confirms plan ${planId}`);
       return send(reply, await plans.confirm(planId), value => value);
     }),
   );
@@ -311,7 +312,7 @@
     route,
     operatorRoute<PlanRoute>(async (operator, request, reply) => {
       const {planId} = request.params;
-      options.log.info(`${operator} abandons ${planId}`);
+      options.log.info(`operator ${operator} abandons plan ${planId}`);
       const abandoned = await plans.abandon(planId);
       return send(reply, abandoned, value => ({planId: value}));
     }),
--- a/packages/daemon/src/entry/measured_callers.ts
+++ b/packages/daemon/src/entry/measured_callers.ts
@@ -3,7 +3,7 @@
 import type {Clock} from '../runtime/clock';
 import type {CallerService} from './caller_service';
 
-/** The same service, with each request counted and timed. */
+/** Wraps a caller service to count and time each request. */
 export function measureCallers(
   callers: CallerService,
   metrics: Metrics,
--- a/packages/daemon/src/entry/move_driver.ts
+++ b/packages/daemon/src/entry/move_driver.ts
@@ -16,23 +16,23 @@
 import {digestText} from '../runtime/digests';
 import type {ProcessSurvey} from './process_survey';
 
-/** Period in which an entry looks for moves to carry on. */
+/** How often an entry checks for open moves to drive. */
 const CHECK_PERIOD: Milliseconds = 500;
 
-/** An entry of the next rank takes an open move over after so much longer. */
+/** Delay per rank before an entry takes over an open move. */
 const TAKEOVER_DELAY: Milliseconds = 5_000;
 
-/** Entries that carry one move at once; the next ones come up as others die. */
+/** Entries that drive one move at the same time; others follow as these die. */
 const MAX_DRIVERS_PER_MOVE = 3;
 
-/** Processes asked per second while a move waits, on a site of hundreds. */
+/** Limits the load of surveys on a site with hundreds of processes. */
 const MAX_QUERIES_PER_SECOND = 200;
 
-/** Carries open moves to their end. */
+/** Drives open moves until they are finished. */
 export interface MoveDriver {
-  /** Takes which moves the head names as open. */
+  /** Updates the set of open moves from the head row. */
   readonly receiveHead: (head: HeadRow) => void;
-  /** Begins at once; for the entry that has confirmed the plan. */
+  /** Starts at once; for the entry that has confirmed the plan. */
   readonly begin: (moveId: PlanId) => void;
   readonly dump: () => unknown;
   readonly stop: () => void;
@@ -53,13 +53,14 @@
   readonly seenAt: MonotonicInstant;
   carried: boolean;
   awaited: readonly AwaitedProcess[];
-  /** Processes that the last survey asked. */
+  /** Number of processes that the last survey returned. */
   queriedProcesses: number;
 }
 
 /**
- * Drives core's move flow over table and processes. All state is in the table:
- * several entries may carry one move at once, and each may be lost.
+ * Creates a driver that runs core's move flow on the table and the processes.
+ * All state is in the table, so several entries may drive one move at the same
+ * time, and any of them may fail.
  */
 export function createMoveDriver(options: MoveDriverOptions): MoveDriver {
   const {table, clock, log} = options;
@@ -82,7 +83,7 @@
   const driveMove = async (moveId: PlanId, move: OpenMove): Promise<void> => {
     if (move.carried) return;
     move.carried = true;
-    log.info(`carries the move ${moveId} on`);
+    log.info(`driving move ${moveId}`);
     const flow = finishMove({moveId, direction: 'forward', digestText});
     let step = flow.next();
     while (step.done !== true) {
@@ -93,12 +94,12 @@
     open.delete(moveId);
     const result = step.value;
     if (result.err) {
-      return log.error(`cannot carry the move ${moveId} on`, {
+      return log.error(`cannot finish move ${moveId}`, {
         reason: result.val,
       });
     }
     const {kind, generation} = result.val;
-    log.info(`the move ${moveId} is ${kind} by generation ${generation}`);
+    log.info(`move ${moveId} is ${kind} by generation ${generation}`);
     options.onOpened(generation);
   };
 
@@ -143,7 +144,10 @@
     move.awaited = awaited;
     if (!changed) return;
     const named = awaited.slice(0, MAX_LISTED_PROCESSES);
-    log.info(`the move ${moveId} waits`, {count: awaited.length, named});
+    log.info(`move ${moveId} waits for processes`, {
+      count: awaited.length,
+      named,
+    });
   };
 
   const check = (): void => {
@@ -162,7 +166,7 @@
       for (const moveId of head.moves) trackMove(moveId);
       const stillOpen = new Set(head.moves);
       for (const [moveId, move] of open) {
-        // One that is carried learns its end from its own row.
+        // A move that is being driven learns its result from its own row.
         if (!stillOpen.has(moveId) && !move.carried) open.delete(moveId);
       }
     },
@@ -180,5 +184,5 @@
   };
 }
 
-/** Processes named in one log line or dump. */
+/** Maximum number of processes listed in a log line or dump. */
 const MAX_LISTED_PROCESSES = 20;
--- a/packages/daemon/src/entry/outcome_mapping.ts
+++ b/packages/daemon/src/entry/outcome_mapping.ts
@@ -4,17 +4,17 @@
   type RequestOutcome,
 } from '@hibiscusbeam/core';
 
-/** An outcome without an answer, as HTTP shows it. */
+/** The HTTP response for an outcome without an answer. */
 export interface OutcomeResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Readonly<Record<string, string | number>>;
 }
 
-/** Outcomes that carry no answer. */
+/** Outcomes without an answer. */
 export type UnansweredOutcome = Exclude<RequestOutcome, {kind: 'answered'}>;
 
-/** Status, headers and body for a request that got no answer. */
+/** Returns status, headers and body for a request that got no answer. */
 export function responseOf(outcome: UnansweredOutcome): OutcomeResponse {
   switch (outcome.kind) {
     case 'notRun':
@@ -32,7 +32,7 @@
   }
 }
 
-/** The JSON form of an outcome, also the last line of a broken-off stream. */
+/** Returns an outcome as JSON, which is also the last line of a cut stream. */
 export function bodyOf(
   outcome: UnansweredOutcome,
 ): Readonly<Record<string, string | number>> {
--- a/packages/daemon/src/entry/plan_refusals.ts
+++ b/packages/daemon/src/entry/plan_refusals.ts
@@ -1,17 +1,17 @@
 import {unreachable, type PlanCommitFault} from '@hibiscusbeam/core';
 import type {PlanRefusal} from './plan_service_types';
 
-/** A refusal as HTTP shows it to an operator. */
+/** The HTTP response with which an operator's request is refused. */
 export interface RefusalResponse {
   readonly status: number;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body: Readonly<Record<string, unknown>>;
 }
 
-/** Seconds after which an operator should ask a starting entry again. */
+/** Retry delay for an entry that is starting or a platform that is down. */
 const STARTING_RETRY_AFTER_SECONDS = '1';
 
-/** Status and body for an operator's request that was not carried out. */
+/** Returns the response to an operator's request that was refused. */
 export function planRefusalResponse(refusal: PlanRefusal): RefusalResponse {
   switch (refusal.kind) {
     case 'notYaml':
--- a/packages/daemon/src/entry/plan_service.ts
+++ b/packages/daemon/src/entry/plan_service.ts
@@ -41,19 +41,19 @@
   PlanServiceOptions,
 } from './plan_service_types';
 
-/** Plans that a list shows at most. */
+/** Maximum number of plans returned in a list. */
 const MAX_LISTED_PLANS = 200;
 
-/** Plans looked at in one round of trimming. */
+/** Maximum number of plans checked in one round of trimming. */
 const MAX_TRIMMED_PLANS = 500;
 
-/** Plans are trimmed once in so many generations. */
+/** Number of generations after which old plans are trimmed. */
 const GENERATIONS_PER_TRIM = 16;
 
-/** Moves looked at when planning; more are never open at once. */
+/** Maximum number of moves read for planning; more are never open at once. */
 const MAX_MOVES = 1_000;
 
-/** Creates the service over the platform's table. */
+/** Creates a plan service on the platform's table. */
 export function createPlanService(options: PlanServiceOptions): PlanService {
   const {platform, clock} = options;
   const {table} = platform;
@@ -80,9 +80,10 @@
   };
 
   /**
-   * The head's configuration. This entry may be a heartbeat behind another one
-   * that has just committed: a plan on what it knows would be refused with
-   * reasons that no longer hold, or be overtaken once confirmed.
+   * Returns the configuration that the head row names. This entry may be a
+   * heartbeat behind another one that has just committed. A plan based on the
+   * configuration known here would be refused for reasons that no longer hold,
+   * or be overtaken once confirmed.
    */
   const readNewest = async (
     current: AcceptedConfiguration,
@@ -189,8 +190,8 @@
     if (accepted.generation % GENERATIONS_PER_TRIM === 0) {
       void trim(accepted.generation);
     }
-    // Not awaited: the answer that the plan is confirmed must not wait for a
-    // platform that goes down right now. The head names the move as well.
+    // Not awaited, as the confirmation must not wait for a platform that has
+    // just gone down. Other entries learn of the move from the head row.
     void beginMove(planId);
     return Ok({planId, generation: accepted.generation, wasConfirmed});
   };
@@ -203,8 +204,9 @@
   };
 
   /**
-   * Deletes plans from long ago. Without it the rows would grow by 1,800 a day
-   * and a list would not show the newest. Failures are left to the next time.
+   * Deletes old plans. Without this, the table would grow by 1,800 rows a day,
+   * and a list would not contain the newest plans. After a failure, the next
+   * round tries again.
    */
   const trim = async (head: Generation): Promise<void> => {
     const rows = await table.scan(PLAN_PREFIX, MAX_TRIMMED_PLANS);
@@ -270,7 +272,7 @@
   return {plan, confirm, show, list, abandon};
 }
 
-/** Characters of a manifest's faults shown to an operator. */
+/** Maximum length of a manifest's faults shown to an operator. */
 const MAX_DETAIL_LENGTH = 1_000;
 
 function newPlanId(): PlanId {
--- a/packages/daemon/src/entry/plan_service_types.ts
+++ b/packages/daemon/src/entry/plan_service_types.ts
@@ -32,7 +32,7 @@
   | {readonly kind: 'notCommitted'; readonly fault: PlanCommitFault}
   | {readonly kind: 'platform'; readonly error: PlatformError};
 
-/** A plan as shown, with the processes that are not yet at it. */
+/** A plan as shown to operators, with the processes that lag behind it. */
 export interface PlanView extends PlanRow {
   readonly inForce?: boolean;
   readonly lagging?: readonly ProcessGeneration[];
@@ -40,16 +40,16 @@
   readonly move?: MoveView;
 }
 
-/** How far a confirmed move has come. */
+/** The progress of a confirmed move. */
 export interface MoveView {
   readonly state: MoveRow['state'];
   /** Generation in which both sides are closed. */
   readonly closedAt: number;
-  /** Processes that it waits for, and why; empty once it is settled. */
+  /** Processes that the move waits for, and why; empty once it is finished. */
   readonly awaited: readonly AwaitedProcess[];
 }
 
-/** What operators do with intents and plans. */
+/** Handles the requests of operators for intents and plans. */
 export interface PlanService {
   readonly plan: (
     text: string,
--- a/packages/daemon/src/entry/process_survey.ts
+++ b/packages/daemon/src/entry/process_survey.ts
@@ -4,16 +4,16 @@
 import type {ProcessAddress} from '../site/known_processes';
 import type {SiteNode} from '../site/site_node';
 
-/** Rounds of asking those that were named by the ones asked before. */
+/** Maximum number of rounds; each queries processes named in the last one. */
 const MAX_ROUNDS = 4;
 
-/** Processes asked at once; a site has several hundred. */
+/** Processes queried at the same time; a site has several hundred. */
 const MAX_CONCURRENT_QUERIES = 64;
 
 /** Name of the older system in reports. */
 const OLDER_SYSTEM = 'older-system';
 
-/** Asks every process of both sides what it may still act on. */
+/** Queries every process of both sides for what it may still act on. */
 export type ProcessSurvey = () => Promise<readonly ProcessReport[]>;
 
 /** Options of {@link createProcessSurvey}. */
@@ -23,7 +23,10 @@
   readonly olderSystem: OlderSystemClient | undefined;
 }
 
-/** Surveys listed processes, those met, and those that these have heard of. */
+/**
+ * Creates a survey of the listed processes, those known to this entry, and
+ * those that they know.
+ */
 export function createProcessSurvey(
   options: ProcessSurveyOptions,
 ): ProcessSurvey {
@@ -83,7 +86,10 @@
     return replies;
   };
 
-  /** A process that is silent, with what the platform's list says of it. */
+  /**
+   * Reports a process that didn't reply. It counts as out if the platform's
+   * list has lacked it for long enough.
+   */
   const reportOfSilent = (process: InstanceName): ProcessReport => {
     const side = 'hibiscusbeam';
     const since = node.knownProcesses.delistedFor(process);
@@ -131,8 +137,8 @@
       process: OLDER_SYSTEM,
       side,
       generation: state.generation,
-      // Failure: it names the generation, but still serves what it was told to
-      // close. What it says that it owns counts as in use.
+      // Everything it owns counts as in use: it may report the generation while
+      // it still serves what that generation closes.
       busyTargets: [...state.busyTargets, ...state.targets],
       busyWorkspaces: [...state.busyWorkspaces, ...state.workspaces],
       heardOf: [],
--- a/packages/daemon/src/entry/request_parsing.ts
+++ b/packages/daemon/src/entry/request_parsing.ts
@@ -3,10 +3,10 @@
 import type {Milliseconds} from '@hibiscusbeam/core';
 import type {HttpRefusal} from './http_errors';
 
-/** Deadline of a request that names none. */
+/** Deadline of a request without one. */
 const DEFAULT_DEADLINE: Milliseconds = 30_000;
 
-/** The users' goal for 95 in 100 first tokens; callers may ask for another. */
+/** Users expect this for 95 of 100 requests; callers may set another value. */
 const DEFAULT_FIRST_TOKEN_WITHIN: Milliseconds = 1_900;
 
 const MAX_KEY_LENGTH = 200;
@@ -35,16 +35,16 @@
   deadline: duration.default(DEFAULT_DEADLINE),
 });
 
-/** A caller's request for an answer of a model. */
+/** The body of a request for an answer of a model. */
 export interface GenerateBody {
   readonly prompt: string;
   readonly maximumTokens: number;
-  /** A request that would get its first token later is refused at once. */
+  /** A request whose first token is expected later is refused at once. */
   readonly firstTokenWithin: Milliseconds;
   readonly deadline: Milliseconds;
 }
 
-/** Reads the body of a request for a model. */
+/** Parses the body of a request to a model; limits its deadline. */
 export function parseGenerate(
   body: unknown,
   maxDeadline: Milliseconds,
@@ -55,7 +55,7 @@
   return Ok({...parsed.data, deadline: Math.min(deadline, maxDeadline)});
 }
 
-/** Reads a deadline from a header such as `x-deadline: 5s`. */
+/** Parses a deadline from a header such as `x-deadline: 5s`; limits it. */
 export function parseDeadline(
   header: string | undefined,
   maxDeadline: Milliseconds,
@@ -74,7 +74,7 @@
   return Ok(Math.min(parsed.data, maxDeadline));
 }
 
-/** Checks the form of an idempotency key. */
+/** Checks the format of an idempotency key. */
 export function parseIdempotencyKey(
   header: string | undefined,
 ): Result<string, HttpRefusal> {
--- a/packages/daemon/src/entry/request_runner.ts
+++ b/packages/daemon/src/entry/request_runner.ts
@@ -24,25 +24,26 @@
 import type {TargetDirectory} from './target_directory';
 import {requestTombstone} from './tombstones';
 
-/** One request under way. */
+/** What the runner needs to know of a request. */
 export interface RequestContext {
   readonly routed: RoutedRequest;
   readonly serveWork: ServeWork;
   readonly emit: (frame: EmitEffect['frame']) => Promise<void> | undefined;
   /**
-   * Aborts when the caller has gone. Absent for a call that may not be
-   * repeated: it is followed to its end so that its outcome is recorded.
+   * Aborts when the caller disconnects. Undefined for calls of a plain service,
+   * so that a call that may not be retried runs to its end and its outcome is
+   * recorded.
    */
   readonly callerGone: AbortSignal | undefined;
 }
 
-/** Runs request flows against platform, agents and callers. */
+/** Runs request flows by performing their effects. */
 export interface RequestRunner {
   readonly run: (
     flow: RequestFlow<RequestResult>,
     context: RequestContext,
   ) => Promise<RequestResult>;
-  /** Takes an attempt back, if it may be repeated, to try it elsewhere. */
+  /** Withdraws an attempt, if it is repeatable, to retry on another target. */
   readonly withdraw: (attempt: AttemptId) => void;
   readonly running: () => number;
 }
@@ -82,10 +83,10 @@
 interface TrackedAttempt {
   readonly stream: AttemptStream;
   readonly dispatchedAt: MonotonicInstant;
-  /** Whether routing still waits to hear how the attempt ended. */
+  /** Whether routing still has to be notified of the attempt's end. */
   open: boolean;
   tokens: number;
-  /** Ends the share of the target that the workspace holds. */
+  /** Ends the attempt's use of the workspace's share. */
   endWork: (() => void) | undefined;
 }
 
@@ -160,9 +161,9 @@
     const tracked = openStream(address, 'serve', deadline, versionDigest);
     if (tracked === undefined) {
       releaseReservation();
-      return event({kind: 'cut', detail: 'the agent is not known'});
+      return eventReply({kind: 'cut', detail: 'the agent is not known'});
     }
-    // From here on the attempt itself stands for the reservation.
+    // From here on, routing counts the attempt instead of the reservation.
     reservation?.release();
     tracked.endWork = reservation?.end;
     reservation = undefined;
@@ -170,7 +171,7 @@
     if (context.serveWork.repeatable) {
       dispatcher.recordAttempt(attempt, context.routed, target);
       withdrawals.set(attempt, () => {
-        // Withdrawn, which says nothing bad about the target.
+        // Recorded as refused, so that it doesn't count as a target's failure.
         closeAttempt(attempt, tracked, 'refused');
         tracked.stream.interrupt({kind: 'timedOut'});
       });
@@ -186,7 +187,7 @@
   ): RequestReply | Promise<RequestReply> => {
     const recordAndReply = (next: AttemptEvent): RequestReply => {
       recordEvent(attempt, tracked, next, expected);
-      return event(next);
+      return eventReply(next);
     };
     if (callerGone?.aborted === true) {
       return recordAndReply({kind: 'callerGone'});
@@ -277,14 +278,14 @@
       case 'collect': {
         const tracked = openStream(effect.address, 'collect', effect.until);
         if (tracked === undefined) {
-          return event({kind: 'cut', detail: 'the agent is not known'});
+          return eventReply({kind: 'cut', detail: 'the agent is not known'});
         }
         return awaitEvent(effect.address.attempt, tracked, effect.until, 0);
       }
       case 'awaitEvent': {
         const tracked = streams.get(effect.attempt);
         if (tracked === undefined) {
-          return event({kind: 'cut', detail: 'no such stream'});
+          return eventReply({kind: 'cut', detail: 'no such stream'});
         }
         return awaitEvent(effect.attempt, tracked, effect.until, 0);
       }
@@ -335,6 +336,6 @@
   return {perform, close};
 }
 
-function event(next: AttemptEvent): RequestReply {
+function eventReply(next: AttemptEvent): RequestReply {
   return {kind: 'event', event: next};
 }
--- a/packages/daemon/src/entry/serve_requests.ts
+++ b/packages/daemon/src/entry/serve_requests.ts
@@ -5,7 +5,7 @@
 } from '@hibiscusbeam/core';
 import type {ServeRequest} from '@hibiscusbeam/wire';
 
-/** What to run, apart from where and as which attempt. */
+/** The work of a request, without target and attempt. */
 export interface ServeWork {
   readonly workspace: string;
   readonly work: NonNullable<ServeRequest['work']>;
@@ -13,7 +13,7 @@
   readonly repeatable: boolean;
 }
 
-/** The message that asks an agent to run one attempt. */
+/** Builds the message that requests an agent to run an attempt. */
 export function serveRequestOf(
   serveWork: ServeWork,
   address: AttemptAddress,
@@ -31,7 +31,7 @@
   };
 }
 
-/** The rest of a begun answer must come from the version that began it. */
+/** Sets the version, so that a resumed answer comes from the same version. */
 function withVersion(
   work: ServeWork['work'],
   versionDigest: VersionDigest | undefined,
--- a/packages/daemon/src/entry/site_view.ts
+++ b/packages/daemon/src/entry/site_view.ts
@@ -6,7 +6,7 @@
 import type {TargetReport} from '@hibiscusbeam/wire';
 import type {Peer} from '../site/sessions';
 
-/** One version on its way to its instances. */
+/** Progress of the distribution of a version to its instances. */
 export interface VersionStatus {
   readonly model: string;
   readonly label: string;
@@ -16,11 +16,11 @@
   readonly chunksHeld: number;
   readonly chunksTotal: number;
   readonly originBytes: number;
-  /** Milliseconds until the last instance holds it; null if not known. */
+  /** Milliseconds until the last instance holds it; null if unknown. */
   readonly expectedEnd: number | null;
 }
 
-/** What an entry has heard of the targets of its agents. */
+/** The last reports that an entry received about targets. */
 export interface SiteView {
   readonly receiveReport: (peer: Peer, report: TargetReport) => void;
   readonly removeReport: (instance: InstanceName) => void;
@@ -35,7 +35,7 @@
 export function createSiteView(): SiteView {
   const peers = new Map<InstanceName, Peer>();
   const reports = new Map<InstanceName, TargetReport>();
-  /** By version: when its chunks were first counted, and how many. */
+  /** By version, when its chunks were first counted, and their number. */
   const starts = new Map<
     string,
     {readonly at: number; readonly held: number}
@@ -93,7 +93,7 @@
   };
 }
 
-/** A target's report as routing reads it. */
+/** Converts a target's report for routing; undefined without a target. */
 export function loadReportOf(
   peer: Peer,
   report: TargetReport,
--- a/packages/daemon/src/entry/target_directory.ts
+++ b/packages/daemon/src/entry/target_directory.ts
@@ -1,6 +1,6 @@
 import type {Incarnation, InstanceName, TargetName} from '@hibiscusbeam/core';
 
-/** The agent that speaks for a target at present. */
+/** The agent that serves a target at present. */
 export interface TargetAgent {
   readonly target: TargetName;
   readonly instance: InstanceName;
@@ -8,7 +8,7 @@
   readonly incarnation: Incarnation;
 }
 
-/** Which agent speaks for which target. */
+/** Maps targets and instances to their agents. */
 export interface TargetDirectory {
   readonly put: (agent: TargetAgent) => void;
   readonly remove: (instance: InstanceName) => void;
@@ -24,9 +24,9 @@
     put: agent => {
       const current = byTarget.get(agent.target);
       byInstance.set(agent.instance, agent);
-      // A replaced agent that wakes and says hello late must not take the
-      // target's place back: requests would go to a process that refuses
-      // them. The one with the higher number started later.
+      // A replaced agent that was frozen and sends its hello late must not
+      // replace its successor, as it would refuse the requests. The agent with
+      // the higher incarnation started later.
       const isOlder =
         current !== undefined &&
         current.instance === agent.instance &&
--- a/packages/daemon/src/entry/target_feed.ts
+++ b/packages/daemon/src/entry/target_feed.ts
@@ -12,12 +12,12 @@
 import {loadReportOf, type SiteView} from './site_view';
 import type {TargetDirectory} from './target_directory';
 
-/** Passes what the sessions bring on to routing, limits and the site's view. */
+/** Applies updates from sessions to routing, limits and the site view. */
 export interface TargetFeed {
   readonly addPeer: (peer: Peer) => void;
   readonly removePeer: (peer: Peer) => void;
   readonly receiveReport: (peer: Peer, report: TargetReport) => void;
-  /** Takes targets out of routing that the membership no longer sees live. */
+  /** Removes targets from routing whose agents are no longer live. */
   readonly removeGoneTargets: () => void;
 }
 
@@ -54,8 +54,8 @@
     },
     removePeer: peer => {
       view.removeReport(peer.instance);
-      // Without this the silence of a replaced entry would count as ever more
-      // use, and the shares of all others would fall towards nothing.
+      // Without this, a replaced entry that is silent would count as growing
+      // use, and the shares of all others would shrink towards zero.
       if (peer.role === 'entry') limits.entryGone(peer.instance);
       if (peer.target !== undefined) removeFromRouting(peer.target.name);
     },
--- a/packages/daemon/src/entry/tombstones.ts
+++ b/packages/daemon/src/entry/tombstones.ts
@@ -6,7 +6,10 @@
 import {TombstoneReply_State, type TombstoneReply} from '@hibiscusbeam/wire';
 import type {SiteClientPool} from '../site/site_clients';
 
-/** Asks an agent for a tombstone; undefined if no answer comes in time. */
+/**
+ * Requests a tombstone from an agent within `remaining` milliseconds. Returns
+ * undefined if the request fails or times out.
+ */
 export function requestTombstone(
   clients: SiteClientPool,
   agentAddress: string,
@@ -14,7 +17,7 @@
   remaining: number,
 ): Promise<TombstoneAnswer | undefined> {
   const {agent} = clients.at(agentAddress);
-  // gRPC takes its deadline as an instant of the wall clock.
+  // gRPC takes the deadline as wall clock time.
   const deadline = Date.now() + remaining;
   return new Promise(resolve => {
     agent.tombstone(
--- a/packages/daemon/src/entry/wanted_sessions.ts
+++ b/packages/daemon/src/entry/wanted_sessions.ts
@@ -5,10 +5,10 @@
   type Member,
 } from '@hibiscusbeam/core';
 
-/** Other entries that one entry opens sessions to. */
+/** Maximum number of other entries to which an entry opens sessions. */
 const MAX_ENTRY_NEIGHBOURS = 8;
 
-/** What the choice of sessions rests on. */
+/** Input for the choice of sessions. */
 export interface SessionChoice {
   readonly instance: InstanceName;
   readonly members: readonly Member[];
@@ -17,13 +17,13 @@
 }
 
 /**
- * Members that an entry keeps a session with. Those that died or left take
- * nobody's place, but as long as the platform lists them as live they are
- * tried as well.
+ * Chooses the members with which an entry keeps a session. Members that are
+ * dead or leaving don't displace others, but are tried as well while the
+ * platform lists them as live.
  *
- * Failure: an instance that was frozen, slow to start, started again in its
- * slot or stays after all counts as out at every entry. Agents call no entry,
- * so it would get no request for the rest of its life.
+ * Without this, an instance that was frozen, slow to start, restarted in its
+ * slot or has cancelled its leave would count as out at every entry. As agents
+ * connect to no entry, it would get no request for the rest of its lifetime.
  */
 export function chooseSessions(choice: SessionChoice): readonly Member[] {
   const {members, listed} = choice;
@@ -65,9 +65,9 @@
 }
 
 /**
- * Chooses again only when members or list have changed: for 390 entries and
- * 600 targets a choice takes 35 to 78 ms, four times a second too much for a
- * node's budget of processor time.
+ * Creates a chooser that repeats the choice only when members or list have
+ * changed. With 390 entries and 600 targets, a choice takes 35 to 78 ms, which
+ * four times a second exceeds a node's CPU budget.
  */
 export function createSessionChooser(): (
   choice: SessionChoice,
