--- a/packages/daemon/src/agent/agent.ts
+++ b/packages/daemon/src/agent/agent.ts
@@ -41,22 +41,22 @@
 import {createEngineRuns, createPlainServiceRuns} from './target_runs';
 import {createWeightsManager, type WeightsManager} from './weights_manager';
 
-/** How long a planned stop waits for requests in progress. */
+/** Max time that a planned stop waits for requests in progress. */
 const MAX_DRAIN_MS = 120_000;
 
-/** Pause between looks at what still runs while stopping. */
+/** Pause between checks for running requests while stopping. */
 const DRAIN_POLL_MS = 50;
 
-/** Entries learn that an agent leaves before it says goodbye. */
+/** Lets entries learn that the agent is leaving before its goodbye. */
 const GOODBYE_DELAY_MS = 200;
 
-/** Period in which the engine's cache events are read. */
+/** Period at which the engine's cache events are read. */
 const CACHE_EVENTS_PERIOD_MS = 1_000;
 
-/** Requests that a plain service runs side by side. */
+/** Requests that a plain service runs concurrently. */
 const PLAIN_SERVICE_SLOTS = 16;
 
-/** Starts the agent in a target's slot. */
+/** Starts the agent of one target. */
 export function startAgent(settings: AgentSettings): Promise<RunningProcess> {
   return startProcess(createAgent(settings));
 }
@@ -190,7 +190,9 @@
     onReady: versionDigest =>
       node.log('transfers').info(`holds all of ${versionDigest}`),
     onCutOff: peer => {
-      node.log('transfers').warn(`takes nothing more from ${peer}`);
+      node
+        .log('transfers')
+        .warn(`no longer fetches from ${peer} because of checksum errors`);
       metrics.count('transfers.cut_off', {});
     },
   });
@@ -218,23 +220,23 @@
     updateLeaving();
   };
 
-  /** Leaving is known from the signal, the list or the configuration. */
+  /** Takes leaving from the stop signal, the list and the configuration. */
   const updateLeaving = (): void => {
     const listed = node.listed().find(line => line.instance === instance);
     const configured =
       node.configuration.current()?.configuration.targets[target.name];
-    // Failure: a target that moves away and back gets no request any more.
-    // Others take an instance that says "leaving" for one that ends, and never
-    // meet it again in this life; a closed target is theirs to read from the
-    // configuration.
+    // A target closed by the configuration is not reported as leaving: peers
+    // take a leaving instance for one that ends and ignore it for the rest of
+    // its incarnation, so a target that moves away and back would get no more
+    // requests. Peers read that it is closed from the configuration.
     leaving = stopping.signal.aborted || listed?.state === 'leaving';
     const next = leaving || configured?.state === 'leaving';
     if (next === refusing) return;
     refusing = next;
     registry?.setLeaving(refusing);
     log.info(refusing ? 'leaves and starts nothing new' : 'serves again');
-    // At once: each further heartbeat period would bring requests that can
-    // only be refused.
+    // Sent without waiting for the next heartbeat period, during which entries
+    // would send requests that can only be refused.
     node.sessions.sendHeartbeats();
   };
 
--- a/packages/daemon/src/agent/agent_work.ts
+++ b/packages/daemon/src/agent/agent_work.ts
@@ -5,10 +5,9 @@
 import type {EngineRuns, PlainServiceRuns} from './target_runs';
 
 /**
- * Refuses a request of a workspace that is not ours to serve.
- *
- * Failure: the request of a workspace that has moved away arrives late and runs
- * here, while its caller has it run by the older system.
+ * Refuses a request of a workspace that this system does not serve. Without
+ * this, a late request of a workspace that has moved away would run here while
+ * its caller has the older system run it too.
  */
 export function refuseClosedWorkspace(
   {workspace}: Pick<ServeRequest, 'workspace'>,
@@ -27,9 +26,10 @@
   runs: EngineRuns,
 ): Readiness {
   const {work, attempt, priority} = request;
-  // Failure: a move closes the target, this agent says that it is idle, and
-  // between that and the next pass over the engine it starts one more request.
-  // `routable` is as old as the last pass, the configuration is not.
+  // `routable` is as old as the last reconcile pass, the configuration is
+  // current. Without the check of ownership, an agent could report that a
+  // target closed by a move is idle and still start a request before its next
+  // pass.
   if (work?.$case !== 'generate' || control === undefined || !isTargetOwned) {
     return {kind: 'notReady', reason: 'noTarget'};
   }
@@ -47,8 +47,8 @@
   return {
     kind: 'ready',
     run: timeout => {
-      // Named in full, so that a swap between this moment and the engine's
-      // start makes the engine refuse instead of answering with another one.
+      // The exact version is requested, so that an engine that swaps versions
+      // before it starts refuses instead of answering with another version.
       const chosen = version.versionDigest;
       control.recordRun(chosen, 1);
       const run = runs.run(
--- a/packages/daemon/src/agent/answer_matcher.ts
+++ b/packages/daemon/src/agent/answer_matcher.ts
@@ -1,21 +1,21 @@
 import type {AttemptId} from '@hibiscusbeam/core';
 
-/** Passes what a target sends to the attempt that it names. */
+/** Delivers each part of an answer to the attempt that it names. */
 export interface AnswerMatcher<Part> {
   /** Registers an attempt until the returned function is called. */
   readonly expect: (
     attempt: AttemptId,
     onPart: (part: Part) => void,
   ) => () => void;
-  /** False if nobody waits for the attempt: the part is dropped. */
+  /** False if the attempt is not registered; the part is dropped. */
   readonly deliver: (attempt: AttemptId, part: Part) => boolean;
   readonly expected: () => number;
 }
 
 /**
  * Matches answers by attempt, never by connection or order: a target may send
- * one caller's answer on another's connection, and each would then be shown
- * somebody else's credit summary.
+ * one caller's answer on another caller's connection, and each caller would
+ * then get confidential content of the other.
  */
 export function createAnswerMatcher<Part>(): AnswerMatcher<Part> {
   const waiting = new Map<AttemptId, (part: Part) => void>();
--- a/packages/daemon/src/agent/byte_counter.ts
+++ b/packages/daemon/src/agent/byte_counter.ts
@@ -1,7 +1,7 @@
 import type {VersionDigest, VersionProgress} from '@hibiscusbeam/core';
 import type {Metrics} from '../metrics';
 
-/** Counts the bytes that came since the last call, by where they came from. */
+/** Counts the bytes received since the last call, by source. */
 export function createByteCounter(
   metrics: Metrics,
 ): (progress: readonly VersionProgress[]) => void {
--- a/packages/daemon/src/agent/cached_prefixes.ts
+++ b/packages/daemon/src/agent/cached_prefixes.ts
@@ -1,21 +1,22 @@
 import type {EngineClient} from '../targets/types';
 
-/** Prefixes named in a heartbeat at most; the newest ones. */
+/** Max prefixes in a heartbeat; the newest ones are sent. */
 const MAX_REPORTED_PREFIXES = 16;
 
-/** Prefixes remembered at most; more than an engine's cache holds. */
+/** More than an engine's cache holds. */
 const MAX_REMEMBERED_PREFIXES = 512;
 
-/** What the engine's prompt cache probably holds; hints only. */
+/** Prefixes that the engine's prompt cache probably holds; hints only. */
 export interface CachedPrefixes {
   readonly refresh: () => Promise<void>;
-  /** The prefixes that were stored last, at most as many as a heartbeat has. */
+  /** The prefixes stored last, at most as many as a heartbeat carries. */
   readonly newest: () => readonly number[];
 }
 
 /**
- * Follows the engine's cache events. They come late and with gaps: after a gap
- * what was remembered may be evicted already, so it is dropped.
+ * Follows the engine's cache events, which arrive late and with gaps. After a
+ * gap, all remembered prefixes are dropped, as the engine may have evicted
+ * them.
  */
 export function createCachedPrefixes(engine: EngineClient): CachedPrefixes {
   const prefixes = new Set<number>();
--- a/packages/daemon/src/agent/chunk_store.ts
+++ b/packages/daemon/src/agent/chunk_store.ts
@@ -2,7 +2,7 @@
 import type {ChunkStore, ChunkStoreError} from '../swarm';
 import type {EngineClient, TargetError} from '../targets/types';
 
-/** Keeps chunks where the engine loads them from: in the engine itself. */
+/** Stores chunks in the engine, which loads its weights from them. */
 export function createEngineChunkStore(engine: EngineClient): ChunkStore {
   return {
     put: async (digest, pieces) => {
--- a/packages/daemon/src/agent/engine_control.ts
+++ b/packages/daemon/src/agent/engine_control.ts
@@ -23,13 +23,13 @@
 import {holdTargetLease} from './target_lease';
 import type {WeightsManager} from './weights_manager';
 
-/** Pause between two passes while the engine is brought to another state. */
+/** Pause between passes while the engine differs from the wanted state. */
 const BUSY_PASS_PERIOD_MS = 200;
 
-/** Pause while nothing is to be done: an idle agent's cost is its passes. */
+/** Longer, as the passes are the main cost of an idle agent. */
 const IDLE_PASS_PERIOD_MS = 500;
 
-/** What the engine said last, for heartbeats. */
+/** The engine's load as last reported, for heartbeats. */
 export interface EngineView {
   readonly running: number;
   readonly queued: number;
@@ -37,13 +37,13 @@
   readonly takenAt: number;
 }
 
-/** Brings one model engine to what the configuration wants of it. */
+/** Brings one model engine to the state that the configuration wants. */
 export interface EngineControl {
-  /** Versions that new requests may be given. */
+  /** Versions that new requests may be routed to. */
   readonly routable: () => readonly ReportedVersion[];
   readonly mayStart: (versionDigest: VersionDigest) => boolean;
   readonly view: () => EngineView | undefined;
-  /** Whether an order may be on its way to the engine. */
+  /** Whether an order to the engine may be in flight. */
   readonly isOrdering: () => boolean;
   readonly recordRun: (versionDigest: VersionDigest, change: 1 | -1) => void;
   readonly stop: () => Promise<void>;
@@ -65,11 +65,11 @@
   readonly gone: () => ReadonlySet<TargetName>;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** Called when what may be routed here has changed. */
+  /** Called when the routable versions have changed. */
   readonly onRoutableChanged: () => void;
 }
 
-/** Starts passes that end with the returned control's `stop`. */
+/** Starts reconcile passes, which run until `stop` is called. */
 export function startEngineControl(
   options: EngineControlOptions,
 ): EngineControl {
@@ -140,7 +140,7 @@
     const outcome = round.kind;
     options.metrics.count('target.orders', {outcome}, next.orders.length);
     if (round.kind !== 'given') {
-      return log.warn(`stopped giving orders: ${round.kind}`);
+      return log.warn(`stopped sending orders: ${round.kind}`);
     }
     for (const order of next.orders) {
       log.info(`ordered ${order.kind} of ${order.versionDigest}`);
@@ -148,7 +148,7 @@
     for (const detail of round.failed) {
       log.warn('an order failed', {detail});
     }
-    // The engine lacks what the swarm believed it held: ask it again.
+    // The engine lacks chunks that the swarm believed it held.
     if (round.refused.length > 0) void options.swarm.refreshHeld();
   };
 
@@ -158,8 +158,8 @@
     const {report, load, takenAt} = observed;
     view = {...load, takenAt};
     options.swarm.onLiveLoad(load);
-    // A restarted engine has lost its chunks; without asking again the swarm
-    // would go on offering chunks that are gone.
+    // A restarted engine has lost its chunks; without a refresh the swarm would
+    // keep offering them.
     if (engineIncarnation !== undefined && engineIncarnation !== report.life) {
       log.warn('the engine has restarted');
       void options.swarm.refreshHeld();
--- a/packages/daemon/src/agent/incarnation.ts
+++ b/packages/daemon/src/agent/incarnation.ts
@@ -11,15 +11,18 @@
 import {sleep, type Clock} from '../runtime/clock';
 import {runTableFlow} from '../runtime/table_flow';
 
-/** Pause before the platform is asked again. */
+/** Pause before the platform is called again. */
 const RETRY_PAUSE_MS = 1_000;
 
-/** An incarnation with the token of this start. */
+/** The agent's incarnation with a token that is unique to this start. */
 export interface AgentIncarnation extends RaisedIncarnation {
   readonly token: string;
 }
 
-/** Raises the agent's incarnation; tries for as long as it takes. */
+/**
+ * Raises the agent's incarnation and retries until that succeeds. Undefined if
+ * the agent is stopped before.
+ */
 export async function raiseAgentIncarnation(
   instance: InstanceName,
   description: JsonValue,
@@ -37,7 +40,7 @@
       clock,
     );
     if (raised.ok) return {...raised.val, token};
-    log.warn('waits for its incarnation', {reason: raised.val});
+    log.warn('cannot raise the incarnation; retrying', {reason: raised.val});
     await sleep(RETRY_PAUSE_MS, stopping);
   }
   return undefined;
--- a/packages/daemon/src/agent/order_driver.ts
+++ b/packages/daemon/src/agent/order_driver.ts
@@ -8,7 +8,7 @@
 import type {Clock} from '../runtime/clock';
 import type {EngineClient, TargetError} from '../targets/types';
 
-/** Reads the engine's report with the instant that it speaks of. */
+/** Reads the engine's report and the instant at which it was true. */
 export async function observeEngine(
   engine: EngineClient,
   clock: Clock,
@@ -34,15 +34,15 @@
   };
 }
 
-/** Carries out what a round of orders asks for. */
+/** Runs the effects of a round of orders. */
 export function createOrderDriver(
   engine: EngineClient,
   clock: Clock,
 ): (effect: OrderEffect) => Promise<OrderEffectReply> | OrderEffectReply {
   return effect => {
     switch (effect.kind) {
-      // At once: a turn of the loop between the lease's check and the order
-      // would be time in which the lease can run out.
+      // Synchronous: in a turn of the event loop between the check of the lease
+      // and the order, the lease could expire.
       case 'readClock':
         return {kind: 'clock', now: clock()};
       case 'sendOrder':
--- a/packages/daemon/src/agent/permits.ts
+++ b/packages/daemon/src/agent/permits.ts
@@ -14,14 +14,14 @@
 /** This target's permits to stop serving a model during a swap. */
 export interface Permits {
   readonly held: () => ReadonlySet<ModelName>;
-  /** Asks for a permit; without one nothing is swapped. */
+  /** Requests a permit; without one nothing is swapped. */
   readonly take: (model: ModelName, gone: ReadonlySet<TargetName>) => void;
   /** Counts this target as serving the model, which ends its permit. */
   readonly reportServing: (model: ModelName) => void;
   readonly isServing: (model: ModelName) => boolean;
 }
 
-/** Creates the permits of one life of an agent. */
+/** Creates the permits of one incarnation of an agent. */
 export function createPermits(options: {
   readonly target: TargetName;
   readonly instance: string;
@@ -56,7 +56,7 @@
     return created;
   };
 
-  /** One flow for each model at a time; more calls meanwhile do nothing. */
+  /** Runs one flow at a time for each model; further calls are ignored. */
   const runExclusively = async (
     model: ModelName,
     action: (activation: Activation) => Promise<void>,
@@ -87,7 +87,7 @@
       }
       serving.delete(model);
       options.onStep('permitTaken');
-      log.info(`may stop serving ${model} for its swap`);
+      log.info(`may stop serving ${model} during its swap`);
     });
 
   const reportServing: Permits['reportServing'] = model =>
@@ -99,7 +99,9 @@
       });
       const result = await runTableFlow(flow, table, clock);
       if (result.err) {
-        return log.debug(`not yet counted for ${model}`, {reason: result.val});
+        return log.debug(`not yet counted as a server of ${model}`, {
+          reason: result.val,
+        });
       }
       serving.add(model);
       options.onStep('serving');
--- a/packages/daemon/src/agent/serve_frames.ts
+++ b/packages/daemon/src/agent/serve_frames.ts
@@ -1,7 +1,7 @@
 import type {AttemptId, RefusedEvent, CompleteAnswer} from '@hibiscusbeam/core';
 import type {ServeFrame} from '@hibiscusbeam/wire';
 
-/** The target has begun on the attempt. */
+/** Frame that reports that the target has started the attempt. */
 export function startedFrame(
   attempt: AttemptId,
   versionDigest: string | undefined,
@@ -11,7 +11,7 @@
   return {attempt, frame: {$case: 'started', started}};
 }
 
-/** A part of the answer. */
+/** Frame with a part of the answer. */
 export function dataFrame(
   attempt: AttemptId,
   sequence: number,
@@ -20,7 +20,7 @@
   return {attempt, frame: {$case: 'data', data: {sequence, content}}};
 }
 
-/** The whole answer has been sent. */
+/** Frame that ends an answer that was sent whole. */
 export function endFrame(
   attempt: AttemptId,
   frameCount: number,
@@ -29,7 +29,7 @@
   return {attempt, frame: {$case: 'end', end: {frameCount, digest}}};
 }
 
-/** The attempt has not started and never will. */
+/** Frame for an attempt that has not started and never will. */
 export function refusedFrame(event: RefusedEvent): ServeFrame {
   const {attempt, reason, retryAfter, incarnation} = event;
   const retryAfterMilliseconds = Math.ceil(retryAfter);
@@ -42,12 +42,12 @@
   };
 }
 
-/** The attempt may have run. */
+/** Frame for an attempt that failed and may have run. */
 export function failedFrame(attempt: AttemptId, detail: string): ServeFrame {
   return {attempt, frame: {$case: 'failed', failed: {detail}}};
 }
 
-/** All frames of an answer that is at hand. */
+/** All frames of a cached answer. */
 export function framesOf(
   answer: CompleteAnswer,
   incarnation: number,
--- a/packages/daemon/src/agent/serve_handler.ts
+++ b/packages/daemon/src/agent/serve_handler.ts
@@ -26,18 +26,18 @@
 } from './serve_frames';
 import type {RunEvent, TargetRun} from './target_runs';
 
-/** When a caller should ask again for what this target does not serve. */
+/** When a caller should retry a request that this target does not serve. */
 const NOT_SERVED_RETRY_AFTER: Milliseconds = 500;
 
-/** How long a call that may not be repeated is followed past its deadline. */
+/** How long a call that may not be retried is followed past its deadline. */
 const EXTRA_TIME_PAST_DEADLINE: Milliseconds = 60_000;
 
-/** A run that its agent counts until `ended` is called. */
+/** A run that the agent counts as running until `ended` is called. */
 export interface CountedRun extends TargetRun {
   readonly ended: () => void;
 }
 
-/** Whether the target can take a request, and how. */
+/** Whether the target can take a request, and how to run it. */
 export type Readiness =
   | {
       readonly kind: 'ready';
@@ -52,7 +52,7 @@
   readonly registry: () => AttemptRegistry | undefined;
   readonly incarnation: () => number | undefined;
   readonly prepare: (request: ServeRequest) => Readiness;
-  /** Called as an attempt starts; the returned function ends it. */
+  /** Called when an attempt starts; the returned function ends it. */
   readonly onStart: (request: ServeRequest) => () => void;
 }
 
@@ -97,7 +97,7 @@
 
   /**
    * Refuses before the attempt is recorded as started. The tombstone makes the
-   * refusal true for ever: a second copy of the message can't start it later.
+   * refusal final: a second copy of the message can't start the attempt later.
    */
   const refuseUnserved = (
     call: Answer,
@@ -129,8 +129,8 @@
       ? deadlineMilliseconds
       : deadlineMilliseconds + EXTRA_TIME_PAST_DEADLINE;
     const run = readiness.run(timeout);
-    // A call that may not be repeated is followed to its end even if its entry
-    // has gone, so that another entry can collect the answer.
+    // A call that may not be retried is followed to its end even if its entry
+    // has disconnected, so that another entry can collect the answer.
     if (repeatable) call.on('cancelled', run.cancel);
     const result = await forwardEvents(call, request, run);
     run.ended();
@@ -138,7 +138,7 @@
     end();
   };
 
-  /** Notes the end in the registry before the entry hears of it. */
+  /** Records the end in the registry before it is sent to the entry. */
   const endRun = (
     call: Answer,
     registry: AttemptRegistry,
@@ -151,7 +151,7 @@
         registry.finish(attempt, answerOf(attempt, result), clock());
         return endWith(call, endFrame(attempt, frameCount, digest));
       }
-      case 'turnedAway': {
+      case 'declined': {
         const event = registry.recordTargetRefusal(attempt, result.reason);
         if (event !== undefined) return endWith(call, refusedFrame(event));
         return endWith(call, failedFrame(attempt, 'the target refused it'));
@@ -195,13 +195,13 @@
   };
 }
 
-/** An answer that came whole. */
+/** A run with a complete answer. */
 interface WholeRun {
   readonly kind: 'whole';
   readonly versionDigest: string | undefined;
   readonly frameCount: number;
   readonly digest: string;
-  /** Kept only for a call that may not be repeated. */
+  /** Kept only for a call that may not be retried. */
   readonly frames: readonly Uint8Array[] | undefined;
 }
 
@@ -209,10 +209,10 @@
 type RunResult =
   | WholeRun
   /** The target refused it before any work. */
-  | {readonly kind: 'turnedAway'; readonly reason: NotRunReason}
+  | {readonly kind: 'declined'; readonly reason: NotRunReason}
   | {readonly kind: 'broken'; readonly detail: string};
 
-/** Sends a run's events as frames, all but the last. */
+/** Forwards all events of a run but the last as frames. */
 async function forwardEvents(
   call: Answer,
   request: ServeRequest,
@@ -237,8 +237,8 @@
         break;
       case 'data': {
         sendStarted();
-        // The target numbers its parts; a doubled or missing one would give
-        // the caller an answer with a hole in it.
+        // The target numbers the parts of its answer. A duplicate or missing
+        // part would give the caller a corrupted answer.
         if (event.sequence !== frameCount) {
           run.cancel();
           return broken('a part of the answer is missing');
@@ -264,7 +264,7 @@
           frames: repeatable ? undefined : frames,
         };
       case 'notStarted':
-        return {kind: 'turnedAway', reason: reasonOf(event)};
+        return {kind: 'declined', reason: reasonOf(event)};
       case 'broken':
         return broken(event.detail);
       default:
@@ -289,7 +289,7 @@
   call.end();
 }
 
-/** Resolves when the reader has caught up or has gone. */
+/** Resolves when the reader has caught up or has disconnected. */
 function waitForDrain(call: Answer): Promise<void> {
   if (call.cancelled) return Promise.resolve();
   return new Promise(resolve => {
--- a/packages/daemon/src/agent/swarm_candidates.ts
+++ b/packages/daemon/src/agent/swarm_candidates.ts
@@ -5,15 +5,15 @@
   MonotonicInstant,
 } from '@hibiscusbeam/core';
 
-/** A neighbour that was not heard for so long after it was chosen is out. */
+/** A neighbour that stays silent this long after it was chosen is excluded. */
 const MAX_NEIGHBOUR_SILENCE: Milliseconds = 6_000;
 
-/** It is tried again after so long, if the platform still lists it. */
+/** After this time it may be chosen again, if the platform still lists it. */
 const EXCLUSION_TIME: Milliseconds = 30_000;
 
 /** Which agents the swarm may choose its neighbours from. */
 export interface SwarmCandidates {
-  /** `neighbours` are those that the swarm has chosen at present. */
+  /** `neighbours` are those that the swarm has chosen now. */
   readonly choose: (
     agents: readonly Member[],
     neighbours: ReadonlySet<InstanceName>,
@@ -23,11 +23,10 @@
 
 /**
  * Agents hold sessions with their neighbours only, so that all others are
- * silent and count as dead a few seconds after the start.
- *
- * Failure: a version that comes later finds no living agent, and each instance
- * fetches all of it from the origin. Only one that stays silent while it is a
- * neighbour is left out, for a while.
+ * silent and count as dead a few seconds after the start. If dead agents were
+ * left out, a later version would find no live agent and each instance would
+ * fetch all of it from the origin. Therefore only an agent that stays silent
+ * while it is a neighbour is excluded, for a limited time.
  */
 export function createSwarmCandidates(): SwarmCandidates {
   const chosenAt = new Map<InstanceName, MonotonicInstant>();
--- a/packages/daemon/src/agent/target_lease.ts
+++ b/packages/daemon/src/agent/target_lease.ts
@@ -13,19 +13,19 @@
 import type {AgentIncarnation} from './incarnation';
 
 /**
- * How long others wait after the last renewal. Renewed three times within it,
- * 600 targets that ignore fencing cost 60 writes a second.
+ * How long others wait after the last renewal. With three renewals in this
+ * time, 600 targets that ignore fencing cost 60 writes per second.
  */
 const LEASE_DURATION: Milliseconds = 30_000;
 
-/** Covers an order's way to its target and clocks that differ by 1%. */
+/** Covers the transit of an order and clock rates that differ by 1%. */
 const LEASE_MARGIN: Milliseconds = 5_000;
 
 const RENEWAL_PERIOD: Milliseconds = 10_000;
 
 const RETRY_PERIOD: Milliseconds = 1_000;
 
-/** The lease on giving orders to one target. */
+/** The lease on sending orders to one target. */
 export interface TargetLease {
   readonly check: (now: MonotonicInstant) => LeaseCheck;
   readonly stop: () => Promise<void>;
--- a/packages/daemon/src/agent/target_runs.ts
+++ b/packages/daemon/src/agent/target_runs.ts
@@ -9,7 +9,7 @@
 } from '../targets/types';
 import {createAnswerMatcher} from './answer_matcher';
 
-/** Events held for a slow reader before the target is held back. */
+/** Events queued for a slow reader before reading from the target pauses. */
 const MAX_QUEUED_EVENTS = 64;
 
 /** What happens to one attempt at the target. */
@@ -21,23 +21,23 @@
       readonly content: Uint8Array;
     }
   | {readonly kind: 'end'; readonly count: number}
-  /** The target has started nothing. */
+  /** The target has not started the attempt. */
   | {readonly kind: 'notStarted'; readonly detail: string}
-  /** The target may have started it; there is no whole answer. */
+  /** The target may have started the attempt; the answer is incomplete. */
   | {readonly kind: 'broken'; readonly detail: string};
 
 /** One attempt at the target. */
 export interface TargetRun {
-  /** Events until `end`, `notStarted` or `broken`, which is the last. */
+  /** Events; the last one is `end`, `notStarted` or `broken`. */
   readonly events: AsyncIterable<RunEvent>;
-  /** Stops the work; the events end as `broken`. */
+  /** Stops the attempt; the events end with `broken`. */
   readonly cancel: () => void;
 }
 
-/** A queue between whoever delivers events and the one that reads them. */
+/** A queue between the target's client and the reader of the events. */
 interface EventQueue {
   readonly push: (event: RunEvent) => void;
-  /** Undefined while there is room, else resolves once there is. */
+  /** Undefined if there is room, else a promise that resolves once there is. */
   readonly waitForRoom: () => Promise<void> | undefined;
   readonly events: AsyncIterable<RunEvent>;
 }
@@ -82,7 +82,7 @@
   readonly run: (work: GenerateWork, timeout: Milliseconds) => TargetRun;
 }
 
-/** Creates the runs of one model engine. */
+/** Creates the runner of attempts on one model engine. */
 export function createEngineRuns(engine: EngineClient): EngineRuns {
   const matcher = createAnswerMatcher<EngineFrame>();
   return {
@@ -119,8 +119,8 @@
           sawOther ||= frame.val.attempt !== attempt;
           if (!hasEnded) await queue.waitForRoom();
         }
-        // A stream that carried another attempt's answer is crossed: this
-        // attempt's own may still come on the other's stream.
+        // If the stream carried another attempt's answer, the engine has
+        // swapped streams: this attempt's answer may still come on the other.
         if (!sawOther) push({kind: 'broken', detail: 'the stream ended'});
       };
       void read();
@@ -154,7 +154,7 @@
   ) => TargetRun;
 }
 
-/** Creates the runs of one plain service. */
+/** Creates the runner of attempts on one plain service. */
 export function createPlainServiceRuns(
   service: PlainServiceClient,
 ): PlainServiceRuns {
@@ -215,9 +215,9 @@
 }
 
 function toFinalServiceEvent(error: TargetError): RunEvent {
-  // A plain service's error status is no proof that nothing was done: it may
-  // have booked the charge and failed afterwards. Only a connection that was
-  // never made is.
+  // An error status does not prove that nothing was done: the service may have
+  // executed the operation, for example a charge, and failed afterwards. Only a
+  // connection that was never established proves it.
   if (error.kind === 'unreachable') return toFinalEvent(error);
   return {kind: 'broken', detail: error.detail};
 }
--- a/packages/daemon/src/agent/weights_manager.ts
+++ b/packages/daemon/src/agent/weights_manager.ts
@@ -11,19 +11,19 @@
 import {digestText} from '../runtime/digests';
 import type {SwarmDriver} from '../swarm';
 
-/** Keeps the versions that the configuration wants on their way. */
+/** Fetches the versions that the configuration wants on a target. */
 export interface WeightsManager {
-  /** Starts what is newly wanted and stops what is not wanted any more. */
+  /** Starts newly wanted versions and abandons those no longer wanted. */
   readonly follow: (configuration: SiteConfiguration) => void;
-  /** Versions whose every chunk the target holds, verified. */
+  /** Versions of which the target holds every chunk, verified. */
   readonly verified: () => ReadonlyMap<VersionDigest, Manifest>;
   readonly manifestOf: (versionDigest: VersionDigest) => Manifest | undefined;
 }
 
-/** Pause before a manifest is asked for again. */
+/** Pause before a manifest is requested again. */
 const MANIFEST_RETRY_PAUSE_MS = 1_000;
 
-/** Creates the keeper of one model engine's versions. */
+/** Creates the manager of one model engine's versions. */
 export function createWeightsManager(options: {
   readonly target: TargetName;
   readonly weights: WeightStore;
@@ -42,7 +42,7 @@
       wanted.delete(versionDigest);
       manifests.delete(versionDigest);
       swarm.abandon(versionDigest);
-      log.info(`gives up version ${versionDigest}`);
+      log.info(`abandons version ${versionDigest}`);
     }
     for (const [versionDigest, model] of next) {
       wanted.set(versionDigest, model);
