--- a/packages/daemon/src/swarm/chunk_receiver.ts
+++ b/packages/daemon/src/swarm/chunk_receiver.ts
@@ -2,16 +2,16 @@
 import {createHash} from 'node:crypto';
 import {Ok, type Result} from 'ts-results';
 
-/** A chunk as it was received. */
+/** A received chunk. */
 export interface ReceivedChunk {
-  /** The pieces as they came; together at most the chunk's size. */
+  /** Pieces in order, at most the chunk's size in total; none if unverified. */
   readonly pieces: readonly Uint8Array[];
   readonly verified: boolean;
 }
 
 /**
- * Reads a chunk's pieces, hashing each as it comes. Pieces are kept, not
- * copied together, so that a chunk takes its size once.
+ * Reads a chunk's pieces and hashes each as it arrives. The pieces are not
+ * concatenated, so that a chunk occupies its size in memory only once.
  */
 export async function receiveChunk(
   source: AsyncIterable<Result<Uint8Array, RequestFailure>>,
@@ -25,8 +25,8 @@
   for await (const piece of source) {
     if (piece.err) return piece;
     received += piece.val.length;
-    // A sender that never ends would fill the memory: more bytes than the
-    // manifest says are a bad chunk, and reading stops.
+    // A chunk with more bytes than the manifest says is corrupted. Reading
+    // stops, as an endless sender would fill the memory.
     if (received > size) return Ok({pieces: [], verified: false});
     hash.update(piece.val);
     pieces.push(piece.val);
--- a/packages/daemon/src/swarm/downloads.ts
+++ b/packages/daemon/src/swarm/downloads.ts
@@ -14,7 +14,7 @@
 
 type Pieces = AsyncIterable<Result<Uint8Array, RequestFailure>>;
 
-/** Downloads that run, and the bytes of those that came whole. */
+/** Running downloads, and the bytes of those that have completed. */
 export interface Downloads {
   readonly fromOrigin: (
     transfer: TransferId,
@@ -29,13 +29,13 @@
   ) => void;
   readonly cancel: (transfer: TransferId) => void;
   readonly cancelAll: () => void;
-  /** The bytes of a transfer whose arrival is being handled. */
+  /** The bytes of a transfer while its `chunkArrived` event is handled. */
   readonly receivedPieces: (
     transfer: TransferId,
   ) => readonly Uint8Array[] | undefined;
 }
 
-/** Creates the runner of downloads; it tells the swarm node what happens. */
+/** Creates the runner of downloads, which reports to the swarm node. */
 export function createDownloads(
   options: Pick<SwarmDriverOptions, 'weights' | 'fetchChunk'>,
   link: Pacer,
@@ -129,7 +129,7 @@
   }
 }
 
-/** Leaves pieces unread while the link's share is used up. */
+/** Stops reading pieces while the link's share is used up. */
 async function* paced(pieces: Pieces, link: Pacer): Pieces {
   for await (const piece of pieces) {
     if (piece.ok) await link.acquire(piece.val.length);
--- a/packages/daemon/src/swarm/grpc_chunks.ts
+++ b/packages/daemon/src/swarm/grpc_chunks.ts
@@ -14,21 +14,21 @@
 import {Err, Ok, type Result} from 'ts-results';
 import type {SwarmDriver} from './types';
 
-/** Metadata name under which a caller says which instance it is. */
+/** Metadata key of the calling instance. */
 const INSTANCE_METADATA_KEY = 'hibiscusbeam-instance';
 
-/** Metadata name of the wait that a busy sender asks for, in milliseconds. */
+/** Metadata key of the wait that a busy sender requests, in milliseconds. */
 const RETRY_AFTER_METADATA_KEY = 'retry-after-milliseconds';
 
-/** Wait after a busy answer that names none. */
+/** Wait after a busy answer that states none. */
 const DEFAULT_RETRY_AFTER_MS = 100;
 
-/** Time between signs of life to a reader that waits, in milliseconds. */
+/** Time between empty pieces to a waiting reader. */
 const KEEP_ALIVE_INTERVAL_MS = 250;
 
 const NO_BYTES = Buffer.alloc(0);
 
-/** Reads a chunk over `FetchChunk`; unread pieces hold the sender back. */
+/** Reads a chunk over `FetchChunk`; unread pieces slow the sender down. */
 export async function* fetchChunkOverGrpc(
   client: Pick<AgentClient, 'fetchChunk'>,
   self: InstanceName,
@@ -53,7 +53,7 @@
   }
 }
 
-/** Answers `FetchChunk` from a driver; waits while the reader is behind. */
+/** Answers `FetchChunk` from a driver; pauses while the reader is slow. */
 export async function handleFetchChunk(
   call: ServerWritableStream<FetchChunkRequest, ChunkPiece>,
   driver: Pick<SwarmDriver, 'serveChunk'>,
@@ -64,9 +64,9 @@
     call.metadata.get(INSTANCE_METADATA_KEY)[0] ?? call.getPeer(),
   );
   const {digest} = call.request;
-  // A reader can't tell a queue from a frozen sender by silence alone, and
-  // would ask others for chunks that are on their way. Empty pieces say that
-  // this end is alive.
+  // A reader can't tell a queued upload from a frozen sender by silence alone
+  // and would request the chunk from others too. Empty pieces show that this
+  // sender is alive.
   const keepAlive = setInterval(
     () => call.write({content: NO_BYTES, size: 0}),
     KEEP_ALIVE_INTERVAL_MS,
--- a/packages/daemon/src/swarm/pacer.ts
+++ b/packages/daemon/src/swarm/pacer.ts
@@ -5,13 +5,13 @@
 } from '@hibiscusbeam/core';
 import {setTimeout as sleep} from 'node:timers/promises';
 
-/** Lets transfers wait for their share of one direction of a link. */
+/** Limits the rate of transfers in one direction of a link. */
 export interface Pacer {
-  /** Waits until the share has carried `bytes` more. */
+  /** Resolves when the link's share allows `bytes` more. */
   readonly acquire: (bytes: Bytes) => Promise<void>;
 }
 
-/** Creates a pacer for a link; with no known rate it never waits. */
+/** Creates the pacer of a link; it never waits if the rate is unknown. */
 export function createPacer(
   linkBytesPerSecond: BytesPerSecond | undefined,
   share: () => number,
--- a/packages/daemon/src/swarm/swarm_driver.ts
+++ b/packages/daemon/src/swarm/swarm_driver.ts
@@ -20,10 +20,10 @@
 } from './types';
 import {createUploadGate} from './upload_gate';
 
-/** Wait before the store is asked again for what it holds. */
+/** Wait before the store's chunks are listed again after an error. */
 const STORE_RETRY_DELAY_MS = 500;
 
-/** Creates the driver that an agent embeds to take part in the swarm. */
+/** Creates the driver with which an agent takes part in the swarm. */
 export function createSwarmDriver(options: SwarmDriverOptions): SwarmDriver {
   const now = options.now ?? (() => performance.now());
   const node = createSwarmNode(options);
--- a/packages/daemon/src/swarm/types.ts
+++ b/packages/daemon/src/swarm/types.ts
@@ -22,7 +22,7 @@
 export interface SwarmPeer {
   readonly instance: InstanceName;
   readonly zone: ZoneName;
-  /** Address of its gRPC face, `IP:port`. */
+  /** Address of its gRPC server, `IP:port`. */
   readonly address: string;
   readonly incarnation: Incarnation;
 }
@@ -33,51 +33,51 @@
   readonly detail: string;
 }
 
-/** What a chunk store holds, and in which of its lives. */
+/** The chunks that a store holds, and the store's incarnation. */
 export interface HeldChunks {
   readonly life: StoreIncarnation;
   readonly digests: readonly Digest[];
 }
 
-/** Where chunks are kept: the model engine's chunk interface. */
+/** A store of chunks: the model engine's chunk interface. */
 export interface ChunkStore {
-  /** Keeps a verified chunk, given in pieces that are not copied together. */
+  /** Stores a verified chunk, passed in pieces to avoid a copy. */
   readonly put: (
     digest: Digest,
     pieces: readonly Uint8Array[],
   ) => Promise<Result<void, ChunkStoreError>>;
   readonly list: () => Promise<Result<HeldChunks, ChunkStoreError>>;
-  /** Yields the chunk's bytes; ends with an error if it is not held. */
+  /** Yields the chunk's bytes; the last item is an error if it is not held. */
   readonly get: (
     digest: Digest,
     signal: AbortSignal,
   ) => AsyncIterable<Result<Uint8Array, ChunkStoreError>>;
 }
 
-/** What the driver needs from the agent that embeds it. */
+/** Options of {@link SwarmDriver}, given by the agent that embeds it. */
 export interface SwarmDriverOptions {
   readonly instance: InstanceName;
   readonly zone: ZoneName;
   readonly seed: number;
   readonly weights: Pick<WeightStore, 'chunk'>;
   readonly store: ChunkStore;
-  /** Most chunk bytes that downloads hold in memory at once. */
+  /** Max chunk bytes that downloads hold in memory at once. */
   readonly transferBuffer: Bytes;
   /** The site's share of the origin's link, when known. */
   readonly originBytesPerSecond?: BytesPerSecond;
-  /** Rate of this instance's link, each way; unknown leaves it unpaced. */
+  /** Rate of this instance's link in each direction; unpaced if unknown. */
   readonly linkBytesPerSecond?: BytesPerSecond;
-  /** Share of the link that transfers may use at most; default all of it. */
+  /** Max share of the link that transfers may use; default all of it. */
   readonly linkShare?: () => number;
   readonly settleTime?: Milliseconds;
-  /** Longest wait before a lost origin is asked again. */
+  /** Max wait before a request to an unavailable origin is retried. */
   readonly longestOriginWait?: Milliseconds;
   readonly downloadSlots?: number;
   readonly uploadSlots?: number;
   readonly ownZonePicks?: number;
   readonly crossZonePicks?: number;
   readonly crossZoneRanks?: number;
-  /** Reads a chunk from another agent; `grpc_chunks.ts` has one over gRPC. */
+  /** Reads a chunk from another agent, see `fetchChunkOverGrpc`. */
   readonly fetchChunk: (
     address: string,
     digest: Digest,
@@ -88,9 +88,9 @@
     instance: InstanceName,
     delta: HaveDeltaContent,
   ) => void;
-  /** The version is whole in the store. May be called again after a loss. */
+  /** Called when the store holds all of the version; again after a loss. */
   readonly onReady?: (versionDigest: VersionDigest) => void;
-  /** A sender of bad chunks was cut off. */
+  /** Called when an instance that sent corrupted chunks is cut off. */
   readonly onCutOff?: (instance: InstanceName) => void;
   /** Monotonic milliseconds; default `performance.now`. */
   readonly now?: () => number;
@@ -107,22 +107,22 @@
 export interface WantOptions {
   readonly prefer: RolloutPreference;
   readonly holders: VersionHolders;
-  /** The site's share of the origin's link, where it is learned later. */
+  /** The site's share of the origin's link, if it is learned later. */
   readonly originBytesPerSecond?: BytesPerSecond;
 }
 
 /** How a wait for a version ended. */
 export type WaitOutcome = 'ready' | 'abandoned';
 
-/** Moves chunks for one agent as its swarm node decides. */
+/** Transfers chunks for one agent as its swarm node decides. */
 export interface SwarmDriver {
-  /** Asks the store what it holds; nothing is fetched before that. */
+  /** Lists the store's chunks; nothing is fetched before that. */
   readonly start: () => Promise<void>;
   /** Ends all transfers and timers. */
   readonly stop: () => void;
-  /** All live agents, this one left out; call on every change. */
+  /** Sets all live agents but this one; call on every change. */
   readonly setPeers: (peers: readonly SwarmPeer[]) => void;
-  /** Instances to hold a session with, as of now. */
+  /** Instances to hold a session with at present. */
   readonly neighbours: () => readonly InstanceName[];
   readonly want: (
     versionDigest: VersionDigest,
@@ -142,15 +142,15 @@
     readonly queued: number;
     readonly slots: number;
   }) => void;
-  /** Asks the store again, after the engine restarted or lost a chunk. */
+  /** Lists the store again, after the engine restarted or lost a chunk. */
   readonly refreshHeld: () => Promise<void>;
-  /** Waits for an upload slot; then yields the chunk, or says why not. */
+  /** Waits for an upload slot; resolves to the chunk or the failure. */
   readonly serveChunk: (
     instance: InstanceName,
     digest: Digest,
     signal: AbortSignal,
   ) => Promise<Result<AsyncIterable<Uint8Array>, RequestFailure>>;
-  /** Positions held of a wanted version; none of any other. */
+  /** Positions held of a wanted version; empty for any other version. */
   readonly heldPositions: (versionDigest: VersionDigest) => readonly number[];
   /** Whether it is known what a neighbour holds of a wanted version. */
   readonly isHaveKnown: (
--- a/packages/daemon/src/swarm/upload_gate.ts
+++ b/packages/daemon/src/swarm/upload_gate.ts
@@ -14,7 +14,7 @@
   readonly controller: AbortController;
 }
 
-/** Uploads between their request and their end. */
+/** Uploads from their request to their end. */
 export interface UploadGate {
   readonly serve: (
     instance: InstanceName,
@@ -27,7 +27,7 @@
   readonly stopAll: () => void;
 }
 
-/** Creates the gate that holds each upload until the swarm node admits it. */
+/** Creates the gate, where each upload waits until the node admits it. */
 export function createUploadGate(
   store: ChunkStore,
   link: Pacer,
