--- a/packages/daemon/src/site/agent_descriptions.ts
+++ b/packages/daemon/src/site/agent_descriptions.ts
@@ -10,10 +10,10 @@
 import * as z from 'zod';
 import type {AgentSettings} from '../types/settings';
 
-/** Start of the keys of the agents' rows. */
+/** Prefix of the keys of the agents' rows. */
 const AGENT_KEY_PREFIX = 'agents/';
 
-/** Agents' rows read for one plan; over three times the largest site. */
+/** Max agents' rows read for a plan; over three times the largest site. */
 const MAX_AGENTS = 2_000;
 
 const AGENT_ROW_SCHEMA = z.object({
@@ -26,7 +26,7 @@
   }),
 });
 
-/** What an agent's row says of its target, for those who plan. */
+/** The description of its target that an agent stores for planning. */
 export function describeAgent(settings: AgentSettings): JsonValue {
   const {name, kind, service, fencing} = settings.target;
   return {
@@ -39,9 +39,9 @@
 }
 
 /**
- * All targets of the site: from the agents' rows, since one entry of many
- * holds sessions with a few targets only. An instance that the platform's list
- * no longer names is left out.
+ * Reads all targets of the site from the agents' rows, as an entry holds
+ * sessions with only a few targets. Instances that are not in the platform's
+ * list are left out.
  */
 export async function readKnownTargets(
   table: TableService,
--- a/packages/daemon/src/site/instance_list_poller.ts
+++ b/packages/daemon/src/site/instance_list_poller.ts
@@ -3,17 +3,17 @@
 import {sleep} from '../runtime/clock';
 import {isUsableAddress} from './usable_peers';
 
-/** Shortest time between two reads of the list by one process. */
+/** Min time between two reads of the list by one process. */
 const MIN_POLL_PERIOD: Milliseconds = 1_000;
 
-/** Reads of the list that all processes of the site share, per second. */
+/** Budget of reads per second for all processes of the site together. */
 const SHARED_READS_PER_SECOND = 100;
 
-/** Reads the platform's list again and again. */
+/** Polls the platform's list of instances. */
 export interface InstanceListPoller {
   /** The list as last read; empty before the first answer. */
   readonly latest: () => readonly ListedInstance[];
-  /** Reads the list now; the last known one if the platform is silent. */
+  /** Reads the list now; resolves to the last known one on failure. */
   readonly refresh: () => Promise<readonly ListedInstance[]>;
   readonly stop: () => void;
 }
@@ -28,10 +28,11 @@
 
   const refresh = async (): Promise<readonly ListedInstance[]> => {
     const listed = await instances.list();
-    // While the platform is down the last list stands: sessions tell who
-    // lives, and forgetting everybody would cut the site off from itself.
+    // While the platform is unavailable the last list stays valid. Sessions
+    // show which processes are live, and an empty list would disconnect the
+    // site's processes from each other.
     if (listed.ok && !stopping.signal.aborted) {
-      // A line without a usable address would end whoever connects to it.
+      // Connecting to an unusable address would end this process.
       latest = listed.val.filter(line => isUsableAddress(line.address));
       onList(latest);
     }
--- a/packages/daemon/src/site/known_processes.ts
+++ b/packages/daemon/src/site/known_processes.ts
@@ -5,36 +5,36 @@
   MonotonicInstant,
 } from '@hibiscusbeam/core';
 
-/** A list that lags by seconds must have said "gone" for so long. */
+/** How long lists, which lag by seconds, must lack a process to remove it. */
 const MIN_DELISTED_TIME: Milliseconds = 30_000;
 
-/** A process that said hello here, or was named by one that heard it. */
+/** A process that sent a hello here, or was reported by one that got it. */
 export interface ProcessAddress {
   readonly instance: InstanceName;
   readonly address: string;
 }
 
 /**
- * Every process that this one has heard of and not seen out since. Unlike the
- * membership it forgets nobody for being silent: a frozen process still acts
- * once it wakes.
+ * All processes that this one has met and that have not ended since. Unlike the
+ * membership, it removes no process for silence: a frozen process still acts
+ * once it resumes.
  */
 export interface KnownProcesses {
   readonly hello: (
     process: ProcessAddress & {readonly incarnation: Incarnation},
   ) => void;
   readonly goodbye: (instance: InstanceName, incarnation: Incarnation) => void;
-  /** Takes the platform's list as just read, whole. */
+  /** Applies the platform's complete list as just read. */
   readonly list: (
     instances: readonly InstanceName[],
     now: MonotonicInstant,
   ) => void;
   readonly all: () => readonly ProcessAddress[];
-  /** How long every list that was read has lacked the instance. */
+  /** For how long the lists read have lacked the instance. */
   readonly delistedFor: (instance: InstanceName) => Milliseconds;
 }
 
-/** Knows nobody at first. */
+/** Creates the set of known processes, which is empty at first. */
 export function createKnownProcesses(): KnownProcesses {
   const known = new Map<
     InstanceName,
@@ -44,8 +44,8 @@
   let listed: ReadonlySet<InstanceName> = new Set();
   let lastListAt: MonotonicInstant | undefined;
 
-  // Counted between lists that were read: while the platform is down its
-  // silence would otherwise pass for word that an instance is gone.
+  // Measured between lists that were read. Otherwise an unavailable platform
+  // would count as a report that an instance is gone.
   const delistedFor = (instance: InstanceName): Milliseconds => {
     if (lastListAt === undefined || listed.has(instance)) return 0;
     const since = absentSince.get(instance) ?? lastListAt;
@@ -61,7 +61,7 @@
       known.set(instance, {instance, address, incarnation});
     },
     goodbye: (instance, incarnation) => {
-      // A late goodbye of an earlier life says nothing about this one.
+      // A late goodbye of an earlier incarnation must not remove this one.
       if (known.get(instance)?.incarnation !== incarnation) return;
       known.delete(instance);
     },
--- a/packages/daemon/src/site/peer_calls.ts
+++ b/packages/daemon/src/site/peer_calls.ts
@@ -10,13 +10,13 @@
 /** A peer that does not answer within this time counts as silent. */
 const REPLY_TIMEOUT: Milliseconds = 1_000;
 
-/** The generation of one process; undefined if it is silent. */
+/** The generation of one process; undefined if it did not answer. */
 export interface ReportedGeneration {
   readonly instance: InstanceName;
   readonly generation: Generation | undefined;
 }
 
-/** Short calls to other processes; each ends in bounded time. */
+/** Short calls to other processes; undefined if one does not answer. */
 export interface PeerCalls {
   readonly pull: (
     peer: InstanceName,
@@ -30,12 +30,12 @@
   ) => Promise<readonly ReportedGeneration[]>;
 }
 
-/** Creates the calls; `addressOf` knows where an instance listens. */
+/** Creates the calls; `addressOf` returns where an instance listens. */
 export function createPeerCalls(
   clients: SiteClientPool,
   addressOf: (instance: InstanceName) => string | undefined,
 ): PeerCalls {
-  // gRPC takes a deadline as an instant of the wall clock.
+  // gRPC takes a deadline in wall-clock time.
   const options = () => ({deadline: Date.now() + REPLY_TIMEOUT});
 
   const pull: PeerCalls['pull'] = (peer, known) => {
--- a/packages/daemon/src/site/request_dump.ts
+++ b/packages/daemon/src/site/request_dump.ts
@@ -2,7 +2,7 @@
 import {PeerClient} from '@hibiscusbeam/wire';
 import {Err, Ok, type Result} from 'ts-results';
 
-/** Why a process gave no dump. */
+/** Why the dump of a process could not be read. */
 export interface DumpError {
   readonly kind: 'refused' | 'unreachable';
   readonly detail: string;
@@ -11,7 +11,7 @@
 const REPLY_TIMEOUT_MS = 10_000;
 const MAX_DUMP_BYTES = 16 * 1_024 * 1_024;
 
-/** The state of the process at `address` (`IP:port`), as JSON text. */
+/** Requests the state of the process at `address` (`IP:port`), as JSON. */
 export function requestDump(
   address: string,
   siteKey: string,
--- a/packages/daemon/src/site/sessions.ts
+++ b/packages/daemon/src/site/sessions.ts
@@ -9,20 +9,20 @@
 import type {SiteClientPool} from './site_clients';
 import {isUsableHello} from './usable_peers';
 
-/** Pause before a session that closed is opened again. */
+/** Pause before a closed session is reopened. */
 const REOPEN_PAUSE: Milliseconds = 500;
 
-/** Heartbeats that may wait on a session before it counts as stuck. */
+/** Messages queued on a session before it counts as stuck. */
 const MAX_QUEUED_MESSAGES = 64;
 
 type SessionStream =
   | ClientDuplexStream<SessionMessage, SessionMessage>
   | ServerDuplexStream<SessionMessage, SessionMessage>;
 
-/** The other end of a session, as it introduced itself. */
+/** The other end of a session, as described in its hello. */
 export type Peer = Readonly<Hello>;
 
-/** What the owner of the sessions is told. */
+/** Callbacks to the owner of the sessions. */
 export interface SessionEvents {
   readonly opened: (peer: Peer) => void;
   readonly received: (peer: Peer, message: SessionMessage) => void;
@@ -39,9 +39,9 @@
 
 /** Sessions with other processes, opened by either side. */
 export interface Sessions {
-  /** Opens sessions to these addresses and closes the ones left out. */
+  /** Opens sessions to these addresses and closes those to all others. */
   readonly setAddresses: (addresses: ReadonlySet<string>) => void;
-  /** Takes over a session that the other side opened. */
+  /** Accepts a session that the other side opened. */
   readonly accept: (
     stream: ServerDuplexStream<SessionMessage, SessionMessage>,
   ) => void;
@@ -61,7 +61,7 @@
   ended: boolean;
 }
 
-/** Keeps sessions open, sends heartbeats and reports what comes in. */
+/** Keeps sessions open, sends heartbeats and reports received messages. */
 export function createSessions(options: SessionsOptions): Sessions {
   const sessions = new Set<Session>();
   let wanted: ReadonlySet<string> = new Set();
@@ -69,8 +69,8 @@
 
   const write = (session: Session, message: SessionMessage): void => {
     if (session.ended) return;
-    // A peer that reads nothing would let messages pile up here without
-    // bound; it is cut and, if alive, opened anew.
+    // A peer that does not read would make messages pile up here without bound.
+    // Its session is closed and, if the peer is alive, opened again.
     if (session.stream.writableLength > MAX_QUEUED_MESSAGES) {
       end(session);
       return;
--- a/packages/daemon/src/site/site_clients.ts
+++ b/packages/daemon/src/site/site_clients.ts
@@ -2,37 +2,37 @@
 import {AgentClient, PeerClient} from '@hibiscusbeam/wire';
 import {siteKeyMetadata} from './site_key';
 
-/** Largest message between processes of the site, in bytes. */
+/** Max size of a message between processes of the site. */
 export const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 
 const CHANNEL_OPTIONS = {
   'grpc.max_receive_message_length': MAX_MESSAGE_BYTES,
-  // A cut link is noticed without waiting for the kernel's retransmissions.
+  // Detects a lost link before the kernel's retransmissions time out.
   'grpc.keepalive_time_ms': 10_000,
   'grpc.keepalive_timeout_ms': 3_000,
-  // A restarted process is reached again within a second or two.
+  // Reconnects to a restarted process within a second or two.
   'grpc.initial_reconnect_backoff_ms': 200,
   'grpc.max_reconnect_backoff_ms': 2_000,
   'grpc.min_reconnect_backoff_ms': 200,
 };
 
-/** Clients of one process of the site. */
+/** gRPC clients for one process of the site. */
 export interface SiteClients {
   readonly peer: PeerClient;
   readonly agent: AgentClient;
 }
 
-/** Channels to other processes, one for each address. */
+/** Clients for other processes, opened once for each address. */
 export interface SiteClientPool {
   readonly metadata: Metadata;
   /** Clients for `address` (`IP:port`), opened on first use. */
   readonly at: (address: string) => SiteClients;
-  /** Closes the channel to an address that is no longer needed. */
+  /** Closes the clients for an address that is no longer needed. */
   readonly drop: (address: string) => void;
   readonly close: () => void;
 }
 
-/** Opens channels on demand and shows the site's key on each call. */
+/** Creates a pool of clients; `metadata` carries the site's key. */
 export function createSiteClientPool(siteKey: string): SiteClientPool {
   const clients = new Map<string, SiteClients>();
   const metadata = siteKeyMetadata(siteKey);
--- a/packages/daemon/src/site/site_key.ts
+++ b/packages/daemon/src/site/site_key.ts
@@ -3,14 +3,14 @@
 
 const AUTHORIZATION = 'authorization';
 
-/** Metadata that shows the site's key to another process. */
+/** Metadata that carries the site's key to another process. */
 export function siteKeyMetadata(siteKey: string): Metadata {
   const metadata = new Metadata();
   metadata.set(AUTHORIZATION, `Bearer ${siteKey}`);
   return metadata;
 }
 
-/** Refusal of a call without the site's key, or undefined when it is shown. */
+/** The refusal of a call without the site's key; undefined if it has it. */
 export function refuseWithoutSiteKey(
   metadata: Metadata,
   siteKey: string,
--- a/packages/daemon/src/site/site_node.ts
+++ b/packages/daemon/src/site/site_node.ts
@@ -38,23 +38,26 @@
 import {createSiteClientPool, type SiteClientPool} from './site_clients';
 import {startSiteServer, type SiteServer} from './site_server';
 
-/** Where a process may still act on what a move has closed. */
+/**
+ * Targets and workspaces with requests or orders in progress, on which a
+ * process may still act after a move has closed them.
+ */
 export interface Activity {
   readonly busyTargets: readonly TargetName[];
   readonly busyWorkspaces: readonly WorkspaceName[];
 }
 
-/** What an entry or an agent adds to the common part. */
+/** What an entry or an agent adds to the common node. */
 export interface SiteNodeRole {
   readonly role: 'entry' | 'agent';
-  /** Undefined until it is known; sessions are refused so long. */
+  /** Undefined until it is known; sessions are refused until then. */
   readonly incarnation: () => Incarnation | undefined;
   readonly target?: SlotTarget;
   readonly callerAddress?: string;
   readonly agentHandlers?: AgentServer;
-  /** Present on agents: what each heartbeat says of the target. */
+  /** Present on agents: the report of the target for heartbeats. */
   readonly targetReport?: () => TargetReport;
-  /** Present on entries: what each heartbeat to an entry says of use. */
+  /** Present on entries: the workspaces' use for heartbeats to entries. */
   readonly workspaceUses?: () => readonly WorkspaceUse[];
   readonly onWorkspaceUses?: (
     peer: Peer,
@@ -63,7 +66,7 @@
   readonly isLeaving: () => boolean;
   readonly dump: () => Readonly<Record<string, unknown>>;
   readonly onAdopted: (accepted: AcceptedConfiguration) => void;
-  /** Where requests or orders are in progress at this moment. */
+  /** Where requests or orders are in progress now. */
   readonly activity: () => Activity;
   /** Called with each head row that was read. */
   readonly onHead?: (head: HeadRow) => void;
@@ -81,11 +84,11 @@
   readonly clock: Clock;
   readonly platform: Platform;
   readonly role: SiteNodeRole;
-  /** Told why a call of another process was refused. */
+  /** Called with the reason when a call of another process is refused. */
   readonly onRefused: (reason: string) => void;
 }
 
-/** The part that every process of the site has in common. */
+/** The common part of every process of the site. */
 export interface SiteNode {
   readonly membership: Membership;
   readonly sessions: Sessions;
@@ -95,22 +98,22 @@
   /** The platform's list as last read. */
   readonly listed: () => readonly ListedInstance[];
   readonly refreshList: () => Promise<readonly ListedInstance[]>;
-  /** The generation that each listed process has; undefined if silent. */
+  /** The generation of each listed process; undefined if it is silent. */
   readonly requestGenerations: () => Promise<readonly ReportedGeneration[]>;
   readonly knownProcesses: KnownProcesses;
-  /** This process's own activity, as others get it when they ask. */
+  /** This process's own activity, as other processes receive it. */
   readonly ownActivity: () => ReportActivityReply;
   /** Another process's activity; undefined if it is silent. */
   readonly requestActivity: (
     address: string,
   ) => Promise<ReportActivityReply | undefined>;
-  /** Listens and learns the generation; resolves when ready. */
+  /** Starts listening and learns the generation; resolves when ready. */
   readonly start: () => Promise<void>;
-  /** Says goodbye and waits for the calls in progress. */
+  /** Sends goodbyes and waits for the calls in progress. */
   readonly stop: (reason: string) => Promise<void>;
 }
 
-/** Joins server, sessions, membership and configuration of one process. */
+/** Connects server, sessions, membership and configuration of a process. */
 export function createSiteNode(options: SiteNodeOptions): SiteNode {
   const {settings, clock, platform, role} = options;
   const secrets = [settings.siteKey];
@@ -125,8 +128,8 @@
   let poller: InstanceListPoller | undefined;
   const timers: (() => void)[] = [];
 
-  // Only entries route by a target's report; to an agent it would cost most of
-  // the bytes of a heartbeat for nothing.
+  // Only entries route by a target's report. In heartbeats to agents it would
+  // take most of the bytes and serve no purpose.
   const heartbeat = (toRole: string) => {
     heartbeatCount += 1;
     return {
@@ -246,8 +249,8 @@
     return [{instance, generation}, ...reported];
   };
 
-  // All of one turn of the loop: a generation adopted between two of these
-  // would let a request that began before it go unseen.
+  // Read in one turn of the event loop: if a generation was adopted between two
+  // of the reads, a request that started before it could be missed.
   const ownActivity = (): ReportActivityReply => {
     const {busyTargets, busyWorkspaces} = role.activity();
     return {
@@ -277,7 +280,7 @@
       listen: settings.siteAddress,
       siteKey: settings.siteKey,
       onRefused: method => {
-        siteLog.warn(`refused ${method} without the key`);
+        siteLog.warn(`refused ${method} without a valid key`);
         options.onRefused('noKey');
       },
       handlers: {
@@ -316,8 +319,8 @@
     sessions.close(reason);
     for (const stopTimer of timers) stopTimer();
     poller?.stop();
-    // Sessions of peers that don't answer the goodbye would keep the server
-    // open for ever; calls of requests have ended before this point.
+    // Sessions with peers that don't answer the goodbye would keep the server
+    // open for ever. Requests have ended before this point.
     const drained = server?.drain() ?? Promise.resolve();
     await Promise.race([drained, new Promise(r => setTimeout(r, 1_000))]);
     server?.close();
@@ -341,5 +344,5 @@
   };
 }
 
-/** Members in one dump, so that its size has a bound. */
+/** Max members in a dump, to bound its size. */
 const MAX_DUMPED_MEMBERS = 1_000;
--- a/packages/daemon/src/site/site_server.ts
+++ b/packages/daemon/src/site/site_server.ts
@@ -20,7 +20,7 @@
 import {MAX_MESSAGE_BYTES} from './site_clients';
 import {refuseWithoutSiteKey} from './site_key';
 
-/** What a process answers to the other processes of the site. */
+/** Handlers of calls from other processes of the site. */
 export interface SiteHandlers {
   readonly session: (
     stream: ServerDuplexStream<SessionMessage, SessionMessage>,
@@ -37,7 +37,7 @@
 /** A running gRPC server. */
 export interface SiteServer {
   readonly address: SocketAddress;
-  /** Takes no new calls and resolves when the running ones have ended. */
+  /** Accepts no new calls and resolves when the running ones have ended. */
   readonly drain: () => Promise<void>;
   /** Ends every call at once. */
   readonly close: () => void;
@@ -48,11 +48,11 @@
   readonly listen: SocketAddress;
   readonly siteKey: string;
   readonly handlers: SiteHandlers;
-  /** Called for each call that did not show the site's key. */
+  /** Called with the method of each call without the site's key. */
   readonly onRefused: (method: string) => void;
 }
 
-/** Serves the site's protocol to callers that show the site's key. */
+/** Serves the site's protocol to callers that send the site's key. */
 export async function startSiteServer(
   options: SiteServerOptions,
 ): Promise<SiteServer> {
--- a/packages/daemon/src/site/usable_peers.ts
+++ b/packages/daemon/src/site/usable_peers.ts
@@ -8,9 +8,9 @@
 }
 
 /**
- * Whether a hello describes a process as its settings would. Guards against
- * one that does not: an empty address alone ends the process that opens a
- * channel to it, and a name of megabytes would stay in its memory.
+ * Whether a hello has only values that valid settings can have. An empty
+ * address would end the process that opens a channel to it, and a name of
+ * megabytes would stay in its memory.
  */
 export function isUsableHello(hello: Hello): boolean {
   const {instance, role, zone, region, address, target, callerAddress} = hello;
