--- a/packages/daemon/src/settings/cross_checks.ts
+++ b/packages/daemon/src/settings/cross_checks.ts
@@ -4,15 +4,15 @@
 
 const MIN_SITE_KEY_LENGTH = 16;
 
-/** The site's key, or the fault in its place. */
+/** The site's key, empty if there are faults. */
 export interface SiteKeyReading {
   readonly siteKey: string;
   readonly faults: readonly UnlocatedFault[];
 }
 
 /**
- * Faults between fields. Works on the values as written, so that these are
- * found whatever else is wrong with the file.
+ * Finds faults that involve several fields. Works on the values as written, so
+ * that these faults are found whatever else is wrong with the file.
  */
 export function findCrossFaults(value: unknown): readonly UnlocatedFault[] {
   return [
@@ -48,7 +48,7 @@
       `key file ${file} must hold at least ${MIN_SITE_KEY_LENGTH} characters`,
     );
   }
-  // A key goes into a header of every call, which carries only these.
+  // The key is sent in a header, which allows only these characters.
   if (!/^[\x21-\x7e]+$/.test(siteKey)) {
     return keyFileFault(
       path,
@@ -78,8 +78,8 @@
 }
 
 /**
- * A key that belonged to two names would let one caller act as the other, and
- * which one it is would depend on the order of the list.
+ * A key that belongs to two names would let one caller act as the other;
+ * which name applies would depend on the order of the list.
  */
 function findDuplicateKeys(value: unknown): readonly UnlocatedFault[] {
   const owners = new Map<string, string>();
@@ -128,7 +128,7 @@
   return Array.isArray(list) ? list : [];
 }
 
-/** The value at `path`, or `undefined` if there is none. */
+/** The value at `path`; `undefined` if there is none. */
 export function valueAt(value: unknown, path: FieldPath): unknown {
   let part = value;
   for (const step of path) {
--- a/packages/daemon/src/settings/fields.ts
+++ b/packages/daemon/src/settings/fields.ts
@@ -1,6 +1,6 @@
 import * as z from 'zod';
 
-/** What the reference page says about a field. */
+/** Documentation of a field for the reference page. */
 export interface FieldDocs {
   readonly type: string;
   /** The value as written in YAML, or `required`, or `none`. */
@@ -9,10 +9,10 @@
   readonly example: string;
 }
 
-/** Notes of each leaf of the schemas, for the reference page. */
+/** Documentation of each leaf of the schemas. */
 export const fieldDocs = z.registry<FieldDocs>();
 
-/** A field that must be given. */
+/** A required field. */
 export function field<Schema extends z.ZodType>(
   schema: Schema,
   docs: Omit<FieldDocs, 'default'>,
@@ -21,7 +21,7 @@
   return schema;
 }
 
-/** A field that may be left out; its default is written as in YAML. */
+/** An optional field with a default, written as in YAML. */
 export function fieldWithDefault<Schema extends z.ZodType>(
   schema: Schema,
   value: string | number,
@@ -32,7 +32,7 @@
   return defaulted;
 }
 
-/** A field that may be left out, with nothing in its place. */
+/** An optional field without a default. */
 export function optionalField<Schema extends z.ZodType>(
   schema: Schema,
   docs: Omit<FieldDocs, 'default'>,
@@ -42,7 +42,7 @@
   return optional;
 }
 
-/** A mapping that takes no other fields. */
+/** A mapping of fields; unknown fields are faults. */
 export function group<Shape extends z.ZodRawShape>(shape: Shape) {
   return z.strictObject(shape, {error: 'must be a mapping of fields'});
 }
--- a/packages/daemon/src/settings/load_settings.ts
+++ b/packages/daemon/src/settings/load_settings.ts
@@ -18,8 +18,8 @@
 import type {ReadText, SettingsFault} from './types';
 
 /**
- * Checks and resolves a settings file. The error holds every fault at once, in
- * the order of the file.
+ * Checks and resolves a settings file. The error holds all faults, in the order
+ * of the file.
  */
 export function loadSettings(
   text: string,
--- a/packages/daemon/src/settings/nesting.ts
+++ b/packages/daemon/src/settings/nesting.ts
@@ -6,9 +6,9 @@
 /**
  * Whether composing `text` could overflow the stack.
  *
- * The YAML composer recurses once a level; a file of brackets ends the process
- * with a fatal error that names no file. The token parser used here keeps its
- * own stack, so that it stays safe at any depth.
+ * The YAML composer recurses once per level, so that a file of brackets would
+ * end the process with a fatal error that names no file. The token parser used
+ * here has its own stack and is safe at any depth.
  */
 export function isNestedTooDeep(text: string): boolean {
   const open: {token: CST.Token; depth: number}[] = [];
--- a/packages/daemon/src/settings/read_settings_file.ts
+++ b/packages/daemon/src/settings/read_settings_file.ts
@@ -4,7 +4,7 @@
 import {loadSettings} from './load_settings';
 import type {SettingsFault} from './types';
 
-/** Reads a text file from disk; the error is one short sentence. */
+/** Reads a text file; the error is a short phrase. */
 export function readTextFile(path: string): Result<string, string> {
   try {
     return Ok(readFileSync(path, 'utf8'));
@@ -36,9 +36,9 @@
   ]);
 }
 
-/** One line for people: `file:line:column: path: detail`. */
+/** Formats a fault as `file:line:column: path: detail`. */
 export function formatFault(fault: SettingsFault): string {
-  const place = `${fault.file}:${fault.line}:${fault.column}`;
+  const location = `${fault.file}:${fault.line}:${fault.column}`;
   const subject = fault.path === '' ? '' : `${fault.path}: `;
-  return `${place}: ${subject}${fault.detail}`;
+  return `${location}: ${subject}${fault.detail}`;
 }
--- a/packages/daemon/src/settings/reference.ts
+++ b/packages/daemon/src/settings/reference.ts
@@ -2,14 +2,14 @@
 import {fieldDocs, type FieldDocs} from './fields';
 import {agentSchema, eitherRoleSchema, entrySchema} from './schema';
 
-/** One field as the reference page shows it. */
+/** A field as shown on the reference page. */
 export interface FieldDescription extends FieldDocs {
   /** Names joined by dots; `[]` marks an item of a list. */
   readonly path: string;
   readonly roles: readonly ('entry' | 'agent')[];
 }
 
-/** Every field that a settings file may hold, in order. */
+/** All fields that a settings file may have, in order. */
 export function describeFields(): readonly FieldDescription[] {
   const entryPaths = new Set(collect(entrySchema).map(([path]) => path));
   const agentPaths = new Set(collect(agentSchema).map(([path]) => path));
@@ -27,7 +27,7 @@
   });
 }
 
-/** Whether any process has a setting at this path; list positions count. */
+/** Whether a setting exists at this path, which may have list positions. */
 export function isKnownField(path: readonly (string | number)[]): boolean {
   const pattern = path
     .map(step => (typeof step === 'number' ? '[]' : step))
--- a/packages/daemon/src/settings/scalars.ts
+++ b/packages/daemon/src/settings/scalars.ts
@@ -5,7 +5,7 @@
 import type {SocketAddress} from '../types/settings';
 import {parseDuration, parseSize} from './units';
 
-// Names become segments of table keys, which are joined by `/`.
+// Names become segments of table keys, which are separated by `/`.
 const NAME_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/;
 const MAX_PORT = 65_535;
 
@@ -14,7 +14,7 @@
   readonly most: string;
 }
 
-/** A name that may stand in a table key and in a metric tag. */
+/** A name that is valid in a table key and in a metric tag. */
 export const nameSchema = z
   .string({error: 'must be a name in letters and digits; quote a number'})
   .regex(NAME_PATTERN, {
@@ -22,7 +22,7 @@
       'must be 1 to 63 letters, digits, dots, dashes or underscores, beginning with a letter or digit',
   });
 
-/** `IP:port`, with an IPv6 number in brackets. */
+/** `IP:port`, with an IPv6 address in brackets. */
 export const socketAddressSchema = z
   .string({error: 'must be an IP number and port such as 10.0.1.7:7400'})
   .transform((text, context): SocketAddress => {
@@ -31,7 +31,7 @@
     return addIssue(context, address);
   });
 
-/** Base address of an HTTP interface whose host is an IP number. */
+/** Base URL of an HTTP interface whose host is an IP address. */
 export const urlSchema = z
   .string({error: 'must be an address such as http://10.0.1.7:8080'})
   .transform((text, context): string => {
@@ -40,19 +40,19 @@
     return addIssue(context, problem);
   });
 
-/** A base address as the settings take it, or what is wrong with it. */
+/** Parses a base URL; the error says what is wrong with it. */
 export function parseBaseUrl(text: string): Result<string, string> {
   const parsed = urlSchema.safeParse(text);
   return parsed.success ? Ok(parsed.data) : Err(firstMessage(parsed.error));
 }
 
-/** `IP:port` as the settings take it, or what is wrong with it. */
+/** Parses `IP:port`; the error says what is wrong with it. */
 export function parseAddress(text: string): Result<SocketAddress, string> {
   const parsed = socketAddressSchema.safeParse(text);
   return parsed.success ? Ok(parsed.data) : Err(firstMessage(parsed.error));
 }
 
-/** SHA-256 in hexadecimal, as `hibiscusbeam keys hash` prints it. */
+/** SHA-256 in hexadecimal, as printed by `hibiscusbeam keys hash`. */
 export const sha256Schema = z
   .string({error: 'must be a SHA-256 in quotes (see `hibiscusbeam keys hash`)'})
   .regex(/^[0-9a-f]{64}$/, {
@@ -60,27 +60,27 @@
       'must be 64 lower-case hexadecimal digits (see `hibiscusbeam keys hash`)',
   });
 
-/** A duration with its unit, within bounds; resolves to milliseconds. */
+/** A duration with a unit, within bounds; resolves to milliseconds. */
 export function durationSchema(range: Range) {
   return quantitySchema<Milliseconds>('a duration such as 4s', range, text =>
     parseDuration(text),
   );
 }
 
-/** A size with its unit, within bounds; resolves to bytes. */
+/** A size with a unit, within bounds; resolves to bytes. */
 export function sizeSchema(range: Range) {
   return quantitySchema<Bytes>('a size such as 16MiB', range, text =>
     parseSize(text),
   );
 }
 
-/** A whole number within bounds, both included. */
+/** An integer within inclusive bounds. */
 export function countSchema(least: number, most: number) {
   const error = `must be a whole number from ${least} to ${most}`;
   return z.int({error}).min(least, {error}).max(most, {error});
 }
 
-/** One of several words. */
+/** One of the given words. */
 export function choiceSchema<const Words extends readonly string[]>(
   words: Words,
 ) {
@@ -129,8 +129,8 @@
 }
 
 /**
- * A process announces the address it listens on, so one that stands for every
- * interface would reach nobody.
+ * A process announces the address that it listens on, so a wildcard address is
+ * refused: no other process could connect to it.
  */
 function findHostProblem(host: string): string | undefined {
   if (isIP(host) === 0) {
--- a/packages/daemon/src/settings/schema.ts
+++ b/packages/daemon/src/settings/schema.ts
@@ -157,8 +157,8 @@
 export const agentSchema = group(agentShape);
 
 /**
- * Takes the place of the other two while `role` is wrong, so that the faults
- * in all other fields are still found.
+ * Replaces the other two schemas if `role` is wrong, so that the faults in all
+ * other fields are still found.
  */
 export const eitherRoleSchema = group({
   ...entryShape,
@@ -173,8 +173,8 @@
   target: targetGroup.optional(),
 });
 
-/** An entry's settings as checked, before they are resolved. */
+/** An entry's checked settings, before they are resolved. */
 export type CheckedEntry = z.output<typeof entrySchema>;
 
-/** An agent's settings as checked, before they are resolved. */
+/** An agent's checked settings, before they are resolved. */
 export type CheckedAgent = z.output<typeof agentSchema>;
--- a/packages/daemon/src/settings/schema_faults.ts
+++ b/packages/daemon/src/settings/schema_faults.ts
@@ -3,7 +3,7 @@
 import {isKnownField} from './reference';
 import type {FieldPath, UnlocatedFault} from './types';
 
-/** Turns the issues of a schema into faults. */
+/** Converts the issues of a schema into faults. */
 export function toFaults(
   value: unknown,
   issues: readonly z.core.$ZodIssue[],
--- a/packages/daemon/src/settings/source.ts
+++ b/packages/daemon/src/settings/source.ts
@@ -12,7 +12,7 @@
 import {isNestedTooDeep} from './nesting';
 import type {FieldPath, SettingsFault, UnlocatedFault} from './types';
 
-/** A settings file as read: its values, and where each one stands. */
+/** A settings file as read: its values and the position of each. */
 export interface SettingsSource {
   /** The file's values; `undefined` if the YAML is malformed. */
   readonly value: unknown;
@@ -22,7 +22,7 @@
 
 type LocateAt = (fault: UnlocatedFault, offset: number) => SettingsFault;
 
-/** Reads YAML text and keeps the position of every field. */
+/** Reads YAML text and keeps the position of each field. */
 export function readSource(text: string, file: string): SettingsSource {
   const lineCounter = new LineCounter();
   const locateAt: LocateAt = (fault, offset) => {
@@ -77,7 +77,7 @@
   return [...problems, ...findUnsupported(document.contents, [], locateAt)];
 }
 
-/** Aliases and structured field names, which settings have no use for. */
+/** Finds aliases and structured field names, which are not supported. */
 function findUnsupported(
   node: unknown,
   path: FieldPath,
@@ -127,8 +127,8 @@
 }
 
 /**
- * Where a fault is shown: at a plain value itself, at the name of a group or
- * list, and for a missing field at the nearest group around it.
+ * The offset at which a fault is reported: a plain value itself, the name of a
+ * group or list, and for a missing field its nearest enclosing group.
  */
 function findOffset(root: unknown, path: FieldPath): number {
   let node = root;
--- a/packages/daemon/src/settings/types.ts
+++ b/packages/daemon/src/settings/types.ts
@@ -1,6 +1,6 @@
 import type {Result} from 'ts-results';
 
-/** One fault in a settings file, with the place to mend. */
+/** A fault in a settings file, with its position. */
 export interface SettingsFault {
   readonly kind:
     | 'malformedYaml'
@@ -21,15 +21,15 @@
   readonly detail: string;
 }
 
-/** Path of a field within the settings: names and positions in lists. */
+/** Path of a field in the settings: names and list positions. */
 export type FieldPath = readonly (string | number)[];
 
-/** A fault whose place in the file is still to be looked up. */
+/** A fault whose position in the file is not yet known. */
 export interface UnlocatedFault {
   readonly kind: SettingsFault['kind'];
   readonly path: FieldPath;
   readonly detail: string;
 }
 
-/** Reads a text file whole; the error is one short sentence. */
+/** Reads a whole text file; the error is a short phrase. */
 export type ReadText = (path: string) => Result<string, string>;
--- a/packages/daemon/src/settings/units.ts
+++ b/packages/daemon/src/settings/units.ts
@@ -15,12 +15,12 @@
   ['GiB', 1_024 ** 3],
 ]);
 
-/** Milliseconds of a duration such as `4s`; the error is a short sentence. */
+/** Milliseconds of a duration such as `4s`; the error says what is wrong. */
 export function parseDuration(text: string): Result<Milliseconds, string> {
   return parseQuantity(text, DURATION_UNITS, 'a duration such as 4s or 250ms');
 }
 
-/** Bytes of a size such as `16MiB`; the error is a short sentence. */
+/** Bytes of a size such as `16MiB`; the error says what is wrong. */
 export function parseSize(text: string): Result<Bytes, string> {
   return parseQuantity(text, SIZE_UNITS, 'a size such as 64KiB or 16MiB');
 }
--- a/test/settings/bad_settings.test.ts
+++ b/test/settings/bad_settings.test.ts
@@ -8,10 +8,10 @@
 
 type Fields = {[name: string]: unknown};
 
-/** One thing that an operator gets wrong, and the fault it must give. */
+/** A mistake of an operator and the fault that it must cause. */
 interface Mistake {
   readonly path: readonly string[];
-  /** `undefined` takes the field away. */
+  /** `undefined` removes the field. */
   readonly value: unknown;
   readonly fault: string;
 }
@@ -89,7 +89,7 @@
   return stringify(settings);
 }
 
-/** Mistakes that do not touch the same field. */
+/** Mistakes in different fields that do not hide each other. */
 function anyMistakes(mistakes: readonly Mistake[]) {
   return fc
     .shuffledSubarray([...mistakes], {minLength: 1})
@@ -104,7 +104,10 @@
     .filter(chosen => !interferes(chosen));
 }
 
-/** A mistake may hide another: no address to clash with, no kind to go by. */
+/**
+ * Whether a mistake hides another: a clash of addresses needs both addresses,
+ * and the check of a service needs the kind of the target.
+ */
 function interferes(chosen: readonly Mistake[]): boolean {
   const has = (path: string) => chosen.some(one => one.path.join('.') === path);
   const clash = chosen.some(one => one.fault === 'clash listen.callers');
@@ -134,7 +137,7 @@
     },
   );
 
-  test('a wrong role hides no other fault', () => {
+  test('with a wrong role still give all other faults', () => {
     fc.assert(
       fc.property(anyMistakes(COMMON_MISTAKES), mistakes => {
         const wrongRole = mistake('role', 'engine', 'wrongValue');
@@ -152,7 +155,7 @@
     );
   });
 
-  test('of any text give faults with a place, and never throw', () => {
+  test('of any text give faults with a position and never throw', () => {
     const fragment = fc.oneof(
       fc.string({unit: 'binary'}),
       fc.constantFrom('\t', '\n', ': ', '- ', '? ', '[', '{', '&a ', '*a'),
@@ -171,7 +174,7 @@
     );
   });
 
-  test('of any shape give faults, and never throw', () => {
+  test('of any shape give faults and never throw', () => {
     const shape = fc.dictionary(
       fc.constantFrom(...Object.keys(parse(ENTRY_FILE) as Fields), '__proto__'),
       fc.jsonValue(),
--- a/test/settings/example_files.ts
+++ b/test/settings/example_files.ts
@@ -1,4 +1,4 @@
-/** A whole and correct settings file of an entry. */
+/** A complete and valid settings file of an entry. */
 export const ENTRY_FILE = `role: entry
 instance: bilbao-7
 zone: bilbao-hall
@@ -20,7 +20,7 @@
   address: '[fd00::9]:8125'
 `;
 
-/** A whole and correct settings file of an agent. */
+/** A complete and valid settings file of an agent. */
 export const AGENT_FILE = `role: agent
 instance: bilbao-8
 zone: bilbao-hall
--- a/test/settings/fleet_settings.test.ts
+++ b/test/settings/fleet_settings.test.ts
@@ -22,7 +22,7 @@
   repeats: {share: 0.2, slack: 104, window: 10e3}
 `;
 
-test('reads an entry’s settings and ignores fields that it does not know', () => {
+test('reads the settings of an entry and ignores unknown fields', () => {
   const loaded = loadFleetSettings(`${entry}later: {field: 1}\n`);
   expect(loaded.val).toMatchObject({
     role: 'entry',
@@ -31,7 +31,7 @@
   });
 });
 
-test('names every field that is wrong', () => {
+test('reports every invalid field', () => {
   const text = entry
     .replace('grace: 8e3', 'grace: soon')
     .replace('callerAddress: "10.1.0.40:8005"', 'callerAddress: "nowhere"');
@@ -43,13 +43,13 @@
   ]);
 });
 
-test('says what is wrong with a file that is no YAML', () => {
+test('reports a file that is not valid YAML', () => {
   const loaded = loadFleetSettings('role: [entry');
   expect(loaded.ok).toBe(false);
   expect(loaded.val).toMatchObject([{field: ''}]);
 });
 
-test('the deployed templates give every field that is asked for', () => {
+test('the deployed templates set every required field', () => {
   for (const role of ['entry', 'agent']) {
     const template = readFileSync(`deploy/${role}.yaml.template`, 'utf8');
     const filled = template
@@ -66,7 +66,7 @@
   }
 });
 
-test('a deployment that does not ask for it admits all requests', () => {
+test('admission is limited only if the deployment enables it', () => {
   const admissionOf = (line: string) => {
     const loaded = loadFleetSettings(`${entry}${line}\n`);
     return loaded.ok && loaded.val.role === 'entry'
--- a/test/settings/load_settings.test.ts
+++ b/test/settings/load_settings.test.ts
@@ -16,7 +16,7 @@
   return loaded.ok ? [] : loaded.val;
 }
 
-/** Faults as `line:column kind path`, which is what an operator goes by. */
+/** Faults as `line:column kind path`. */
 function locationsOf(text: string): readonly string[] {
   return faultsOf(text).map(
     fault => `${fault.line}:${fault.column} ${fault.kind} ${fault.path}`,
@@ -114,7 +114,7 @@
     ['an unknown tag', 'role: !mine entry', '1:7'],
     ['a structured field name', '? [role]\n: entry', '1:3'],
     ['deeper than any setting', '['.repeat(40) + ']'.repeat(40), '1:1'],
-    ['nesting beyond reason', '['.repeat(100_000), '1:1'],
+    ['nesting that would overflow the stack', '['.repeat(100_000), '1:1'],
   ])('refuse malformed YAML: %s', (_name, text, place) => {
     const [fault] = faultsOf(text);
     expect(fault?.kind).toBe('malformedYaml');
--- a/test/settings/reference.test.ts
+++ b/test/settings/reference.test.ts
@@ -6,7 +6,7 @@
 
 const PAGE = readFileSync('docs/settings.md', 'utf8');
 
-test('the settings page lists every field as the schema has it', () => {
+test('the settings page lists every field as the schema defines it', () => {
   const expected = describeFields().map(field => [
     field.path,
     field.roles.join(', '),
@@ -18,7 +18,7 @@
   expect(tableRows(PAGE, 'Field')).toEqual(expected);
 });
 
-test('the examples on the settings page are good settings', () => {
+test('the examples on the settings page are valid settings', () => {
   const examples = [...PAGE.matchAll(/```yaml\n(.*?)```/gs)];
   const loaded = examples.map(([, text = '']) =>
     loadSettings(text, 'example.yaml', () => Ok('a-site-key-of-good-length')),
--- a/test/settings/settings_check.test.ts
+++ b/test/settings/settings_check.test.ts
@@ -23,28 +23,28 @@
 
 function check(read: () => string): readonly string[] {
   const lines: string[] = [];
-  const record = (sentence: string, fields?: unknown) =>
-    void lines.push(`${sentence} ${JSON.stringify(fields ?? {})}`);
+  const record = (message: string, fields?: unknown) =>
+    void lines.push(`${message} ${JSON.stringify(fields ?? {})}`);
   const log: Log = {debug: record, info: record, warn: record, error: record};
   recheckSettings(read, loadFleetSettings(TEXT).unwrap(), log);
   return lines;
 }
 
-test('says whether anything changed', () => {
+test('reports whether anything changed', () => {
   expect(check(() => TEXT)[0]).toContain('nothing changed');
   const changed = TEXT.replace('grace: 8e3', 'grace: 9e3');
   expect(check(() => changed)[0]).toContain('at the next start');
 });
 
-test('refuses what is malformed and names the field', () => {
+test('refuses malformed settings and names the field', () => {
   const [line] = check(() => TEXT.replace('grace: 8e3', 'grace: soon'));
   expect(line).toContain('refused');
   expect(line).toContain('bounds.grace');
 });
 
-// The file is being replaced when the signal comes. The process goes on with
-// what it has; it used to end with an error.
-test('keeps the old settings while the file can not be read', () => {
+// If the file is being replaced when the signal arrives, the process continues
+// with its settings instead of ending with an error.
+test('keeps the old settings while the file cannot be read', () => {
   const [line] = check(() => {
     throw new Error('ENOENT: no such file');
   });
