--- a/packages/daemon/src/agent/serve_handler.ts
+++ b/packages/daemon/src/agent/serve_handler.ts
@@ -305,10 +305,10 @@
 
 function answerOf(
   attempt: AttemptId,
-  whole: WholeRun,
+  run: WholeRun,
 ): CompleteAnswer | undefined {
-  if (whole.frames === undefined) return undefined;
-  const {versionDigest, frames, digest} = whole;
+  if (run.frames === undefined) return undefined;
+  const {versionDigest, frames, digest} = run;
   return {attempt, versionDigest, frames, digest};
 }
 
--- a/packages/daemon/src/agent/weights_manager.ts
+++ b/packages/daemon/src/agent/weights_manager.ts
@@ -81,12 +81,12 @@
   };
 
   const verified = (): ReadonlyMap<VersionDigest, Manifest> => {
-    const whole = new Map<VersionDigest, Manifest>();
+    const result = new Map<VersionDigest, Manifest>();
     for (const {versionDigest, ready} of swarm.progress()) {
       const manifest = manifests.get(versionDigest);
-      if (ready && manifest !== undefined) whole.set(versionDigest, manifest);
+      if (ready && manifest !== undefined) result.set(versionDigest, manifest);
     }
-    return whole;
+    return result;
   };
 
   return {
--- a/packages/daemon/src/site/known_processes.ts
+++ b/packages/daemon/src/site/known_processes.ts
@@ -15,9 +15,9 @@
 }
 
 /**
- * All processes that this one has met and that have not ended since. Unlike the
- * membership, it removes no process for silence: a frozen process still acts
- * once it resumes.
+ * All processes that this one has learned of and that are not known to have
+ * ended. Unlike the membership, it removes no process for silence: a frozen
+ * process still acts once it resumes.
  */
 export interface KnownProcesses {
   readonly hello: (
