--- a/packages/hibiscusbeam/src/commands/context.ts
+++ b/packages/hibiscusbeam/src/commands/context.ts
@@ -7,7 +7,7 @@
 import type {ProgramIo} from '../io';
 import type {SignalSource} from '../process/supervise';
 
-/** What the commands work with; tests put fakes in its place. */
+/** Dependencies of the commands; tests replace them by fakes. */
 export interface ProgramContext {
   readonly io: ProgramIo;
   readonly signals: SignalSource;
@@ -16,5 +16,5 @@
   readonly wait: (milliseconds: number) => Promise<void>;
 }
 
-/** Takes the exit code of the command that ran. */
+/** Receives the exit code of the command. */
 export type FinishCommand = (code: ExitCode) => void;
--- a/packages/hibiscusbeam/src/commands/dump.ts
+++ b/packages/hibiscusbeam/src/commands/dump.ts
@@ -12,7 +12,7 @@
   readonly json: boolean;
 }
 
-/** Adds `dump`. */
+/** Adds the `dump` command. */
 export function addDumpCommand(
   program: Command,
   {io}: ProgramContext,
--- a/packages/hibiscusbeam/src/commands/experiment.ts
+++ b/packages/hibiscusbeam/src/commands/experiment.ts
@@ -28,7 +28,7 @@
   'between zones',
 ];
 
-/** Adds `experiment`. */
+/** Adds the `experiment` command. */
 export function addExperimentCommand(
   program: Command,
   {io}: ProgramContext,
--- a/packages/hibiscusbeam/src/commands/explain.ts
+++ b/packages/hibiscusbeam/src/commands/explain.ts
@@ -9,7 +9,7 @@
 import type {FinishCommand, ProgramContext} from './context';
 import {formatExample} from './intent';
 
-/** Adds `explain` and `failures`. */
+/** Adds the `explain` and `failures` commands. */
 export function addExplainCommands(
   program: Command,
   {io}: ProgramContext,
--- a/packages/hibiscusbeam/src/commands/intent.ts
+++ b/packages/hibiscusbeam/src/commands/intent.ts
@@ -12,7 +12,7 @@
 
 const ENTRY_EXAMPLE = '--entry http://10.0.1.7:8400 --key-file operator.key';
 
-/** Adds `intent plan`, `confirm`, `show`, `list` and `abandon`. */
+/** Adds the commands `intent plan`, `confirm`, `show`, `list` and `abandon`. */
 export function addIntentCommands(
   program: Command,
   context: ProgramContext,
@@ -28,7 +28,7 @@
   addAbandon(intent, context, finish);
 }
 
-/** A help text with one example. */
+/** Formats an example for the help text of a command. */
 export function formatExample(command: string): string {
   return `\nExample:\n  $ hibiscusbeam ${command}`;
 }
--- a/packages/hibiscusbeam/src/commands/keys_hash.ts
+++ b/packages/hibiscusbeam/src/commands/keys_hash.ts
@@ -4,10 +4,10 @@
 import type {FinishCommand, ProgramContext} from './context';
 import {formatExample} from './intent';
 
-// Shorter keys can be found by trying, since the hash has no salt.
+// Shorter keys can be found by brute force, since the hash has no salt.
 const MIN_KEY_LENGTH = 16;
 
-/** Adds `keys hash`. */
+/** Adds the `keys hash` command. */
 export function addKeysCommands(
   program: Command,
   {io}: ProgramContext,
--- a/packages/hibiscusbeam/src/commands/options.ts
+++ b/packages/hibiscusbeam/src/commands/options.ts
@@ -10,7 +10,7 @@
   type OperatorClient,
 } from '../operator/operator_client';
 
-/** Options of every command that asks an entry. */
+/** Options of every command that sends requests to an entry. */
 export interface EntryOptions {
   readonly entry: string;
   readonly keyFile: string;
@@ -37,13 +37,13 @@
     .option('--json', "print the entry's reply as JSON, for scripts", false);
 }
 
-/** A client for the entry that the options name. */
+/** Creates a client for the entry that the options name. */
 export function openClient(options: EntryOptions): OperatorClient {
   const key = readKey(options.keyFile, '--key-file');
   return createOperatorClient({entry: options.entry, key});
 }
 
-/** The key in `file`; wrong usage if there is none. */
+/** Reads the key in `file`; throws InvalidArgumentError if there is none. */
 export function readKey(file: string, option: string): string {
   const text = readOptionFile(file, option).trim();
   if (/^[\x21-\x7e]+$/.test(text)) return text;
@@ -52,7 +52,7 @@
   );
 }
 
-/** The text of `file`; wrong usage if it cannot be read. */
+/** Reads a text file; throws InvalidArgumentError if it cannot be read. */
 export function readOptionFile(file: string, option: string): string {
   const text = readTextFile(file);
   if (text.ok) return text.val;
@@ -61,20 +61,20 @@
   );
 }
 
-/** Checks a plan's id, which becomes a part of an address. */
+/** Validates a plan id, which becomes part of a URL. */
 export function toPlanId(text: string): string {
   if (PLAN_ID_PATTERN.test(text)) return text;
   throw new InvalidArgumentError('must be an id as `intent list` prints it');
 }
 
-/** Checks `IP:port`. */
+/** Validates an address of the form `IP:port`. */
 export function toAddress(text: string): string {
   const address = parseAddress(text);
   if (address.ok) return text;
   throw new InvalidArgumentError(address.val);
 }
 
-/** Milliseconds of a duration with its unit. */
+/** Parses a duration with its unit; returns milliseconds. */
 export function toInterval(text: string): number {
   const duration = parseDuration(text);
   if (duration.err) throw new InvalidArgumentError(duration.val);
--- a/packages/hibiscusbeam/src/commands/report.ts
+++ b/packages/hibiscusbeam/src/commands/report.ts
@@ -3,7 +3,7 @@
 import type {OperatorReply, OperatorResult} from '../operator/types';
 import {describeError, exitCodeOf} from '../output/error_text';
 
-/** Prints a reply as JSON or for people, or the error; gives the exit code. */
+/** Prints a reply as JSON or text, or its error; returns the exit code. */
 export async function reportReply<Value>(
   io: ProgramIo,
   asJson: boolean,
--- a/packages/hibiscusbeam/src/commands/run_process.ts
+++ b/packages/hibiscusbeam/src/commands/run_process.ts
@@ -15,7 +15,7 @@
   readonly settings: string;
 }
 
-/** Adds `entry` and `agent`. */
+/** Adds the `entry` and `agent` commands. */
 export function addProcessCommands(
   program: Command,
   context: ProgramContext,
@@ -88,7 +88,7 @@
   }
 }
 
-/** One JSON line that tells whoever started the process that it serves. */
+/** One JSON line that reports to the parent process that this one is ready. */
 function describeReady(settings: ProcessSettings): string {
   const {role, instance, siteAddress} = settings;
   const callerAddress =
--- a/packages/hibiscusbeam/src/commands/settings_check.ts
+++ b/packages/hibiscusbeam/src/commands/settings_check.ts
@@ -8,7 +8,7 @@
   readonly json: boolean;
 }
 
-/** Adds `settings check`. */
+/** Adds the `settings check` command. */
 export function addSettingsCommands(
   program: Command,
   {io}: ProgramContext,
--- a/packages/hibiscusbeam/src/commands/status.ts
+++ b/packages/hibiscusbeam/src/commands/status.ts
@@ -18,10 +18,10 @@
 }
 
 const DEFAULT_INTERVAL_MILLISECONDS = 1_000;
-// Moves to the top left and clears what is below.
+// Moves the cursor to the top left and clears the screen below it.
 const CLEAR_SCREEN = '\u001b[H\u001b[J';
 
-/** Adds `status`. */
+/** Adds the `status` command. */
 export function addStatusCommand(
   program: Command,
   context: ProgramContext,
@@ -64,7 +64,7 @@
     const result = await reply;
     if (result.ok) complete = isComplete(result.val.value);
     if (!options.watch || complete) return code;
-    // An entry that is replaced while an operator watches is no reason to end.
+    // Keeps polling while an entry is being replaced.
     if (code !== EXIT_CODES.ok && code !== EXIT_CODES.unreachable) return code;
     await wait(options.interval);
   }
--- a/packages/hibiscusbeam/src/exit_codes.ts
+++ b/packages/hibiscusbeam/src/exit_codes.ts
@@ -1,4 +1,4 @@
-/** How the program ends; docs/command_line.md lists the same. */
+/** Exit codes of the program; docs/command_line.md lists the same. */
 export const EXIT_CODES = {
   ok: 0,
   refused: 1,
--- a/packages/hibiscusbeam/src/explain/cause_text.ts
+++ b/packages/hibiscusbeam/src/explain/cause_text.ts
@@ -1,6 +1,6 @@
 import type {AnsweredHere, ForwardedEnd, RequestEnd} from './request_end';
 
-/** The cause of a request's end, in a sentence. */
+/** Describes in a sentence why a request ended. */
 export function causeText(end: RequestEnd): string {
   switch (end.kind) {
     case 'answeredHere':
@@ -10,7 +10,7 @@
   }
 }
 
-/** A short name of the cause, to count requests by. */
+/** Short name of the cause, by which requests are counted. */
 export function causeName(end: RequestEnd): string {
   if (end.kind === 'answeredHere') return `${end.status} ${end.reason}`;
   const detail = end.reason ?? end.cause;
--- a/packages/hibiscusbeam/src/explain/log_lines.ts
+++ b/packages/hibiscusbeam/src/explain/log_lines.ts
@@ -2,9 +2,11 @@
 
 /** One line of a process's log. */
 export interface LogLine {
-  /** The file it stands in, and the process if its lines begin with a name. */
+  /**
+   * Name of the file, then of the process if the line has a prefix with one.
+   */
   readonly source: string;
-  /** The process's own clock, ISO 8601. */
+  /** Time by the process's own clock, in ISO 8601. */
   readonly time: string;
   readonly message: string;
   readonly fields: Readonly<Record<string, unknown>>;
@@ -17,9 +19,9 @@
 });
 
 /**
- * Reads log lines in the order in which they stand. Words before a line's brace
- * name the process in logs that were collected into one file; numbers among
- * them are times. What is no line of ours is left out.
+ * Parses log lines in file order. In logs that were collected into one file,
+ * each line has a prefix before its JSON: words name the process, numbers are
+ * times and are ignored. Lines of other formats are skipped.
  */
 export function* readLogLines(
   text: string,
@@ -47,7 +49,7 @@
   try {
     return JSON.parse(text) as unknown;
   } catch {
-    // A line that was cut, or text that only looks like one.
+    // A truncated line, or other text with a brace.
     return undefined;
   }
 }
--- a/packages/hibiscusbeam/src/explain/request_end.ts
+++ b/packages/hibiscusbeam/src/explain/request_end.ts
@@ -1,16 +1,16 @@
 import * as z from 'zod';
 import type {LogLine} from './log_lines';
 
-/** How an entry ended a request that it had forwarded or tried to. */
+/** How a request ended that the entry forwarded or tried to forward. */
 export interface ForwardedEnd {
   readonly kind: 'forwarded';
   readonly result: string;
   readonly reason: string | undefined;
   readonly cause: string | undefined;
-  /** Milliseconds from its arrival to its end. */
+  /** Milliseconds from the request's arrival to its end. */
   readonly took: number;
   readonly lastEvent: string | undefined;
-  /** One text an attempt, with its start, target, outcome and end. */
+  /** One text per attempt with its start, target, outcome and end. */
   readonly attempts: readonly string[];
 }
 
@@ -23,7 +23,7 @@
   readonly confirmationAge: number | undefined;
 }
 
-/** The end of a request, as its entry logged it. */
+/** The end of a request as logged by its entry. */
 export type RequestEnd = (ForwardedEnd | AnsweredHere) & {
   readonly request: string | undefined;
   readonly line: LogLine;
@@ -46,7 +46,7 @@
   confirmationAge: z.number().optional(),
 });
 
-/** The request's end that a line tells of; undefined for other lines. */
+/** Parses a log line about a request's end; undefined for other lines. */
 export function requestEndOf(line: LogLine): RequestEnd | undefined {
   switch (line.message) {
     case '[requests] request': {
@@ -68,7 +68,7 @@
   }
 }
 
-/** Whether the caller got less than a whole answer of a target. */
+/** Whether the caller received no complete answer from a target. */
 export function isFailure(end: RequestEnd): boolean {
   if (end.kind === 'answeredHere') return true;
   return end.result !== 'passOn' && end.result !== 'streamed';
--- a/packages/hibiscusbeam/src/explain/request_trace.ts
+++ b/packages/hibiscusbeam/src/explain/request_trace.ts
@@ -2,7 +2,7 @@
 import type {LogLine} from './log_lines';
 import {isFailure, requestEndOf, type RequestEnd} from './request_end';
 
-/** Lines that tell what an entry believed, apart from requests. */
+/** Messages that show an entry's configuration and its list of targets. */
 const STATE_MESSAGES = [
   '[configuration] configuration in force',
   '[configuration] operator feed lost',
@@ -12,14 +12,15 @@
   '[routing] list of targets regained',
 ];
 
-/** Instance and address of an attempt's target, as the entry logs them. */
+/** Matches the instance and address of the target in a logged attempt. */
 const ATTEMPT_TARGET_PATTERN = /ms (\S+) (\S+:\d+)/;
 
 /**
- * The story of one request, from the log of the entry that handled it: what the
- * entry believed, what it did, and how its targets stood.
+ * Traces one request in the log of the entry that handled it: the entry's
+ * configuration and target list, its attempts, and the status of their targets.
  *
- * Clocks of processes differ, so nothing is put in order by time across files.
+ * Lines of several files are not ordered by time, since the clocks of processes
+ * differ.
  */
 export function* traceRequest(
   lines: readonly LogLine[],
@@ -54,7 +55,10 @@
   yield `  ${time} ended: ${causeName(end)}`;
 }
 
-/** What the list last said of each target before the end, and next after. */
+/**
+ * Last logged status of each target before the request's end, and the first
+ * one after it.
+ */
 function* traceTargets(
   entryLines: readonly LogLine[],
   end: RequestEnd,
@@ -78,7 +82,7 @@
   return `${time} ${message} ${JSON.stringify(fields)}`;
 }
 
-/** Failed requests by cause, the most frequent first. */
+/** Counts failed requests by cause, most frequent first. */
 export function countFailures(
   lines: readonly LogLine[],
 ): readonly (readonly [cause: string, count: number])[] {
--- a/packages/hibiscusbeam/src/io.ts
+++ b/packages/hibiscusbeam/src/io.ts
@@ -1,9 +1,9 @@
-/** Where the program writes to and reads from. */
+/** Input and output of the program. */
 export interface ProgramIo {
   readonly out: (text: string) => void;
   readonly error: (text: string) => void;
-  /** Whether `out` is a terminal, which gets progress bars. */
+  /** Whether `out` is a terminal; progress is shown only there. */
   readonly isTerminal: boolean;
-  /** Standard input, read whole. */
+  /** Reads standard input to its end. */
   readonly readInput: () => Promise<string>;
 }
--- a/packages/hibiscusbeam/src/main.ts
+++ b/packages/hibiscusbeam/src/main.ts
@@ -3,7 +3,7 @@
 import {EXIT_CODES} from './exit_codes';
 import {runProgram} from './program';
 
-// Settings may not have been read yet, so this log has the default form.
+// Has the default log settings, since the settings may not have been read yet.
 const log = createLog({
   settings: {level: 'info', format: 'json'},
   part: 'process',
@@ -41,8 +41,8 @@
     new Promise(resolve => setTimeout(resolve, milliseconds)),
 };
 
-// A reader that goes away (a closed terminal, `| head`) makes the next write
-// fail; a process of the site must outlive whoever reads its log.
+// Writes fail after the reader is gone (a closed terminal, `| head`). An entry
+// or agent must keep running without a reader of its log.
 process.stderr.on('error', () => undefined);
 process.stdout.on('error', () => undefined);
 process.on('uncaughtException', exitOnError);
@@ -50,6 +50,6 @@
 
 void runProgram(context, process.argv.slice(2)).then(code => {
   process.exitCode = code;
-  // Standard output may be a pipe; exiting at once would cut what is buffered.
+  // Standard output may be a pipe; exiting at once would drop buffered output.
   process.stdout.write('', () => process.exit(code));
 });
--- a/packages/hibiscusbeam/src/operator/operator_client.ts
+++ b/packages/hibiscusbeam/src/operator/operator_client.ts
@@ -15,10 +15,10 @@
 } from './replies';
 import type {OperatorError, OperatorResult} from './types';
 
-// Planning asks the origin for manifests, so it may take a while.
+// Planning fetches manifests from the origin, so its reply may be slow.
 const REPLY_TIMEOUT_MILLISECONDS = 30_000;
 
-/** Errors of a connection that was never made: nothing was sent. */
+/** Error codes of connections that were never made; nothing was sent. */
 const CONNECT_ERROR_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -26,13 +26,13 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** Refusals with a status from 500 by which the entry says it did nothing. */
+/** Refusals with status 500 or above after which nothing has changed. */
 const NO_EFFECT_REFUSALS: ReadonlySet<string> = new Set([
   'platformUnavailable',
   'starting',
 ]);
 
-/** What operators ask of an entry. */
+/** Operator requests to an entry. */
 export interface OperatorClient {
   readonly plan: (intent: string) => OperatorResult<PlanReply>;
   readonly confirm: (
@@ -46,7 +46,7 @@
   readonly status: () => OperatorResult<StatusReply>;
 }
 
-/** Which entry to ask, and with which key. */
+/** Base URL of the entry and the operator's key. */
 export interface OperatorClientOptions {
   readonly entry: string;
   readonly key: string;
@@ -61,7 +61,7 @@
   readonly changes: boolean;
 }
 
-/** Opens no connection until the first call. */
+/** Creates a client, which connects on its first call. */
 export function createOperatorClient(
   options: OperatorClientOptions,
 ): OperatorClient {
@@ -160,8 +160,8 @@
 }
 
 /**
- * A lost reply to a confirmation does not mean that nothing happened. Telling
- * the operator "unreachable" would have them plan the same change again.
+ * A change whose reply is lost may have taken effect. If it were reported as
+ * unreachable, the operator would plan the same change again.
  */
 function lostReplyError<Schema extends z.ZodType>(
   call: Call<Schema>,
--- a/packages/hibiscusbeam/src/operator/replies.ts
+++ b/packages/hibiscusbeam/src/operator/replies.ts
@@ -47,18 +47,18 @@
 export const planReplySchema = z.object({
   plan: planSchema,
   state: planStateSchema,
-  /** Whether every process is at the plan's generation; once confirmed. */
+  /** Whether all processes are at the plan's generation; set once confirmed. */
   inForce: z.boolean().optional(),
   lagging: z
     .array(
       z.object({
         instance: z.string(),
-        /** Absent if the process did not say. */
+        /** Absent if the process did not report it. */
         generation: z.number().optional(),
       }),
     )
     .optional(),
-  /** Present once a plan that moves something is confirmed. */
+  /** Set once a plan with a move is confirmed. */
   move: moveSchema.optional(),
 });
 
@@ -75,7 +75,7 @@
 export const confirmReplySchema = z.object({
   planId: z.string(),
   generation: z.number(),
-  /** True if the plan was confirmed before; nothing changed this time. */
+  /** True if the plan was already confirmed and nothing changed this time. */
   wasConfirmed: z.boolean(),
 });
 
@@ -95,7 +95,7 @@
   expectedEnd: z.number().nullable(),
 });
 
-/** Reply to asking for the site's status. */
+/** Reply to a status request. */
 export const statusReplySchema = z.object({
   generation: z.number(),
   versions: z.array(versionStatusSchema),
@@ -119,20 +119,20 @@
   others: z.array(conflictingChangeSchema).optional(),
 });
 
-/** What a plan would do, and what became of it. */
+/** A plan with its changes and its state. */
 export type PlanReply = z.output<typeof planReplySchema>;
 
-/** How far a move has come. */
+/** State of a move and the processes it waits for. */
 export type MoveReply = z.output<typeof moveSchema>;
 
 /** Plans, newest first. */
 export type PlanListReply = z.output<typeof planListReplySchema>;
 
-/** What the site is doing. */
+/** The site's generation and the progress of its versions. */
 export type StatusReply = z.output<typeof statusReplySchema>;
 
-/** One version on its way to its instances. */
+/** Distribution progress of one version. */
 export type VersionStatus = z.output<typeof versionStatusSchema>;
 
-/** Why the system refused. */
+/** Body of a refusal. */
 export type Refusal = z.output<typeof refusalSchema>;
--- a/packages/hibiscusbeam/src/output/error_text.ts
+++ b/packages/hibiscusbeam/src/output/error_text.ts
@@ -3,7 +3,7 @@
 import type {OperatorError} from '../operator/types';
 import {sanitizeText} from './text';
 
-/** Lines for standard error, each of which names what to do or what is wrong. */
+/** Lines for standard error that name the fault and what to do about it. */
 export function describeError(error: OperatorError): readonly string[] {
   switch (error.kind) {
     case 'refused':
@@ -21,7 +21,7 @@
   }
 }
 
-/** The exit code that goes with an error. */
+/** Exit code for an error. */
 export function exitCodeOf(error: OperatorError): ExitCode {
   switch (error.kind) {
     case 'refused':
--- a/packages/hibiscusbeam/src/output/plan_text.ts
+++ b/packages/hibiscusbeam/src/output/plan_text.ts
@@ -6,7 +6,7 @@
   readonly name: string;
 }
 
-/** A plan for people: what changes, what it costs, who owns what. */
+/** Formats a plan as text: its changes, costs, owners and warnings. */
 export function formatPlan(reply: PlanReply): string {
   const {plan, state} = reply;
   const sections = [
@@ -67,7 +67,7 @@
   return section('Not yet in force at', ['PROCESS', 'GENERATION'], rows);
 }
 
-/** Why a move waits for a process, in an operator's words. */
+/** Texts for the reasons why a move waits for a process. */
 const WAIT_REASONS: Readonly<Record<string, string>> = {
   behind: 'has not adopted the closing generation',
   busy: 'has requests or orders in progress',
@@ -100,7 +100,7 @@
   }
 }
 
-/** Plans in a table. */
+/** Formats plans as a table. */
 export function formatPlanList({plans}: PlanListReply): string {
   if (plans.length === 0) return 'No plans.';
   return formatTable(
--- a/packages/hibiscusbeam/src/output/status_text.ts
+++ b/packages/hibiscusbeam/src/output/status_text.ts
@@ -4,7 +4,9 @@
 const BAR_WIDTH = 20;
 const SHOWN_DIGEST_LENGTH = 19;
 
-/** The site's status for people; with bars on a terminal. */
+/**
+ * Formats the site's status as a table, with progress bars if `bars` is set.
+ */
 export function formatStatus(status: StatusReply, bars: boolean): string {
   const header = `Generation ${status.generation}`;
   if (status.versions.length === 0) return `${header}\nNo versions.`;
--- a/packages/hibiscusbeam/src/output/text.ts
+++ b/packages/hibiscusbeam/src/output/text.ts
@@ -1,11 +1,13 @@
 const BINARY_UNITS = ['B', 'KiB', 'MiB', 'GiB', 'TiB'];
 
-/** Text without control characters, which could act on the terminal. */
+/** Replaces control characters, which a terminal would interpret, by spaces. */
 export function sanitizeText(text: string): string {
   return text.replace(/[\u0000-\u001f\u007f-\u009f]/g, ' ');
 }
 
-/** Rows under a heading, in aligned columns; ends without a line end. */
+/**
+ * Formats rows under headings in aligned columns, without a final line break.
+ */
 export function formatTable(
   headings: readonly string[],
   rows: readonly (readonly string[])[],
@@ -24,7 +26,7 @@
     .join('\n');
 }
 
-/** A size for people, such as `1.5 GiB`. */
+/** Formats a number of bytes, such as `1.5 GiB`. */
 export function formatBytes(bytes: number): string {
   let amount = bytes;
   let unit = 0;
@@ -36,7 +38,7 @@
   return `${amount.toFixed(digits)} ${BINARY_UNITS[unit]}`;
 }
 
-/** A duration for people, such as `2 m 5 s`. */
+/** Formats a duration, rounded up to seconds, such as `2 m 5 s`. */
 export function formatSeconds(seconds: number): string {
   const wholeSeconds = Math.ceil(seconds);
   if (wholeSeconds < 60) return `${wholeSeconds} s`;
@@ -45,7 +47,7 @@
   return `${Math.floor(minutes / 60)} h ${minutes % 60} m`;
 }
 
-/** A bar such as `[####......]` for a share from 0 to 1. */
+/** Formats a progress bar such as `[####......]` for a share from 0 to 1. */
 export function formatBar(share: number, width: number): string {
   const bounded = Math.min(1, Math.max(0, share));
   const filledWidth = Math.floor(bounded * width);
--- a/packages/hibiscusbeam/src/process/supervise.ts
+++ b/packages/hibiscusbeam/src/process/supervise.ts
@@ -1,22 +1,23 @@
 import type {Log, RunningProcess} from '@hibiscusbeam/daemon';
 import {EXIT_CODES, type ExitCode} from '../exit_codes';
 
-/** Tells of SIGTERM and SIGINT; returns a function that stops telling. */
+/**
+ * Calls `listener` on SIGTERM and SIGINT; returns a function to unsubscribe.
+ */
 export type SignalSource = (listener: (signal: string) => void) => () => void;
 
-/** What {@link superviseProcess} works with. */
+/** Options of {@link superviseProcess}. */
 export interface SuperviseOptions {
   readonly start: () => Promise<RunningProcess>;
   readonly signals: SignalSource;
   readonly log: Log;
-  /** Called once the process serves. */
+  /** Called once the process is ready. */
   readonly onReady: () => void;
 }
 
 /**
- * Runs a process of the site until it stops. The first signal stops it
- * gracefully, also if it comes while the process still starts; the second one
- * ends at once.
+ * Runs an entry or agent until it stops and returns the exit code. The first
+ * signal stops it gracefully, even during startup; the second exits at once.
  */
 export async function superviseProcess(
   options: SuperviseOptions,
--- a/packages/hibiscusbeam/src/program.ts
+++ b/packages/hibiscusbeam/src/program.ts
@@ -11,7 +11,7 @@
 import {EXIT_CODE_MEANINGS, EXIT_CODES, type ExitCode} from './exit_codes';
 import {VERSION} from './version';
 
-/** The program with all of its commands; `finish` takes the exit code. */
+/** Creates the program with all commands; `finish` receives the exit code. */
 export function createProgram(
   context: ProgramContext,
   finish: (code: ExitCode) => void,
@@ -39,12 +39,12 @@
   return program;
 }
 
-/** The program itself and every command below it. */
+/** Returns a command and all of its subcommands. */
 export function commandsOf(command: Command): readonly Command[] {
   return [command, ...command.commands.flatMap(commandsOf)];
 }
 
-/** Runs the program with the arguments after its name. */
+/** Runs the command that the arguments name; returns its exit code. */
 export async function runProgram(
   context: ProgramContext,
   programArguments: readonly string[],
@@ -56,7 +56,7 @@
     return code;
   } catch (error) {
     if (!(error instanceof CommanderError)) throw error;
-    // Commander has printed its own errors; those of our actions it has not.
+    // Commander prints its own errors but not those that actions throw.
     if (error instanceof InvalidArgumentError) {
       context.io.error(`error: ${error.message}\n`);
     }
