--- a/packages/laboratory/src/chunk_transfers.ts
+++ b/packages/laboratory/src/chunk_transfers.ts
@@ -12,17 +12,17 @@
 import type {SwarmSite} from './swarm_site';
 import type {VirtualClock} from './virtual_clock';
 
-/** Time in which the origin refuses while it is away. */
+/** Time in which the origin refuses a request while it is unavailable. */
 const REFUSAL_DELAY: Milliseconds = 1;
 
-/** A chunk that an agent asks for. */
+/** A request of an agent for a chunk. */
 export interface ChunkRequest {
   readonly requester: SimulatedAgent;
   readonly transfer: TransferId;
   readonly digest: Digest;
 }
 
-/** Moves chunks over the links of a site. */
+/** Transfers chunks over the links of a site. */
 export interface ChunkTransfers {
   readonly requestFromOrigin: (request: ChunkRequest) => void;
   readonly requestFromNeighbour: (
@@ -33,11 +33,11 @@
   readonly refuseUpload: (upload: UploadId, failure: RequestFailure) => void;
 }
 
-/** What moving chunks needs. */
+/** Options of {@link createChunkTransfers}. */
 export interface ChunkTransfersOptions {
   readonly site: SwarmSite;
   readonly clock: VirtualClock;
-  /** Tells an agent's swarm node what happens to it. */
+  /** Passes an event to an agent's swarm node. */
   readonly dispatch: (agent: SimulatedAgent, event: SwarmEvent) => void;
 }
 
@@ -46,7 +46,7 @@
   readonly request: ChunkRequest;
 }
 
-/** Creates the transfers of a site, with none under way. */
+/** Creates the transfers of a site, with none in flight. */
 export function createChunkTransfers({
   site,
   clock,
@@ -104,7 +104,7 @@
     });
   }
 
-  /** Sends an upload's next piece once the sender's pace lets it. */
+  /** Sends an upload's next piece once the sender's pacer allows it. */
   function sendNextPiece(
     id: UploadId,
     {from, request}: Upload,
@@ -125,7 +125,7 @@
     });
   }
 
-  /** Carries a piece over the sender's link and to the other machine. */
+  /** Sends a piece over the sender's link to the requester's machine. */
   function transmitPiece(
     from: SimulatedAgent,
     request: ChunkRequest,
--- a/packages/laboratory/src/experiment/experiment_file.ts
+++ b/packages/laboratory/src/experiment/experiment_file.ts
@@ -10,15 +10,19 @@
 const caseSchema = z.discriminatedUnion('kind', [
   /** A version is named while all engines serve. */
   z.strictObject({kind: z.literal('named')}),
-  /** The same, and no engine may begin anything before it has it. */
+  /** As `named`, but no engine may start requests before it has the version. */
   z.strictObject({kind: z.literal('late')}),
-  /** Engines join that serve nothing, one each `gap` ms; the others hold it. */
+  /**
+   * Engines without the version join, one every `gap` ms; the others hold it.
+   */
   z.strictObject({
     kind: z.literal('joining'),
     engines: positiveInteger,
     gap: z.number().min(0),
   }),
-  /** One engine's machine freezes for good so many ms after the naming. */
+  /**
+   * One engine's machine freezes for good `at` ms after the version is named.
+   */
   z.strictObject({kind: z.literal('frozen'), at: z.number().min(0)}),
 ]);
 
@@ -44,10 +48,10 @@
   site: z.strictObject({
     zones: positiveInteger,
     engines: positiveInteger.max(2_000),
-    /** Each way, of one engine's machine. */
+    /** Rate of one engine's link in each direction. */
     engineLinkMegabits: positiveNumber,
     originMegabits: positiveNumber,
-    /** One way, in milliseconds. */
+    /** One-way latency in milliseconds. */
     latency: z.strictObject({
       withinZone: z.number().min(0),
       betweenZones: z.number().min(0),
@@ -58,12 +62,14 @@
     chunkBytes: positiveInteger,
   }),
   cases: z.array(caseSchema).min(1),
-  /** By name; each has the fields that differ from what agents serve with. */
+  /**
+   * By name; each has the fields that differ from the agents' default policy.
+   */
   policies: z.record(z.string(), policySchema),
   seeds: z.array(z.int()).min(1),
 });
 
-/** A site, a version, and what is to be compared. */
+/** A site, a version, and the cases and policies to compare. */
 export type Experiment = z.infer<typeof experimentSchema>;
 
 /** One case of an experiment. */
@@ -71,12 +77,12 @@
 
 /** A fault in an experiment's file. */
 export interface ExperimentFault {
-  /** Names of the fields that lead to it; empty for the file itself. */
+  /** Path of the field, separated by dots; empty for the file itself. */
   readonly field: string;
   readonly message: string;
 }
 
-/** Reads an experiment in YAML; all faults are listed. */
+/** Parses an experiment in YAML; the error lists all faults. */
 export function readExperiment(
   text: string,
 ): Result<Experiment, readonly ExperimentFault[]> {
--- a/packages/laboratory/src/experiment/experiment_site.ts
+++ b/packages/laboratory/src/experiment/experiment_site.ts
@@ -2,13 +2,13 @@
 import type {SiteAgent, SwarmSite} from '../swarm_site';
 import type {Experiment, ExperimentCase} from './experiment_file';
 
-/** Bytes a second of a link of one megabit a second. */
+/** Bytes in a megabit. */
 const BYTES_PER_MEGABIT = 1e6 / 8;
 
 /** Time that an engine needs to stage a chunk, in milliseconds. */
 const STORE_TIME_MS = 5;
 
-/** The site of one run of an experiment. */
+/** Builds the site of one run of an experiment. */
 export function buildSite(
   experiment: Experiment,
   experimentCase: ExperimentCase,
--- a/packages/laboratory/src/experiment/run_experiment.ts
+++ b/packages/laboratory/src/experiment/run_experiment.ts
@@ -3,25 +3,25 @@
 import type {Experiment, ExperimentCase} from './experiment_file';
 import {buildSite} from './experiment_site';
 
-/** What one policy gave in one case, over all seeds. */
+/** Result of one policy in one case, over all seeds. */
 export interface ExperimentResult {
   readonly policy: string;
   readonly case: ExperimentCase;
-  /** Until an engine had the version: all engines of all seeds. */
+  /** Mean time until an engine had the version, over all engines and seeds. */
   readonly mean: Milliseconds;
-  /** Until the last engine had it: mean over the seeds. */
+  /** Time until the last engine had it, mean over the seeds. */
   readonly last: Milliseconds;
-  /** Until the last engine had it in the worst seed. */
+  /** Time until the last engine had it, in the worst seed. */
   readonly worst: Milliseconds;
   /** Engines that never had it, over all seeds. */
   readonly without: number;
   /** Copies of the version that the origin sent, mean over the seeds. */
   readonly originCopies: number;
-  /** Copies that went between zones, mean over the seeds. */
+  /** Copies sent between zones, mean over the seeds. */
   readonly crossZoneCopies: number;
 }
 
-/** Plays an experiment, one result after the other. */
+/** Runs an experiment and yields its results one by one. */
 export function* runExperiment(
   experiment: Experiment,
 ): Generator<ExperimentResult> {
--- a/packages/laboratory/src/link.ts
+++ b/packages/laboratory/src/link.ts
@@ -1,12 +1,14 @@
 import type {Bytes, BytesPerSecond, MonotonicInstant} from '@hibiscusbeam/core';
 
-/** One direction of a link; it carries pieces one after the other. */
+/** One direction of a network link, which sends pieces one after the other. */
 export interface Link {
-  /** Takes a piece that comes at `now`; returns when its last byte is through. */
+  /**
+   * Sends a piece that arrives at `now`; returns when its last byte is sent.
+   */
   readonly transmit: (bytes: Bytes, now: MonotonicInstant) => MonotonicInstant;
 }
 
-/** Creates a link that is idle. */
+/** Creates an idle link. */
 export function createLink(rate: BytesPerSecond): Link {
   let idleAt: MonotonicInstant = 0;
   return {
--- a/packages/laboratory/src/simulated_agent.ts
+++ b/packages/laboratory/src/simulated_agent.ts
@@ -10,18 +10,18 @@
 import {createLink, type Link} from './link';
 import type {SiteAgent, SwarmSite} from './swarm_site';
 
-/** An agent of a site with its swarm node and its links. */
+/** A simulated agent with its swarm node and its links. */
 export interface SimulatedAgent {
   readonly description: SiteAgent;
   readonly node: SwarmNode;
   readonly uplink: Link;
   readonly downlink: Link;
-  /** What it takes of its links itself. */
+  /** Limit its transfers to its share of the links. */
   readonly uploadPacer: TransferPacer;
   readonly downloadPacer: TransferPacer;
   /** Downloads that were cancelled. */
   readonly cancelled: Set<TransferId>;
-  /** When it next looks for what is due; undefined if nothing is. */
+  /** Time of its next scheduled tick; undefined if there is none. */
   wakeUpAt: number | undefined;
   readyAt: number | undefined;
   originBytes: Bytes;
@@ -36,7 +36,7 @@
   return now >= Math.min(frozenFrom, leavesAt);
 }
 
-/** Creates an agent as it stands before it takes part. */
+/** Creates an agent that has not joined yet. */
 export function createSimulatedAgent(
   description: SiteAgent,
   site: SwarmSite,
--- a/packages/laboratory/src/swarm_run.ts
+++ b/packages/laboratory/src/swarm_run.ts
@@ -15,23 +15,23 @@
 import type {AgentResult, SwarmSite} from './swarm_site';
 import {createVirtualClock} from './virtual_clock';
 
-/** Longest played time. */
+/** Virtual time after which a run ends. */
 const MAX_RUN_TIME: Milliseconds = 60_000;
 
-/** Time until the others know of an agent that joins: a call and a change. */
+/** Time until the others know a joining agent: one call and one update. */
 const MEMBERSHIP_DELAY: Milliseconds = 150;
 
 /** Time without an answer after which a neighbour counts as lost. */
 const NEIGHBOUR_TIMEOUT: Milliseconds = 600;
 
-/** Spread of the moments at which agents hear of a version. */
+/** Spread of the times at which agents learn of a version. */
 const VERSION_DELAY_SPREAD: Milliseconds = 100;
 
 const VERSION = 'version';
 
 /**
- * Plays the moving of one version with the decisions that agents serve with,
- * over links that carry pieces one after the other.
+ * Simulates the distribution of one version. Agents decide as in production;
+ * their links send pieces one after the other.
  */
 export function runSwarm(site: SwarmSite): readonly AgentResult[] {
   const clock = createVirtualClock();
@@ -151,14 +151,10 @@
   }
 
   for (const [index, agent] of agents.entries()) {
-    const {
-      joinsAt,
-      versionKnownAt: wantsAt = joinsAt,
-      leavesAt,
-    } = agent.description;
+    const {joinsAt, versionKnownAt = joinsAt, leavesAt} = agent.description;
     const delay = hash32(`${site.seed}:${index}`) % VERSION_DELAY_SPREAD;
     clock.schedule(joinsAt, () => setMembers([...joined, agent]));
-    clock.schedule(wantsAt + MEMBERSHIP_DELAY + delay, () =>
+    clock.schedule(versionKnownAt + MEMBERSHIP_DELAY + delay, () =>
       requestVersion(agent),
     );
     if (leavesAt === undefined) continue;
--- a/packages/laboratory/src/virtual_clock.ts
+++ b/packages/laboratory/src/virtual_clock.ts
@@ -4,9 +4,11 @@
 /** A clock that jumps from one event to the next. */
 export interface VirtualClock {
   readonly now: () => MonotonicInstant;
-  /** Runs `act` after `delay`; events of one instant run in their order. */
+  /**
+   * Runs `callback` after `delay`; simultaneous events run in scheduling order.
+   */
   readonly schedule: (delay: Milliseconds, callback: () => void) => void;
-  /** Runs events until `isDone`; false if none is left, or at `longest`. */
+  /** Runs events until `isDone`; false if none is left or after `maxTime`. */
   readonly runUntil: (
     isDone: () => boolean,
     maxTime: MonotonicInstant,
@@ -19,7 +21,7 @@
   readonly callback: () => void;
 }
 
-/** Creates a clock that stands at 0. */
+/** Creates a clock at 0. */
 export function createVirtualClock(): VirtualClock {
   const events = new TinyQueue<ScheduledEvent>(
     [],
