--- a/packages/standins/src/engine/answer_text.ts
+++ b/packages/standins/src/engine/answer_text.ts
@@ -3,13 +3,15 @@
 
 const RADIX = 36;
 
-/** What an answer's text depends on. */
+/** Inputs that determine an answer's text. */
 export interface AnswerSource {
   readonly versionDigest: VersionDigest;
   readonly prompt: string;
 }
 
-/** The text of each token, by sequence from 0; the same on every engine. */
+/**
+ * Returns the text of each token, by sequence from 0; equal on every engine.
+ */
 export function tokenTexts(source: AnswerSource): (sequence: number) => string {
   const seed = hash32(`${source.versionDigest}\0${source.prompt}`);
   return sequence => ` ${hash32(String(sequence), seed).toString(RADIX)}`;
--- a/packages/standins/src/engine/batch.ts
+++ b/packages/standins/src/engine/batch.ts
@@ -4,36 +4,38 @@
 import type {PrefixCache} from './prefix_cache';
 import type {Run} from './run';
 
-/** What each further run in the batch adds to the time of a step. */
+/** Share of the step time that each further run in the batch adds. */
 const BATCH_SLOWDOWN = 0.05;
 
-/** Share of the first token's time that is left when the prefix is cached. */
+/** Share of the first token's time that remains if the prefix is cached. */
 const CACHED_FIRST_TOKEN_SHARE = 0.2;
 
-/** How fast the engine generates. */
+/** Times of generation. */
 export interface BatchTimes {
   /** Time of one step with one run. */
   readonly tokenTime: Milliseconds;
-  /** Time to read a prompt whose prefix is not cached. */
+  /** Time to process a prompt whose prefix is not cached. */
   readonly firstTokenTime: Milliseconds;
 }
 
-/** Times to change; those not given stay. */
+/** Times to change; omitted ones stay. */
 export type BatchTimeChanges = {
   readonly [Name in keyof BatchTimes]?: BatchTimes[Name] | undefined;
 };
 
-/** Runs up to `slots` at once; others wait by priority, then by age. */
+/**
+ * Executes up to `slots` runs at once; others wait by priority, then by age.
+ */
 export interface Batch {
   /** False if the queue is full. */
   readonly submit: (run: Run) => boolean;
-  /** Forgets a run that was cancelled. */
+  /** Removes a cancelled run. */
   readonly remove: (run: Run) => void;
   readonly setTimes: (changes: BatchTimeChanges) => void;
   readonly load: () => {readonly running: number; readonly queued: number};
 }
 
-/** What a batch is made of. */
+/** Options of {@link createBatch}. */
 export interface BatchOptions {
   readonly clock: Clock;
   readonly freezer: Freezer;
@@ -45,7 +47,7 @@
   readonly onStart: (run: Run) => void;
 }
 
-/** An idle batch. */
+/** Creates an idle batch. */
 export function createBatch(options: BatchOptions): Batch {
   const {clock, freezer, cache, slots, queueLimit} = options;
   let times = options.times;
@@ -87,7 +89,8 @@
   async function stepWhileRunning(): Promise<void> {
     let stepDueAt = clock.now();
     while (running.size > 0) {
-      // A late timer is made up for by the next step, but not a long pause.
+      // The next step catches up after a late timer, but not after a long
+      // pause.
       stepDueAt = Math.max(stepDueAt + stepTime(), clock.now() - stepTime());
       await clock.wait(Math.max(0, stepDueAt - clock.now()));
       await freezer.whenUnfrozen();
--- a/packages/standins/src/engine/chunk_store.ts
+++ b/packages/standins/src/engine/chunk_store.ts
@@ -1,17 +1,17 @@
 import type {Digest, Manifest} from '@hibiscusbeam/core';
 import {digestOf} from '../shared/digest';
 
-/** Chunks that agents have put; a wrong one is noticed when it is loaded. */
+/** Chunks that agents have put; their content is checked only on a load. */
 export interface ChunkStore {
   readonly put: (digest: Digest, content: Buffer) => void;
   readonly get: (digest: Digest) => Buffer | undefined;
   readonly remove: (digest: Digest) => void;
   readonly digests: () => readonly Digest[];
-  /** Digests of the manifest's chunks that are not there or have other bytes. */
+  /** Digests of the manifest's chunks that are missing or corrupted. */
   readonly missing: (manifest: Manifest) => Promise<readonly Digest[]>;
 }
 
-/** An empty store. With `trustChunks` content is not checked. */
+/** Creates an empty store; with `trustChunks` the content is not checked. */
 export function createChunkStore(trustChunks: boolean): ChunkStore {
   const chunks = new Map<Digest, Buffer>();
   const verified = new Set<Digest>();
@@ -20,7 +20,8 @@
     const content = chunks.get(digest);
     if (content === undefined || content.length !== size) return false;
     if (trustChunks || verified.has(digest)) return true;
-    // One chunk a turn, so that running streams are not held up for long.
+    // One chunk per turn of the event loop, so that hashing does not block
+    // running streams for long.
     await new Promise(setImmediate);
     if (digestOf(content) !== digest) return false;
     if (chunks.get(digest) === content) verified.add(digest);
--- a/packages/standins/src/engine/engine.ts
+++ b/packages/standins/src/engine/engine.ts
@@ -15,7 +15,7 @@
 import {addVersionRoutes} from './version_routes';
 import {createEngineVersions} from './versions';
 
-/** Defaults of an engine that is small enough for one test machine. */
+/** Default options of an engine that is small enough for one test machine. */
 const DEFAULT_OPTIONS = {
   slots: 8,
   queueLimit: 64,
@@ -25,20 +25,20 @@
   firstTokenTime: 10,
 } as const;
 
-/** Routes that answer while the engine is frozen: the tests' own. */
+/** Routes for tests, which answer while the engine is frozen. */
 const CONTROL_ROUTES: ReadonlySet<string> = new Set([
   'POST /faults',
   'GET /runs',
   'GET /orders',
 ]);
 
-/** What a model engine is started with; times in milliseconds. */
+/** Options of a model engine; times in milliseconds. */
 export interface EngineOptions extends StandInOptions {
-  /** Runs in the batch at once. */
+  /** Max. number of concurrent runs. */
   readonly slots?: number;
-  /** Requests that wait when all slots are taken. */
+  /** Max. number of requests that wait for a slot. */
   readonly queueLimit?: number;
-  /** Prefixes that the cache holds. */
+  /** Max. number of cached prefixes. */
   readonly cacheCapacity?: number;
   readonly loadTime?: Milliseconds;
   readonly tokenTime?: Milliseconds;
--- a/packages/standins/src/engine/generate_routes.ts
+++ b/packages/standins/src/engine/generate_routes.ts
@@ -9,7 +9,7 @@
 import {generateBodySchema} from './schemas';
 import type {EngineVersions} from './versions';
 
-/** What the generate routes work on. */
+/** Dependencies of the generate routes. */
 export interface GenerateRouteDependencies {
   readonly versions: EngineVersions;
   readonly batch: Batch;
@@ -26,7 +26,7 @@
   const stream = new PassThrough();
   let tokens = 0;
   void reply.type('application/x-ndjson').send(stream);
-  // Says that the request was taken, also while it waits for a slot.
+  // Acknowledges the request, even while it waits for a slot.
   reply.raw.flushHeaders();
   return {
     line: line => {
@@ -41,7 +41,7 @@
   };
 }
 
-/** Adds generating, resuming and cancelling to `server`. */
+/** Adds the routes for generating, resuming and cancelling to `server`. */
 export function addGenerateRoutes(
   server: FastifyInstance,
   dependencies: GenerateRouteDependencies,
--- a/packages/standins/src/engine/prefix_cache.ts
+++ b/packages/standins/src/engine/prefix_cache.ts
@@ -4,37 +4,37 @@
 
 const PREFIX_LENGTH = 256;
 
-/** Events kept for readers that come late. */
-const MAX_EVENTS = 10_000;
+/** Latest events kept for late readers. */
+const KEPT_EVENTS = 10_000;
 
-/** What happened to a prefix; published late and with gaps. */
+/** A change of the cache; published with the lag and the gaps that are set. */
 export interface CacheEvent {
   readonly sequence: number;
   readonly kind: 'stored' | 'evicted';
   readonly prefix: number;
 }
 
-/** A cache of prompt prefixes; the least recently used one goes first. */
+/** A cache of prompt prefixes that evicts the least recently used one. */
 export interface PrefixCache {
-  /** Uses the prompt's prefix, storing it; true if it was there. */
+  /** Looks up and stores the prompt's prefix; true if it was cached. */
   readonly use: (versionDigest: VersionDigest, prompt: string) => boolean;
-  /** Drops what belongs to a version that is unloaded. */
+  /** Evicts all prefixes of an unloaded version. */
   readonly evictVersion: (versionDigest: VersionDigest) => void;
   readonly eventsAfter: (sequence: number) => {
     readonly events: readonly CacheEvent[];
     readonly latest: number;
   };
   readonly setLag: (lag: Milliseconds) => void;
-  /** Every nth event is never published; 0 publishes all. */
+  /** Omits every `count`th event; 0 publishes all. */
   readonly setGapEvery: (count: number) => void;
 }
 
-/** The hash that stands for a prompt's beginning in cache events. */
+/** Hash of a prompt's prefix, as in cache events. */
 export function hashPrefix(prompt: string): number {
   return hash32(prompt.slice(0, PREFIX_LENGTH));
 }
 
-/** An empty cache for `capacity` prefixes. */
+/** Creates an empty cache for `capacity` prefixes. */
 export function createPrefixCache(clock: Clock, capacity: number): PrefixCache {
   const entries = new Map<
     string,
@@ -50,7 +50,7 @@
     if (gapEvery > 0 && latestSequence % gapEvery === 0) return;
     const event = {sequence: latestSequence, kind, prefix};
     events.push({at: clock.now(), event});
-    if (events.length > 2 * MAX_EVENTS) events = events.slice(-MAX_EVENTS);
+    if (events.length > 2 * KEPT_EVENTS) events = events.slice(-KEPT_EVENTS);
   }
 
   function evictEntry(key: string): void {
--- a/packages/standins/src/engine/run.ts
+++ b/packages/standins/src/engine/run.ts
@@ -21,13 +21,13 @@
       readonly versionDigest: VersionDigest;
     };
 
-/** Receives a run's lines; `close` ends the stream, whole or not. */
+/** Receives a run's lines; `close` ends the stream, complete or not. */
 export interface AnswerSink {
   readonly line: (line: AnswerLine) => void;
   readonly close: () => void;
 }
 
-/** What is asked of an engine. */
+/** A request to an engine to generate an answer. */
 export interface Generation {
   readonly attempt: AttemptId;
   readonly model: ModelName;
@@ -38,7 +38,7 @@
   readonly priority: number;
 }
 
-/** One run of one attempt. */
+/** Execution of one attempt. */
 export interface Run {
   readonly generation: Generation;
   readonly state: () => 'queued' | 'running' | 'finished' | 'cancelled';
@@ -46,11 +46,11 @@
   /** Produces the next token; ends the run after the last one. */
   readonly step: () => void;
   readonly cancel: () => void;
-  /** Sends all lines from token `from` on, those produced and those to come. */
+  /** Sends all past and future lines from token `from` on. */
   readonly follow: (sink: AnswerSink, from: number) => void;
 }
 
-/** A run that waits for a slot. */
+/** Creates a queued run. */
 export function createRun(generation: Generation): Run {
   const {attempt, versionDigest, maximumTokens: count} = generation;
   const text = tokenTexts(generation);
--- a/packages/standins/src/engine/runs.ts
+++ b/packages/standins/src/engine/runs.ts
@@ -1,10 +1,10 @@
 import type {AttemptId} from '@hibiscusbeam/core';
 import type {Run} from './run';
 
-/** Finished runs kept, so that their streams can be resumed. */
+/** Finished runs are kept so that their streams can be resumed. */
 const MAX_KEPT_RUNS = 2_000;
 
-/** The runs an engine knows, and how often each attempt ran. */
+/** The runs of an engine, and how often each attempt was started. */
 export interface Runs {
   readonly add: (run: Run) => void;
   readonly find: (attempt: AttemptId) => Run | undefined;
@@ -12,7 +12,7 @@
   readonly counts: () => {readonly [attempt: AttemptId]: number};
 }
 
-/** No run yet. */
+/** Creates an empty collection of runs. */
 export function createRuns(): Runs {
   const runs = new Map<AttemptId, Run>();
   const counts = new Map<AttemptId, number>();
--- a/packages/standins/src/engine/schemas.ts
+++ b/packages/standins/src/engine/schemas.ts
@@ -3,7 +3,7 @@
 
 const duration = z.number().nonnegative();
 
-/** A manifest as an order carries it. */
+/** The manifest in a load order. */
 export const manifestSchema = z.strictObject({
   model: z.string(),
   label: z.string(),
--- a/packages/standins/src/engine/version_routes.ts
+++ b/packages/standins/src/engine/version_routes.ts
@@ -24,7 +24,7 @@
   }
 }
 
-/** Adds chunks and orders to `server`. */
+/** Adds the routes for chunks and orders to `server`. */
 export function addVersionRoutes(
   server: FastifyInstance,
   chunks: ChunkStore,
--- a/packages/standins/src/engine/versions.ts
+++ b/packages/standins/src/engine/versions.ts
@@ -17,14 +17,14 @@
   readonly versionDigest: VersionDigest;
 }
 
-/** What the engine made of an order. */
+/** Result of an order. */
 export type OrderOutcome =
   | {readonly kind: 'accepted'}
   | {readonly kind: 'staleFencing'; readonly highest: number}
   | {readonly kind: 'manifestMismatch'}
   | {readonly kind: 'incomplete'; readonly missing: readonly string[]};
 
-/** An order that was accepted, for tests to look at. */
+/** An accepted order, listed for tests. */
 export interface AcceptedOrder {
   readonly kind: Order['kind'];
   readonly versionDigest: VersionDigest;
@@ -34,13 +34,13 @@
 
 /** The versions an engine holds, and the orders that change them. */
 export interface EngineVersions {
-  /** Orders take effect one after the other. */
+  /** Applies an order; orders take effect one after the other. */
   readonly order: (
     order: Order,
     fencing: number,
     giver: string,
   ) => Promise<OrderOutcome>;
-  /** The version to use for `model`: the one named, else the last loaded. */
+  /** The version of `model` with the digest; the last loaded one without it. */
   readonly find: (
     model: ModelName,
     versionDigest: VersionDigest | undefined,
@@ -52,7 +52,7 @@
   readonly setFencing: (fencing: FencingSupport) => void;
 }
 
-/** What an engine's versions are made of. */
+/** Options of {@link createEngineVersions}. */
 export interface EngineVersionsOptions {
   readonly clock: Clock;
   readonly freezer: Freezer;
@@ -63,7 +63,7 @@
   readonly onUnload: (versionDigest: VersionDigest) => void;
 }
 
-/** No version loaded. */
+/** Creates the versions of an engine, with none loaded. */
 export function createEngineVersions(
   options: EngineVersionsOptions,
 ): EngineVersions {
@@ -76,7 +76,7 @@
   let highestFencing = 0;
   let lastOutcome: Promise<unknown> = Promise.resolve();
 
-  /** An unload while the load is in progress abandons the load. */
+  /** Loads a version; an unload before the load is complete cancels it. */
   async function load(version: LoadedVersion): Promise<void> {
     const loadMark = Symbol(version.versionDigest);
     loading.set(version.versionDigest, loadMark);
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -10,7 +10,7 @@
 import {startPlatform} from './platform/platform';
 import type {StandIn, StandInOptions} from './shared/server';
 
-/** What every command takes. */
+/** Options of every command. */
 interface CommonOptions extends StandInOptions {
   readonly name?: string;
 }
@@ -32,7 +32,7 @@
   return [...previous, {target, address}];
 }
 
-/** Says where the stand-in listens, and closes it when asked to end. */
+/** Prints the stand-in's address; closes the stand-in on SIGINT or SIGTERM. */
 function reportListening(standIn: StandIn, name: string | undefined): void {
   const line = {listening: standIn.address, ...(name !== undefined && {name})};
   process.stdout.write(`${JSON.stringify(line)}\n`);
--- a/packages/standins/src/older_system/http.ts
+++ b/packages/standins/src/older_system/http.ts
@@ -1,10 +1,10 @@
 import {Agent, request} from 'undici';
 import type {Dispatcher} from 'undici';
 
-/** Calls in flight to one address at once. */
+/** Max. number of calls in flight to one address. */
 const CONNECTIONS_PER_ADDRESS = 8;
 
-/** The older system's calls to the platform and the engines. */
+/** HTTP client of the older system. */
 export interface OlderSystemHttp {
   readonly getJson: <Body>(url: string, signal: AbortSignal) => Promise<Body>;
   readonly getBytes: (url: string, signal: AbortSignal) => Promise<Uint8Array>;
@@ -13,7 +13,7 @@
     bytes: Uint8Array,
     signal: AbortSignal,
   ) => Promise<void>;
-  /** Gives whether it was accepted, once the whole answer has come. */
+  /** Whether it was accepted; resolves once the answer is received whole. */
   readonly postJson: (
     url: string,
     body: unknown,
@@ -30,7 +30,7 @@
   throw new Error(`status ${response.statusCode}`);
 }
 
-/** Connections of its own. */
+/** Creates a client with its own connections. */
 export function createOlderSystemHttp(): OlderSystemHttp {
   const dispatcher = new Agent({connections: CONNECTIONS_PER_ADDRESS});
   const giverHeader = {'x-order-giver': 'older-system'};
--- a/packages/standins/src/older_system/loader.ts
+++ b/packages/standins/src/older_system/loader.ts
@@ -1,10 +1,12 @@
 import type {Bytes, Manifest} from '@hibiscusbeam/core';
 import type {OlderSystemHttp} from './http';
 
-/** It gives no fencing number of its own; this one loses to any other. */
+/**
+ * The older system has no fencing numbers; any other number is above this one.
+ */
 const LOWEST_FENCING_NUMBER = 0;
 
-/** What the older system's loads did so far. */
+/** Counts of the older system's orders and origin bytes so far. */
 export interface LoaderState {
   readonly orders: {readonly accepted: number; readonly refused: number};
   readonly originBytes: Bytes;
@@ -12,23 +14,23 @@
 
 /** Loads the older system's version into engines. */
 export interface Loader {
-  /** Copies what is missing from the origin and orders the load; may reject. */
+  /** Copies missing chunks from the origin and orders the load; may reject. */
   readonly load: (engineUrl: string, signal: AbortSignal) => Promise<void>;
   readonly state: () => LoaderState;
 }
 
-/** What is loaded, and from where. */
+/** Options of {@link createLoader}. */
 export interface LoaderOptions {
   readonly http: OlderSystemHttp;
   /** The platform's `IP:port`. */
   readonly platform: string;
   readonly model: string;
   readonly label: string;
-  /** Gives its order again in each round, also for what is loaded. */
+  /** Repeats the order in each round, even if the version is loaded. */
   readonly reorder: boolean;
 }
 
-/** A loader for one model and label. */
+/** Creates a loader for one model and label. */
 export function createLoader(options: LoaderOptions): Loader {
   const {http, platform, model, label, reorder} = options;
   const origin = `http://${platform}/weights`;
@@ -82,8 +84,8 @@
       const order = {kind: 'load', versionDigest, manifest};
       const body = {order, fencing: LOWEST_FENCING_NUMBER};
       if (signal.aborted) return;
-      // An order that is on its way is waited for: cut off here it would still
-      // arrive, after the older system has said that it is not busy any more.
+      // An order in flight is not aborted: it could still arrive after the
+      // older system has reported that it is no longer busy.
       const accepted = await http.postJson(`${engineUrl}/orders`, body);
       orders[accepted ? 'accepted' : 'refused'] += 1;
     },
--- a/packages/standins/src/older_system/older_system.ts
+++ b/packages/standins/src/older_system/older_system.ts
@@ -9,13 +9,13 @@
 
 const DEFAULT_PERIOD: Milliseconds = 500;
 
-/** Its requests are short. */
+/** Tokens per request; the older system's requests are short. */
 const REQUEST_TOKENS = 8;
 
 const ownershipSchema = z.strictObject({
   targets: z.array(z.string()),
   workspaces: z.array(z.string()),
-  /** Absent if a test sets the ownership by itself. */
+  /** Absent if a test sets the ownership directly. */
   generation: z.int().nonnegative().optional(),
 });
 
@@ -24,7 +24,7 @@
   body: z.looseObject({reference: z.string().min(1)}),
 });
 
-/** An engine that the older system may give orders to. */
+/** An engine that the older system may send orders to. */
 export interface OlderSystemEngine {
   readonly target: string;
   /** `IP:port` */
@@ -34,7 +34,7 @@
 /** A plain service that the older system may call. */
 export type OlderSystemService = OlderSystemEngine;
 
-/** What the older system is started with; it owns all it is given. */
+/** Options of the older system; it owns all targets and workspaces in them. */
 export interface OlderSystemOptions extends StandInOptions {
   /** The platform's `IP:port`. */
   readonly platform: string;
@@ -46,11 +46,11 @@
   readonly label: string;
   /** Time between two rounds of orders and requests. */
   readonly period?: Milliseconds;
-  /** Gives its orders again in each round, also for what is loaded. */
+  /** Repeats its orders in each round, even if the version is loaded. */
   readonly reorder?: boolean;
 }
 
-/** Starts the older system, which gives orders and sends requests too. */
+/** Starts the older system, which sends orders and requests. */
 export async function startOlderSystem(
   options: OlderSystemOptions,
 ): Promise<StandIn> {
@@ -76,7 +76,7 @@
     if (loading.has(engine.target)) return;
     const abort = new AbortController();
     loading.set(engine.target, abort);
-    // A failed load is tried again in the next round.
+    // A failed load is retried in the next round.
     await loader
       .load(`http://${engine.address}`, abort.signal)
       .catch(() => undefined);
@@ -110,7 +110,7 @@
     return answered;
   }
 
-  /** A service that it may call for the workspace, if it owns both. */
+  /** Returns a service that it may call for the workspace, if it owns both. */
   function findOwnedService(workspace: string): OlderSystemService | undefined {
     if (!workspaces.includes(workspace)) return undefined;
     return services.find(({target}) => targets.has(target));
@@ -133,7 +133,7 @@
     }
   }
 
-  /** Transfers and orders for lost targets stop; requests begun finish. */
+  /** Stops transfers and orders for lost targets; started requests finish. */
   function setOwnership(ownership: z.infer<typeof ownershipSchema>): void {
     generation = ownership.generation ?? generation;
     targets = new Set(ownership.targets);
@@ -146,14 +146,15 @@
   const server = createServer();
   server.put('/ownership', (request, reply) => {
     const ownership = parseBody(ownershipSchema, request);
-    // Told late by an entry that lags, it would own again what has moved.
+    // An outdated update by a lagging entry would take back what has moved.
     if ((ownership.generation ?? generation) < generation) {
       return sendError(reply, 409, 'staleGeneration');
     }
     setOwnership(ownership);
     return reply.send({});
   });
-  // A caller of the older system: answered, or surely not run, or unknown.
+  // For callers of the older system: the call is answered, surely not run, or
+  // its outcome is unknown.
   server.post<{Params: {operation: string}}>(
     '/calls/:operation',
     async (request, reply) => {
--- a/packages/standins/src/plain_service/plain_service.ts
+++ b/packages/standins/src/plain_service/plain_service.ts
@@ -26,7 +26,7 @@
   })
   .partial();
 
-/** What a plain service is started with; times in milliseconds. */
+/** Options of a plain service; times in milliseconds. */
 export interface PlainServiceOptions extends StandInOptions {
   readonly callTime?: Milliseconds;
 }
--- a/packages/standins/src/platform/instance_routes.ts
+++ b/packages/standins/src/platform/instance_routes.ts
@@ -6,12 +6,12 @@
 import {listedInstanceSchema} from './schemas';
 import type {ListedInstance} from './schemas';
 
-/** The instance list's controls. */
+/** Controls of the instance list. */
 export interface InstanceControls {
   readonly setLag: (lag: Milliseconds) => void;
 }
 
-/** Adds the lagging list of instances to `server`. */
+/** Adds the routes of the instance list, whose reads lag, to `server`. */
 export function addInstanceRoutes(
   server: FastifyInstance,
   clock: Clock,
--- a/packages/standins/src/platform/object_routes.ts
+++ b/packages/standins/src/platform/object_routes.ts
@@ -1,7 +1,7 @@
 import type {FastifyInstance} from 'fastify';
 import {sendError} from '../shared/server';
 
-/** The object store's controls. */
+/** Controls of the object store. */
 export interface ObjectControls {
   readonly setOutage: (outage: boolean) => void;
 }
--- a/packages/standins/src/platform/pacer.ts
+++ b/packages/standins/src/platform/pacer.ts
@@ -3,18 +3,18 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** A late timer may be made up for by sending this much early, in ms. */
+/** Time by which sending may catch up after a late timer. */
 const MAX_BURST_MS = 20;
 
-/** Shares one byte rate among all that send. */
+/** Limits the total byte rate of all senders. */
 export interface Pacer {
-  /** Resolves when `amount` more bytes may be sent; first come, first served. */
+  /** Resolves when `amount` more bytes may be sent, in order of the calls. */
   readonly take: (amount: Bytes) => Promise<void>;
-  /** `null` lifts the limit. */
+  /** `null` removes the limit. */
   readonly setRate: (rate: BytesPerSecond | null) => void;
 }
 
-/** A token bucket over the link that all transfers share. */
+/** Creates a token bucket for a link that all transfers share. */
 export function createPacer(
   clock: Clock,
   initialRate: BytesPerSecond | null,
--- a/packages/standins/src/platform/schemas.ts
+++ b/packages/standins/src/platform/schemas.ts
@@ -30,7 +30,7 @@
   }),
 });
 
-/** A transaction as sent. */
+/** Body of a commit request. */
 export type CommitBody = z.infer<typeof commitBodySchema>;
 
 export const publishBodySchema = z.strictObject({
@@ -43,7 +43,7 @@
   sharedShare: z.number().min(0).max(1).optional(),
 });
 
-/** What is published as a new version. */
+/** Body of a request to publish a version. */
 export type PublishBody = z.infer<typeof publishBodySchema>;
 
 export const listedInstanceSchema = z.strictObject({
@@ -56,7 +56,7 @@
   state: z.enum(['live', 'leaving']),
 });
 
-/** One line of the list of instances. */
+/** One row of the instance list. */
 export type ListedInstance = z.infer<typeof listedInstanceSchema>;
 
 const tableFaultsSchema = z
--- a/packages/standins/src/platform/table.ts
+++ b/packages/standins/src/platform/table.ts
@@ -8,14 +8,16 @@
   TableWrite,
 } from '@hibiscusbeam/core';
 
-/** Rows held in memory, with transactions over them. */
+/** In-memory table with transactions. */
 export interface Table {
   readonly read: (key: TableKey) => TableRow | undefined;
   readonly scan: (prefix: TableKey, limit: number) => readonly TableRow[];
   readonly commit: (transaction: TableTransaction) => CommitOutcome;
 }
 
-/** An empty table. A deleted row that is put again begins at version 1. */
+/**
+ * Creates an empty table. A deleted row that is put again starts at version 1.
+ */
 export function createTable(): Table {
   const rows = new Map<TableKey, TableRow>();
   const sortedKeys: TableKey[] = [];
--- a/packages/standins/src/platform/table_routes.ts
+++ b/packages/standins/src/platform/table_routes.ts
@@ -8,24 +8,27 @@
 import type {CommitBody, TableFaults} from './schemas';
 import {createTable} from './table';
 
-/** Most rows that one transaction may name. */
+/** Max. number of rows that one transaction may name. */
 const MAX_TRANSACTION_ROWS = 100;
 
-/** Several hundred writes and about 2,000 reads a second, as of today. */
+/**
+ * The platform allows several hundred writes and about 2,000 reads a second, as
+ * of today.
+ */
 const WRITES_PER_SECOND = 400;
 const READS_PER_SECOND = 2_000;
 
-/** A round trip to a service in the same region. */
+/** Round trip to a service in the same region. */
 const LATENCY: Milliseconds = 2;
 
-/** What the table answered and refused so far. */
+/** Calls that the table answered and refused so far. */
 export interface TableCounters {
   readonly reads: number;
   readonly writes: number;
   readonly refused: number;
 }
 
-/** The table service's controls. */
+/** Controls of the table service. */
 export interface TableControls {
   readonly setFaults: (faults: TableFaults) => void;
   readonly counters: () => TableCounters;
@@ -65,7 +68,9 @@
     if (latency > 0) await clock.wait(latency / 2);
   }
 
-  /** Runs `call` in the middle of the latency, unless it is refused. */
+  /**
+   * Runs `call` between the two halves of the latency, unless it is refused.
+   */
   async function serve<Answer>(
     limit: RateLimit,
     reply: FastifyReply,
--- a/packages/standins/src/platform/versions.ts
+++ b/packages/standins/src/platform/versions.ts
@@ -7,28 +7,28 @@
 const KEY_LENGTH = 16;
 const ZERO_IV = Buffer.alloc(KEY_LENGTH);
 
-/** Generated chunks kept, so that a popular one is not generated each time. */
+/** Chunks cached, so that a popular one is not generated for each request. */
 const MAX_CACHED = 32;
 
-/** How to generate a chunk's content again. */
+/** Inputs from which a chunk's content is generated. */
 interface ChunkRecipe {
   readonly seed: number;
   readonly position: number;
   readonly size: Bytes;
 }
 
-/** A version's manifest: the text that its digest is taken of. */
+/** Manifest of a version; the version's digest is the hash of `text`. */
 interface PublishedManifest {
   readonly text: string;
   readonly chunks: readonly PublishedChunk[];
 }
 
-/** A chunk as the manifest's JSON names it. */
+/** A chunk as the manifest's JSON lists it. */
 type PublishedChunk = Readonly<
   Record<'digest', Digest> & Record<'size', Bytes>
 >;
 
-/** Bytes that depend only on the recipe: a cipher's key stream. */
+/** Generates a cipher's key stream, which depends only on the recipe. */
 function generateChunk({seed, position, size}: ChunkRecipe): Buffer {
   const key = createHash('sha256')
     .update(`${seed}/${position}`)
@@ -37,7 +37,7 @@
   return createCipheriv('aes-128-ctr', key, ZERO_IV).update(Buffer.alloc(size));
 }
 
-/** Published versions; chunk content is generated when asked for. */
+/** Published versions; chunk content is generated on request. */
 export interface VersionStore {
   /** Undefined if `sharedWith` names no version. */
   readonly publish: (body: PublishBody) => VersionDigest | undefined;
@@ -46,7 +46,7 @@
   readonly chunk: (digest: Digest) => Buffer | undefined;
 }
 
-/** A store without versions. */
+/** Creates an empty store. */
 export function createVersionStore(): VersionStore {
   const labels = new Map<string, VersionDigest>();
   const manifests = new Map<VersionDigest, PublishedManifest>();
--- a/packages/standins/src/platform/weight_routes.ts
+++ b/packages/standins/src/platform/weight_routes.ts
@@ -8,20 +8,20 @@
 import type {WeightFaults} from './schemas';
 import {createVersionStore} from './versions';
 
-/** Bytes sent per turn on the shared link; small, so that transfers mix. */
+/** Size of a slice on the shared link; small, so that transfers interleave. */
 const SLICE_BYTES: Bytes = 64 * 1024;
 
-/** One slice read ahead, so that few bytes count that nobody receives. */
+/** Reads one slice ahead, so that few bytes are counted but never received. */
 const READ_AHEAD_OPTIONS = {highWaterMark: 1};
 
-/** What the origin sent so far. */
+/** Bytes and chunks that the origin has sent so far. */
 export interface WeightCounters {
   readonly bytes: Bytes;
-  /** Chunks sent whole. */
+  /** Chunks sent to their end. */
   readonly chunks: number;
 }
 
-/** The weight store's controls. */
+/** Controls of the weight store. */
 export interface WeightControls {
   readonly setFaults: (faults: WeightFaults) => void;
   readonly counters: () => WeightCounters;
--- a/packages/standins/src/shared/answer_faults.ts
+++ b/packages/standins/src/shared/answer_faults.ts
@@ -2,14 +2,16 @@
 import * as z from 'zod';
 import type {Clock} from './clock';
 
-/** How long an answer waits for another one to be crossed with. */
+/** Time that an answer waits for another one to be swapped with. */
 const CROSSING_TIMEOUT_MS: Milliseconds = 1_000;
 
 const count = z.int().nonnegative();
 
-/** Faults of answers: how many of the next ones, and by how many ms. */
+/**
+ * Faults of answers: how many of the next ones each affects; `lateBy` in ms.
+ */
 export const answerFaultsShape = {
-  /** Pairs of answers that go out on each other's connection. */
+  /** Pairs of answers that are sent on each other's connection. */
   crossNext: count,
   lateNext: count,
   lateBy: z.number().nonnegative(),
@@ -21,16 +23,16 @@
   readonly [Name in keyof typeof answerFaultsShape]?: number | undefined;
 };
 
-/** Applies the faults of answers. */
+/** Injects faults into answers. */
 export interface AnswerFaults {
   readonly set: (settings: AnswerFaultSettings) => void;
-  /** Waits if the answer is to be late; gives the answer to send. */
+  /** Delays or swaps the answer as set; returns the answer to send. */
   readonly applyFaults: <Answer>(answer: Answer) => Promise<Answer>;
-  /** Whether this answer's connection is to be cut. */
+  /** Whether to cut this answer's connection; uses up one of `dropNext`. */
   readonly consumeDrop: () => boolean;
 }
 
-/** No fault until set. */
+/** Creates the faults of answers, all of them off. */
 export function createAnswerFaults(clock: Clock): AnswerFaults {
   let crossNext = 0;
   let lateNext = 0;
@@ -38,7 +40,9 @@
   let dropNext = 0;
   let pendingSwap: ((other: unknown) => unknown) | undefined;
 
-  /** The first of a pair waits for the second; both then swap. */
+  /**
+   * The first answer of a pair waits for the second; the two are then swapped.
+   */
   async function swapWithNext<Answer>(answer: Answer): Promise<Answer> {
     if (pendingSwap !== undefined) {
       const swap = pendingSwap;
--- a/packages/standins/src/shared/clock.ts
+++ b/packages/standins/src/shared/clock.ts
@@ -1,6 +1,6 @@
 import type {Milliseconds, MonotonicInstant} from '@hibiscusbeam/core';
 
-/** Time as a stand-in sees it; a test gives one that it moves by hand. */
+/** Clock of a stand-in; tests pass one that they advance themselves. */
 export interface Clock {
   readonly now: () => MonotonicInstant;
   readonly wait: (duration: Milliseconds) => Promise<void>;
--- a/packages/standins/src/shared/freezer.ts
+++ b/packages/standins/src/shared/freezer.ts
@@ -1,11 +1,11 @@
-/** A process that can be frozen: it accepts, but answers nothing. */
+/** Simulates a frozen process, which accepts requests but answers none. */
 export interface Freezer {
   readonly set: (frozen: boolean) => void;
-  /** Resolves at once, or when the freeze ends. */
+  /** Resolves at once if not frozen, else when the freeze ends. */
   readonly whenUnfrozen: () => Promise<void>;
 }
 
-/** A freezer that is off. */
+/** Creates a freezer that is off. */
 export function createFreezer(): Freezer {
   let frozen = false;
   let waiters: (() => void)[] = [];
--- a/packages/standins/src/shared/lagged_view.ts
+++ b/packages/standins/src/shared/lagged_view.ts
@@ -1,15 +1,15 @@
 import type {Milliseconds, MonotonicInstant} from '@hibiscusbeam/core';
 import type {Clock} from './clock';
 
-/** A value as it stood some time ago. */
+/** Delayed view of a value. */
 export interface LaggedView<Value> {
   readonly record: (value: Value) => void;
-  /** The value as it stood `lag` ago, with how old that is. */
+  /** Returns the value of `lag` milliseconds ago, and its age. */
   readonly read: () => {readonly value: Value; readonly age: Milliseconds};
   readonly setLag: (lag: Milliseconds) => void;
 }
 
-/** Keeps as much of a value's history as the lag needs. */
+/** Creates a view; it keeps as much of the history as the lag needs. */
 export function createLaggedView<Value>(
   clock: Clock,
   initial: Value,
--- a/packages/standins/src/shared/rate_limit.ts
+++ b/packages/standins/src/shared/rate_limit.ts
@@ -3,20 +3,22 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Refuses what exceeds a rate. */
+/** Refuses calls above a rate. */
 export interface RateLimit {
-  /** Takes one call; gives 0, or when to come back if it is refused. */
+  /** Admits one call and returns 0, or the milliseconds to wait if refused. */
   readonly take: () => Milliseconds;
   readonly setRate: (callsPerSecond: number) => void;
 }
 
-/** A token bucket that holds one second's calls, as table services do. */
+/**
+ * Creates a token bucket that holds one second's calls, as table services do.
+ */
 export function createRateLimit(clock: Clock, initialRate: number): RateLimit {
   let rate = initialRate;
   let tokens = capacity();
   let refilledAt = clock.now();
 
-  /** A rate below one a second still lets one call pass when its time comes. */
+  /** At least 1, since a rate below one per second must still admit calls. */
   function capacity(): number {
     return Math.max(1, rate);
   }
--- a/packages/standins/src/shared/server.ts
+++ b/packages/standins/src/shared/server.ts
@@ -11,12 +11,12 @@
 
 /** A running stand-in. */
 export interface StandIn {
-  /** Where it listens, `IP:port`. */
+  /** Address that it listens on, `IP:port`. */
   readonly address: string;
   readonly close: () => Promise<void>;
 }
 
-/** What every stand-in is started with. */
+/** Options of every stand-in. */
 export interface StandInOptions {
   /** `IP:port`; port 0 takes any free one. */
   readonly listen: string;
@@ -24,12 +24,12 @@
   readonly clock?: Clock;
 }
 
-/** Largest body taken: above any chunk size in use. */
+/** Above any chunk size in use. */
 const MAX_BODY_BYTES = 64 * 1024 * 1024;
 
 const BAD_REQUEST = 400;
 
-/** An HTTP server that takes JSON and raw bytes and logs nothing. */
+/** Creates an HTTP server that accepts JSON and raw bytes and logs nothing. */
 export function createServer(): FastifyInstance {
   const server = fastify({
     bodyLimit: MAX_BODY_BYTES,
@@ -47,7 +47,7 @@
   return server;
 }
 
-/** Listens on `listen` and gives the address in force. */
+/** Listens on `listen` and returns the actual address. */
 export async function listenOn(
   server: FastifyInstance,
   listen: string,
@@ -64,7 +64,7 @@
   };
 }
 
-/** The body as `schema` describes it; anything else is answered with 400. */
+/** Parses the body with `schema`; a mismatch is answered with status 400. */
 export function parseBody<Body>(
   schema: ZodType<Body>,
   request: FastifyRequest,
@@ -77,7 +77,7 @@
   });
 }
 
-/** Answers with an error in the common form. */
+/** Sends an error as `{error, detail}`. */
 export function sendError(
   reply: FastifyReply,
   status: number,
@@ -87,7 +87,7 @@
   return reply.code(status).send({error, detail});
 }
 
-/** Cuts the connection without an answer, as a lost link does. */
+/** Closes the connection without an answer, as a broken link does. */
 export function cutConnection(
   request: FastifyRequest,
   reply: FastifyReply,
