--- a/test/command_line/experiment.test.ts
+++ b/test/command_line/experiment.test.ts
@@ -51,7 +51,7 @@
   );
 });
 
-test('says how far it is on a terminal', async () => {
+test('shows progress on a terminal', async () => {
   const io = {
     out: () => undefined,
     error: (text: string) => void lines.push(text),
@@ -63,7 +63,7 @@
   expect(lines).toContain('\rplayed 4 of 4');
 });
 
-test('names each field that is wrong, and plays nothing', async () => {
+test('names each wrong field and runs nothing', async () => {
   const file = experimentFile({
     seeds: [],
     cases: [{kind: 'frozen', at: -1}],
@@ -82,13 +82,13 @@
   }
 });
 
-test('the example can be played', () => {
+test('the example experiment is valid', () => {
   const file = 'examples/experiments/moving_a_version.yaml';
   const experiment = readExperiment(readFileSync(file, 'utf8')).unwrap();
   expect(experiment.cases).toHaveLength(4);
 });
 
-test('says which file can’t be read', async () => {
+test('names a file that cannot be read', async () => {
   const result = await run(['experiment', 'no-such-file.yaml']);
   expect(result.code).toBe(2);
   expect(result.error).toContain('no-such-file.yaml: ');
--- a/test/command_line/explain.test.ts
+++ b/test/command_line/explain.test.ts
@@ -54,9 +54,9 @@
 }
 
 describe('explain', () => {
-  // An engine is killed while it runs a request. The engineer on call has the
-  // request's id and the entry's log.
-  test('tells of a request whose target was killed', async () => {
+  // An engine is killed while it runs a request; only the request's id and the
+  // entry's log are known.
+  test('traces a request whose target was killed', async () => {
     const file = logFile(ENTRY_LOG);
     const {code, out} = await run(['explain', 'killed', file]);
     expect(code).toBe(0);
@@ -70,19 +70,19 @@
     );
   });
 
-  test('tells of a stream whose target froze', async () => {
+  test('traces a stream whose target froze', async () => {
     const {out} = await run(['explain', 'frozen'], {}, ENTRY_LOG);
     expect(out).toContain(
       'Cause: The stream broke after event 17: the target fell silent',
     );
   });
 
-  test('tells of a request that was not run for want of the store', async () => {
+  test('names the unreachable store as the cause of a request that was not run', async () => {
     const {out} = await run(['explain', 'stale'], {}, ENTRY_LOG);
     expect(out).toContain('no word from the store for 4752 ms');
   });
 
-  test('reads lines that were collected with a prefix', async () => {
+  test('reads collected logs whose lines have a prefix', async () => {
     const fields = {request: 'one', took: 3, result: 'passOn', attempts: []};
     const prefixed = line('[requests] request', fields, ' 29.7 front-1 ');
     const other = line('[routing] target gone', {instance: 'i'}, '1 front-2 ');
@@ -91,13 +91,13 @@
     expect(out).toContain('Cause: Answered whole.');
   });
 
-  test('says what to do if no line tells of the request', async () => {
+  test('asks for more logs if no line belongs to the request', async () => {
     const {code, error} = await run(['explain', 'nobody'], {}, ENTRY_LOG);
     expect(code).toBe(1);
     expect(error).toContain('give the logs of all entries');
   });
 
-  test('names a file that can not be read', async () => {
+  test('names a file that cannot be read', async () => {
     const {code, error} = await run(['explain', 'one', '/nowhere/entry.log']);
     expect(code).toBe(2);
     expect(error).toContain('/nowhere/entry.log');
--- a/test/command_line/operators.test.ts
+++ b/test/command_line/operators.test.ts
@@ -79,7 +79,7 @@
     );
   });
 
-  test('get a reply as it came with --json', async () => {
+  test('get an unchanged reply with --json', async () => {
     const reply = {planId: 'p-1', generation: 7, wasConfirmed: true, more: [1]};
     const entry = await serveEntry(replyWith(200, reply));
     const command = ['intent', 'confirm', 'p-1', '--json', ...options(entry)];
@@ -87,7 +87,7 @@
     expect(JSON.parse(result.out)).toEqual(reply);
   });
 
-  test('who come second see each change that came first', async () => {
+  test('see the changes that overtook their plan', async () => {
     const entry = await serveEntry(
       replyWith(409, {
         error: 'overtaken',
@@ -114,9 +114,9 @@
     ]);
   });
 
-  // What a user sees: a rollout that was reported as not done, and done twice.
-  // The operator confirms; the plan is put into force; the entry dies before
-  // its reply is out; the operator, told "unreachable", states it again.
+  // The entry puts a confirmed plan into force and fails before it replies. An
+  // operator who is told "unreachable" would plan the same rollout again, and
+  // it would be done twice.
   test('are told "outcome unknown" if the reply to a change is lost', async () => {
     const entry = await serveEntry(request => void request.socket.destroy());
     for (const command of ['confirm', 'abandon']) {
@@ -130,7 +130,7 @@
 
   test.each([
     ['a failure without a reason', 500, {}, 4],
-    ['a reply of another form', 200, {confirmed: 'yes'}, 4],
+    ['a malformed reply', 200, {confirmed: 'yes'}, 4],
     [
       'an outcome that the entry does not know',
       503,
@@ -138,15 +138,15 @@
       4,
     ],
     ['a platform that is down', 503, {error: 'platformUnavailable'}, 3],
-    ['an entry that still starts', 503, {error: 'starting'}, 3],
-    ['a key that opens nothing', 403, {error: 'wrongKey'}, 1],
+    ['an entry that is starting', 503, {error: 'starting'}, 3],
+    ['a wrong key', 403, {error: 'wrongKey'}, 1],
   ])('get the exit code for %s', async (_name, status, body, code) => {
     const entry = await serveEntry(replyWith(status, body));
     const result = await run(['intent', 'confirm', 'p-1', ...options(entry)]);
     expect(result.code).toBe(code);
   });
 
-  test('learn that no entry listens', async () => {
+  test('are told that nothing changed if no entry listens', async () => {
     const server = createServer().listen(0, '127.0.0.1');
     await new Promise(resolve => server.once('listening', resolve));
     const {port} = server.address() as AddressInfo;
@@ -173,7 +173,7 @@
         expectedEnd: requestCount === 1 ? 4_000 : null,
       };
       const body = {generation: 7, versions: [version]};
-      // An entry that is replaced meanwhile is asked again.
+      // The request is retried while an entry is replaced.
       if (requestCount === 2) request.socket.destroy();
       else replyWith(200, body)(request, response);
     });
--- a/test/command_line/program_fixture.ts
+++ b/test/command_line/program_fixture.ts
@@ -10,10 +10,10 @@
 import {runProgram, type ExitCode, type ProgramContext} from 'hibiscusbeam';
 import {onTestFinished} from 'vitest';
 
-/** The key in {@link writeKeyFile}. */
+/** The key that {@link writeKeyFile} writes. */
 export const OPERATOR_KEY = 'an-operator-key-of-good-length';
 
-/** Writes a file with the operator's key; gives its path. */
+/** Writes a file with the operator's key; returns its path. */
 export function writeKeyFile(): string {
   const folder = mkdtempSync(join(tmpdir(), 'hibiscusbeam-command-'));
   onTestFinished(() => rmSync(folder, {recursive: true}));
@@ -22,14 +22,14 @@
   return file;
 }
 
-/** What one run of the program gave. */
+/** Exit code and output of one run of the program. */
 export interface ProgramRun {
   readonly code: ExitCode;
   readonly out: string;
   readonly error: string;
 }
 
-/** Runs the program within the test. */
+/** Runs the program in the process of the test. */
 export async function run(
   programArguments: readonly string[],
   overrides: Partial<ProgramContext> = {},
@@ -55,7 +55,7 @@
   return {code, out: out.join(''), error: error.join('')};
 }
 
-/** An HTTP server in an entry's place; gives its base address. */
+/** Starts an HTTP server in place of an entry; returns its base URL. */
 export async function serveEntry(
   answer: (request: IncomingMessage, response: ServerResponse) => void,
 ): Promise<string> {
@@ -68,7 +68,7 @@
   return `http://127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-/** Answers each request with the same status and JSON. */
+/** Returns a handler that answers each request with this status and JSON. */
 export function replyWith(status: number, body: unknown) {
   return (_request: IncomingMessage, response: ServerResponse) => {
     response.writeHead(status, {'content-type': 'application/json'});
--- a/test/command_line/signals.test.ts
+++ b/test/command_line/signals.test.ts
@@ -15,7 +15,7 @@
   return file;
 }
 
-/** Signals that the test raises, and a process that notes what happens. */
+/** A fake process that records its calls, and signals that the test raises. */
 function fakeProcess() {
   let listener = (_signal: string): void => undefined;
   let finish = (): void => undefined;
@@ -62,9 +62,9 @@
     expect(JSON.parse(result.out)).toMatchObject({ready: true, role: 'entry'});
   });
 
-  // What a user sees: an instance that is to be replaced stays for ever.
-  // It starts slowly because the platform is down; its operator stops it; the
-  // signal comes before there is a process to stop and is lost.
+  // The process starts slowly because the platform is down, and is stopped
+  // before it runs. If that signal were lost, an instance that is to be
+  // replaced would never stop.
   test('that comes while the process starts is not lost', async () => {
     const fake = fakeProcess();
     const ended = run(['entry', '--settings', settingsFile()], fake.context);
@@ -95,7 +95,7 @@
     expect(result.error).toContain('[process] the process failed');
   });
 
-  test('never comes to a process of another role', async () => {
+  test('does not reach a process whose settings have another role', async () => {
     const result = await run(['agent', '--settings', settingsFile()]);
     expect(result.code).toBe(2);
     expect(result.error).toContain('run: hibiscusbeam entry --settings');
--- a/test/command_line/spawned.test.ts
+++ b/test/command_line/spawned.test.ts
@@ -42,13 +42,13 @@
     execFileSync(process.execPath, ['-e', script, PROGRAM]);
   });
 
-  test('prints its help and ends with 0', () => {
+  test('prints its help and exits with 0', () => {
     const result = spawnProgram(['--help']);
     expect([result.status, result.stderr]).toEqual([0, '']);
     expect(result.stdout).toContain('Exit codes:');
   });
 
-  test('says on standard error what is wrong and ends with 2', () => {
+  test('prints errors to standard error and exits with 2', () => {
     const result = spawnProgram(['settings', 'check', 'lost.yaml']);
     expect([result.status, result.stdout]).toEqual([2, '']);
     expect(result.stderr).toContain('cannot be read: no such file');
@@ -59,7 +59,7 @@
     expect(result.stdout).toMatch(/^[0-9a-f]{64}\n$/);
   });
 
-  test('outlives whoever reads its errors', () => {
+  test('survives a closed reader of standard error', () => {
     const file = join(FOLDER, 'short.key');
     writeFileSync(file, 'short');
     const command = `"${process.execPath}" "${PROGRAM}" keys hash < "${file}" 2> >(true); echo "ended with $?"`;
@@ -68,7 +68,7 @@
   });
 });
 
-/** A process of the site that answers dumps; gives its address. */
+/** Starts a server that answers dump requests; returns its address. */
 async function serveDumps(): Promise<string> {
   const server = new Server();
   server.addService(PeerService, {
@@ -105,7 +105,7 @@
     expect((await run([...dump, '--json'])).out).toBe('{"queues":[]}\n');
   });
 
-  test('needs the key of the site', async () => {
+  test("requires the site's key", async () => {
     const address = await serveDumps();
     const file = join(FOLDER, 'other.key');
     writeFileSync(file, 'another-key-of-good-length');
--- a/test/command_line/usage.test.ts
+++ b/test/command_line/usage.test.ts
@@ -14,7 +14,7 @@
 
 const KEY_OPTIONS = ['--entry', 'http://127.0.0.1:9', '--key-file', 'x'];
 
-/** Commands that do something, with the words that call them. */
+/** Commands without subcommands, with the words that run them. */
 function leafCommands() {
   const context = {io: {}} as ProgramContext;
   return commandsOf(createProgram(context, () => undefined))
@@ -30,7 +30,7 @@
 }
 
 describe('usage', () => {
-  test('the page has every command with every option', () => {
+  test('the documentation lists every command with every option', () => {
     const documented = PAGE.split('\n### ')
       .slice(1)
       .map(section => {
@@ -47,7 +47,7 @@
     expect(documented).toEqual(expected);
   });
 
-  test('the page has every exit code', () => {
+  test('the documentation lists every exit code', () => {
     expect(tableRows(PAGE, 'Code')).toEqual(Object.entries(EXIT_CODE_MEANINGS));
   });
 
@@ -59,7 +59,7 @@
     }
   });
 
-  test('the version is the one of the package', async () => {
+  test('the version is that of the package', async () => {
     const manifest = JSON.parse(
       readFileSync('packages/hibiscusbeam/package.json', 'utf8'),
     ) as {version: string};
@@ -71,29 +71,32 @@
     ['an unknown command', ['frob']],
     ['an unknown option', ['status', '--frob', ...KEY_OPTIONS]],
     ['no settings', ['entry']],
-    ['settings that are not there', ['entry', '--settings', 'lost.yaml']],
+    ['a missing settings file', ['entry', '--settings', 'lost.yaml']],
     ['an entry by host name', ['status', '--entry', 'http://entry.example']],
-    ['a key file that is not there', ['status', ...KEY_OPTIONS]],
+    ['a missing key file', ['status', ...KEY_OPTIONS]],
     [
-      'a plan id that leads elsewhere',
+      'a plan id that changes the URL path',
       ['intent', 'show', '..', ...KEY_OPTIONS],
     ],
     ['an interval without unit', ['status', '--interval', '1', ...KEY_OPTIONS]],
     ['an address without port', ['dump', '10.0.1.7', '--key-file', 'x']],
-  ])('%s is wrong usage, said on standard error', async (_name, words) => {
-    const result = await run(words);
-    expect([result.code, result.out]).toEqual([2, '']);
-    expect(result.error).not.toBe('');
-  });
+  ])(
+    '%s is reported on standard error as wrong usage',
+    async (_name, words) => {
+      const result = await run(words);
+      expect([result.code, result.out]).toEqual([2, '']);
+      expect(result.error).not.toBe('');
+    },
+  );
 
-  test('a key is hashed without the line end after it', async () => {
+  test('a key is hashed without its trailing line break', async () => {
     const result = await run(['keys', 'hash'], {}, `${OPERATOR_KEY}\r\n`);
     const hash = createHash('sha256').update(OPERATOR_KEY).digest('hex');
     expect(result).toEqual({code: 0, out: `${hash}\n`, error: ''});
     expect((await run(['keys', 'hash'], {}, 'short')).code).toBe(2);
   });
 
-  test('faults of settings come one a line, and as JSON', async () => {
+  test('faults of settings are printed one per line and as JSON', async () => {
     const file = writeKeyFile();
     const result = await run(['settings', 'check', file, '--json']);
     expect(result.code).toBe(2);
