--- a/test/laboratory/swarm_run.test.ts
+++ b/test/laboratory/swarm_run.test.ts
@@ -2,7 +2,7 @@
 import {runSwarm, type SiteAgent} from '@hibiscusbeam/laboratory';
 import {expect, test} from 'vitest';
 
-/** Bytes a second of links of 6.58 and 15 Mbit/s. */
+/** Rates of links of 6.58 and 15 Mbit/s, in bytes per second. */
 const LINK_RATE = 822_500;
 const ORIGIN_RATE = 1_875_000;
 
@@ -10,10 +10,10 @@
 const CHUNK_SIZE = 49_152;
 const VERSION_BYTES = CHUNKS * CHUNK_SIZE;
 
-/** What a link needs for a version. */
+/** Time that a link needs for a version, in milliseconds. */
 const LINK_TIME = (VERSION_BYTES * 1000) / LINK_RATE;
 
-/** Until an agent knows the others, has heard of a version and has settled. */
+/** Time until an agent knows the others, knows the version and has settled. */
 const START_DELAY = 150 + 100 + AGENT_TRANSFER_POLICY.settleTime;
 
 function agents(
@@ -54,7 +54,7 @@
   return Math.max(...results.map(({readyAt}) => readyAt ?? Infinity));
 }
 
-test('one agent alone needs what its link needs', () => {
+test('a single agent takes little longer than its link needs', () => {
   const [only] = runSite(agents(1, () => ({})));
   const minTime = LINK_TIME / (1 - AGENT_TRANSFER_POLICY.headroom);
   expect(only!.readyAt).toBeGreaterThan(minTime);
@@ -62,10 +62,10 @@
   expect(only!.originBytes).toBe(VERSION_BYTES);
 });
 
-// Engines join a site whose others hold the version. Until they have it the
-// site is short of them: 3,313 ms each with a tenth of the link left free,
-// 3,084 ms with what reports need.
-test('an engine that joins waits for little but its own link', () => {
+// Engines join a site whose others hold the version, and the site lacks their
+// capacity until they have it: 3,313 ms each with a tenth of the link kept
+// free, 3,084 ms with only what reports need kept free.
+test('a joining engine is limited by little but its own link', () => {
   const members = agents(19, index =>
     index < 11
       ? {holds: true, linkShare: AGENT_TRANSFER_POLICY.shareBesideLive}
@@ -80,10 +80,10 @@
   expect(results.every(({originBytes}) => originBytes === 0)).toBe(true);
 });
 
-// A version that was named while the origin was away is late when the origin
-// comes back, and no engine may begin anything before it has it. The last of 19
-// had it after 4,055 ms with four downloads, three uploads and a tenth of the
-// link left free.
+// A version that was named while the origin was unavailable is late when the
+// origin is back, and no engine may start requests before it has it. With four
+// downloads, three uploads and a tenth of the link kept free, the last of 19
+// engines had it after 4,055 ms.
 test('all engines have a late version soon after the origin is back', () => {
   const results = runSite(agents(19, () => ({})));
   expect(lastReady(results)).toBeLessThan(3_900);
@@ -91,7 +91,7 @@
   expect(sent).toBe(VERSION_BYTES);
 });
 
-test('a lost origin is asked again soon after it is back', () => {
+test('a lost origin is retried soon after it is back', () => {
   const members = agents(3, () => ({}));
   const before = lastReady(runSite(members));
   const after = lastReady(runSite(members, {}, 5_000));
@@ -101,10 +101,11 @@
 });
 
 // An agent freezes soon after a version was named. It was to fetch a part of it
-// from the origin, and what it had already told of went with it. The others asked
-// for that part only after seconds: the last of them had the version after 8,334
-// ms if the freeze came at 500 ms, past its bound, and no engine might begin
-// anything for two seconds. Now it is 4,591 to 4,618 ms; 4,618 if nobody freezes.
+// from the origin, and what it had already announced is lost with it. When the
+// others requested that part only after seconds, the last of them had the
+// version after 8,334 ms for a freeze at 500 ms, past its bound, and no engine
+// could start requests for two seconds. Now it takes 4,591 to 4,618 ms, and
+// 4,618 ms without a freeze.
 test('an agent that freezes holds up the others for little', () => {
   const last = [200, 300, 400, 500, 600, 800, 1_000].map(frozenFrom => {
     const members = agents(15, index => ({
@@ -116,11 +117,11 @@
   expect(Math.max(...last)).toBeLessThan(4_800);
 });
 
-// Members that are no neighbours of one that freezes hear nothing of it, and one
-// of them is to take its part over. Of ten sites the last engine of the worst had
-// the version after 10,895 ms with a patience of eight times a chunk's time, after
-// 6,099 with three.
-test('a part that nobody knows to be lost is asked for soon', () => {
+// Members that are not neighbours of a frozen agent do not learn of the freeze,
+// but one of them has to take over its part. In the worst of ten sites, the
+// last engine had the version after 10,895 ms with a takeover timeout of eight
+// times a chunk's time, and after 6,099 ms with three times.
+test('a part whose loss nobody notices is requested again soon', () => {
   const last = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10].map(seed => {
     const members = agents(19, index => ({
       instance: `engine-${seed}-${index}`,
@@ -132,12 +133,12 @@
   expect(Math.max(...last)).toBeLessThan(6_500);
 });
 
-// The rate of a site must not fall with its size. Here 41 engines of three zones:
-// each chunk came to another zone only by one of the few neighbours that its copier
-// has there, and all of a zone queued for it at one member. The last engine had
-// the version after 5,511 ms, where its link needs 3,150, and now after 4,496 (means
-// of six seeds).
-test('a version reaches 41 engines in half as much again as one link needs', () => {
+// The rate of a site must not fall with its size. With 41 engines in three
+// zones, each chunk reached another zone only through one of the few neighbours
+// that its copier has there, and all agents of that zone queued for it at one
+// member. The last engine had the version after 5,511 ms, while its link needs
+// 3,150 ms; now it takes 4,496 ms (means of six seeds).
+test('a version reaches 41 engines in 1.5 times the time that one link needs', () => {
   const rate = (5.32 * 1e6) / 8;
   const chunks = 64;
   const chunkSize = 32_768;
@@ -168,7 +169,7 @@
     results.reduce((sum, result) => sum + result[field], 0) /
     (bytes * seeds.length);
   expect(copies('originBytes')).toBeLessThanOrEqual(1.05);
-  // One into each of the two zones that the origin's fetcher is not in.
+  // One copy into each of the two zones without the origin's fetcher.
   expect(copies('crossZoneBytes')).toBeLessThanOrEqual(2.1);
 });
 
