--- a/test/standins/batch.test.ts
+++ b/test/standins/batch.test.ts
@@ -38,7 +38,7 @@
   });
 }
 
-/** When each of a run's tokens comes, on the clock. */
+/** Records the time of each of a run's tokens. */
 function tokenTimes(subject: Run, clock: {now: () => number}): number[] {
   const times: number[] = [];
   subject.follow(
@@ -65,7 +65,7 @@
     expect(batch.load()).toEqual({running: 0, queued: 0});
   });
 
-  it('starts waiting runs by priority, then by age', async () => {
+  it('starts queued runs by priority, then by age', async () => {
     const {clock, batch, started} = setUp();
     const first = ['a', 'b'].map(attempt => run(attempt, {}));
     const late = run('late', {priority: 2});
@@ -132,7 +132,7 @@
 });
 
 describe('prefix cache', () => {
-  it('evicts the least recently used prefix and tells both late', async () => {
+  it('evicts the least recently used prefix and publishes events late', async () => {
     const {clock, cache} = setUp();
     cache.setLag(50);
     for (const prompt of ['a', 'b', 'a', 'c']) cache.use('sha256:1', prompt);
@@ -150,7 +150,7 @@
     expect(cache.use('sha256:2', 'a')).toBe(false);
   });
 
-  it('leaves gaps in the sequence as set', () => {
+  it('omits events from the sequence as set', () => {
     const {cache} = setUp();
     cache.setGapEvery(2);
     for (const prompt of ['a', 'b', 'c']) cache.use('sha256:1', prompt);
--- a/test/standins/engine.test.ts
+++ b/test/standins/engine.test.ts
@@ -85,9 +85,8 @@
 });
 
 it('resumes a cut stream without running it again', async () => {
-  // A caller's stream breaks off half way. The agent asks for the rest by
-  // attempt, and the caller sees each token once. Cause: the link was cut
-  // while the engine went on.
+  // The link is cut halfway while the engine continues. The agent requests the
+  // rest by attempt, and the caller must receive each token once.
   await loadVersion();
   await setFaults({dropNext: 1, tokenTime: 2});
   await expect(generate('a')).rejects.toThrow();
@@ -101,7 +100,7 @@
   expect(runs).toEqual({runs: {a: 1}});
 });
 
-it('crosses the answers of a pair', async () => {
+it('swaps the answers of a pair', async () => {
   await loadVersion();
   await setFaults({crossNext: 1});
   const answers = await Promise.all([generate('a'), generate('b')]);
@@ -140,9 +139,9 @@
 });
 
 it('refuses an order whose fencing number is old, if it checks', async () => {
-  // Two agents both believe they own the engine; the older one was paused and
-  // wakes. Its order to unload would leave callers without a model. Cause: its
-  // lease ran out; the engine has seen the number of the newer one.
+  // An agent was paused until its lease ran out, and still believes that it
+  // owns the engine. The engine knows the newer owner's number; without the
+  // check, the old unload order would leave callers without a model.
   await loadVersion();
   expect((await order(LOAD, 5)).status).toBe(200);
   const stale = await order(UNLOAD, 4);
@@ -157,8 +156,8 @@
 });
 
 it('loads no version with a chunk that is missing or corrupted', async () => {
-  // An answer would come from weights that were never released. Order: a chunk
-  // is put with a flipped bit, then the load is ordered. Cause: a bad link.
+  // A bad link flips a bit of a chunk before the load is ordered. Without the
+  // check, answers would come from weights that were never released.
   const missing = {error: 'incomplete', missing: [CHUNK_DIGEST]};
   const absent = await order(LOAD, 1);
   expect(absent.status).toBe(422);
@@ -183,7 +182,7 @@
   expect(textOf(await answer)).toBe(expectedText('a', 20));
 });
 
-it('answers nothing while frozen, and goes on after', async () => {
+it('answers nothing while frozen, and resumes after', async () => {
   await loadVersion();
   await setFaults({frozen: true});
   let answered = false;
@@ -191,8 +190,8 @@
     answered = true;
     return value;
   });
-  // The test's own routes still answer. A right engine passes however long
-  // this takes; the rounds give a wrong one the time to answer.
+  // Control routes still answer. A correct engine passes however long this
+  // takes; the rounds give a faulty one time to answer.
   for (let round = 0; round < 20; round += 1) {
     const runs = await sendJson('GET', `${engine.address}/runs`);
     expect(runs).toEqual({runs: {}});
--- a/test/standins/http.ts
+++ b/test/standins/http.ts
@@ -1,13 +1,13 @@
 import {request} from 'undici';
 import type {Dispatcher} from 'undici';
 
-/** An answer, its body parsed by line (NDJSON) or as a whole. */
+/** Status and body of an answer. */
 export interface Answer {
   readonly status: number;
   readonly text: string;
 }
 
-/** Sends one request; `body` goes as JSON, or as it is if it is bytes. */
+/** Sends one request; `body` is sent as JSON, or unchanged if it is bytes. */
 export async function send(
   method: Dispatcher.HttpMethod,
   url: string,
@@ -24,7 +24,7 @@
   return {status: response.statusCode, text: await response.body.text()};
 }
 
-/** Sends one request and gives its answer's JSON. */
+/** Sends one request and parses its answer as JSON. */
 export async function sendJson(
   ...parameters: Parameters<typeof send>
 ): Promise<unknown> {
--- a/test/standins/manual_clock.ts
+++ b/test/standins/manual_clock.ts
@@ -1,17 +1,17 @@
 import type {Clock} from '@hibiscusbeam/standins';
 
-/** A clock that stands still until a test moves it. */
+/** A clock that only the test advances. */
 export interface ManualClock extends Clock {
-  /** Lets `duration` milliseconds pass; waits end in their order. */
+  /** Advances by `duration` milliseconds; waits end in order of their time. */
   readonly advance: (duration: number) => Promise<void>;
 }
 
-/** Lets all that follows from settled promises run. */
+/** Runs all callbacks of settled promises. */
 function flushPromises(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
 
-/** A clock at 0. */
+/** Creates a clock at 0. */
 export function createManualClock(): ManualClock {
   let now = 0;
   let waits: {readonly at: number; readonly resolve: () => void}[] = [];
--- a/test/standins/services.test.ts
+++ b/test/standins/services.test.ts
@@ -36,7 +36,7 @@
   expect(runs).toEqual({runs: {a: 1}});
 });
 
-it('crosses the replies of a pair of calls', async () => {
+it('swaps the replies of a pair of calls', async () => {
   const address = await trackStandIn(startPlainService({listen: LISTEN}));
   await send('POST', `${address}/faults`, {crossNext: 1, callTime: 0});
   const replies = await Promise.all([call(address, 'a'), call(address, 'b')]);
@@ -86,8 +86,9 @@
 });
 
 it('stops orders and requests at once for what the older system loses', async () => {
-  // During the switch both systems would give one engine orders. Order: the
-  // older system loads its version, loses the target, and a newer label comes.
+  // The older system loads its version, loses the target, and then a new
+  // version is published. If it continued, both systems would send orders to
+  // one engine during the switch.
   const platform = await trackStandIn(startPlatform({listen: LISTEN}));
   const engine = await trackStandIn(startEngine({listen: LISTEN, loadTime: 0}));
   const version = {model: 'notes', label: '1', chunkCount: 2, chunkSize: 1_000};
--- a/test/standins/timing.test.ts
+++ b/test/standins/timing.test.ts
@@ -18,7 +18,7 @@
           for (const amount of transfer) {
             await pacer.take(amount);
             sent += amount;
-            // Bytes per millisecond, with the 20 ms that may be made up for.
+            // One byte per millisecond, plus a burst of 20 ms.
             expect(sent).toBeLessThanOrEqual(clock.now() + 20 + 1e-6);
           }
         });
@@ -31,14 +31,14 @@
     );
   });
 
-  it('holds nobody back without a rate', async () => {
+  it('does not delay senders without a rate', async () => {
     const pacer = createPacer(createManualClock(), null);
     await pacer.take(1e12);
   });
 });
 
 describe('rate limit', () => {
-  it('takes one second of calls at once, then says when to come back', async () => {
+  it('admits one second of calls at once, then returns the time to wait', async () => {
     const clock = createManualClock();
     const limit = createRateLimit(clock, 10);
     const taken = Array.from({length: 10}, limit.take);
@@ -49,7 +49,7 @@
     expect(limit.take()).toBeGreaterThan(0);
   });
 
-  it('lets one call pass in its turn at less than one a second', async () => {
+  it('admits single calls at a rate below one per second', async () => {
     const clock = createManualClock();
     const limit = createRateLimit(clock, 0.5);
     await clock.advance(10_000);
@@ -58,7 +58,7 @@
   });
 });
 
-it('shows a value as it stood the lag ago', async () => {
+it('shows a value with its lag', async () => {
   const clock = createManualClock();
   const view = createLaggedView(clock, 'first');
   view.setLag(50);
