--- a/packages/platform/src/node/chunk_stream.ts
+++ b/packages/platform/src/node/chunk_stream.ts
@@ -5,16 +5,20 @@
 import {responseErrorOf, transportErrorOf} from './errors';
 import {baseAddress, createConnectionPool} from './http_client';
 
-/** Chunks in transfer at once; apart from other calls, which must not wait. */
+/**
+ * Max concurrent chunk transfers. They have their own pool so that other calls
+ * never wait for them.
+ */
 const MAX_CONNECTIONS = 16;
 
 /**
- * Longest silence on a transfer. The caller gives up sooner, by what it has
- * learned; this only ends a transfer that the caller forgot.
+ * Max time without a byte on a transfer. Callers abort sooner, by the transfer
+ * times they observe; this only ends a transfer that its caller forgot to
+ * abort.
  */
 const MAX_SILENCE: Milliseconds = 60_000;
 
-/** Reads chunks from the origin as their bytes come. */
+/** Streams chunks from the weight origin as their bytes arrive. */
 export function createChunkStream(
   url: string,
 ): (
--- a/packages/platform/src/node/errors.ts
+++ b/packages/platform/src/node/errors.ts
@@ -1,12 +1,12 @@
 import type {Milliseconds, PlatformError} from '@hibiscusbeam/core';
 
-/** When to come back if the platform refused without saying when. */
+/** Retry delay if the platform refuses a call without naming one. */
 const DEFAULT_RETRY_AFTER: Milliseconds = 100;
 
 const FIRST_ERROR_STATUS = 400;
 const FIRST_SERVER_ERROR_STATUS = 500;
 
-/** Errors that come before the first byte of a request is sent. */
+/** Codes of errors that occur before the first byte of a request is sent. */
 const CONNECT_ERROR_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -14,10 +14,10 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** Whether a call may have taken effect when its answer did not come. */
+/** Whether a call only reads or may take effect even if no answer arrives. */
 export type CallEffect = 'read' | 'write';
 
-/** The part of a response that says whether the call was refused. */
+/** Status and headers of a response. */
 export interface ResponseHead {
   readonly statusCode: number;
   readonly headers: {
@@ -30,7 +30,7 @@
   return Number.isFinite(retryAfter) ? retryAfter : DEFAULT_RETRY_AFTER;
 }
 
-/** What a response other than a success means; undefined for a success. */
+/** Maps an error status to a platform error; undefined for a success. */
 export function responseErrorOf(
   response: ResponseHead,
   effect: CallEffect,
@@ -49,7 +49,7 @@
   if (statusCode < FIRST_SERVER_ERROR_STATUS) {
     return {kind: 'malformed', detail};
   }
-  // Any other server error may come after the write took effect, for example
+  // Any other server error may follow a write that took effect, for example
   // from a gateway that lost the answer; only reading back can tell.
   return {kind: effect === 'write' ? 'replyLost' : 'unavailable', detail};
 }
@@ -59,7 +59,9 @@
   return 'code' in error ? String(error.code) : '';
 }
 
-/** What a call that ended without a whole response means. */
+/**
+ * Maps the failure of a call without a complete response to a platform error.
+ */
 export function transportErrorOf(
   error: unknown,
   effect: CallEffect,
@@ -69,7 +71,7 @@
   if (CONNECT_ERROR_CODES.has(codeOf(error))) {
     return {kind: 'unavailable', detail};
   }
-  // A write whose answer did not come may have taken effect: the connection
-  // may have been cut, or the time run out, after the platform wrote it.
+  // A write without an answer may have taken effect: the connection may have
+  // been closed, or the call timed out, after the platform wrote it.
   return {kind: 'replyLost', detail};
 }
--- a/packages/platform/src/node/http_client.ts
+++ b/packages/platform/src/node/http_client.ts
@@ -8,7 +8,7 @@
 import {parseJson} from './parse_json';
 import {responseErrorOf, transportErrorOf} from './errors';
 
-/** Calls to the platform in flight at once; more wait for a connection. */
+/** Max calls to the platform in flight; more wait for a connection. */
 const MAX_CONNECTIONS = 16;
 
 /** One call to the platform. */
@@ -17,15 +17,15 @@
   readonly path: string;
   /** Sent as JSON. */
   readonly body?: unknown;
-  /** Sent as it is. */
+  /** Sent unchanged. */
   readonly bytes?: Uint8Array;
   /** Whether the call may have taken effect if no answer comes. */
   readonly effect: 'read' | 'write';
 }
 
-/** Calls with a timeout, over connections of its own. */
+/** HTTP client with a call timeout and its own connections. */
 export interface HttpClient {
-  /** The answer as JSON that fits `schema`. */
+  /** Parses the answer as JSON and validates it against `schema`. */
   readonly json: <Body>(
     call: HttpCall,
     schema: ZodType<Body>,
@@ -36,21 +36,21 @@
   ) => Promise<Result<Uint8Array, PlatformError>>;
 }
 
-/** What a client calls and how long it waits. */
+/** Options of {@link createHttpClient}. */
 export interface HttpClientOptions {
   readonly url: string;
-  /** Whole time that a call may take, its body included. */
+  /** Timeout of a whole call, including its body. */
   readonly timeout: Milliseconds;
 }
 
-/** The base address; throws unless its host is an IP number. */
+/** Returns the origin of `url`; throws unless its host is an IP number. */
 export function baseAddress(url: string): string {
   const {origin, hostname} = new URL(url);
   if (isIP(hostname.replace(/^\[|\]$/g, '')) !== 0) return origin;
   throw new Error(`platform address ${url}: the host must be an IP number`);
 }
 
-/** Connections of their own, at most `connections` of them. */
+/** Creates a separate pool of at most `connections` connections. */
 export function createConnectionPool(connections: number): Agent {
   return new Agent({connections, pipelining: 1});
 }
@@ -69,7 +69,7 @@
   };
 }
 
-/** Creates a client; it keeps connections open for later calls. */
+/** Creates a client that keeps connections open for later calls. */
 export function createHttpClient(options: HttpClientOptions): HttpClient {
   const base = baseAddress(options.url);
   const dispatcher = createConnectionPool(MAX_CONNECTIONS);
@@ -109,8 +109,8 @@
       const content = await text(call);
       if (content.err) return content;
       const parsed = parseJson(content.val, schema, call.path);
-      // An answer to a write that cannot be read says nothing about its effect;
-      // to call it refused would let a write that took effect be made twice.
+      // An unreadable answer to a write says nothing about its effect. Reported
+      // as a refusal, a write that took effect could be made twice.
       if (parsed.err && call.effect === 'write') {
         return Err({kind: 'replyLost', detail: parsed.val.detail});
       }
--- a/packages/platform/src/node/http_platform.ts
+++ b/packages/platform/src/node/http_platform.ts
@@ -27,13 +27,13 @@
   scanAnswerSchema,
 } from './schemas';
 
-/** How to reach the platform. */
+/** Options of {@link createHttpPlatform}. */
 export interface HttpPlatformOptions {
   /** Base address, `http://IP:port`. */
   readonly url: string;
-  /** Whole time that one call may take; chunks are the caller's to bound. */
+  /** Timeout of one whole call; callers bound chunk transfers themselves. */
   readonly timeout: Milliseconds;
-  /** If given, a manifest is checked against the digest it was asked by. */
+  /** If given, each manifest is verified against the requested digest. */
   readonly digestText?: DigestText;
 }
 
@@ -95,10 +95,10 @@
     const text = await client.text({method: 'GET', path, effect: 'read'});
     return text.andThen(content => {
       const digest = options.digestText?.(content) ?? versionDigest;
-      // A manifest of another version would mix weights: its chunks would be
-      // loaded under this version's name. Its digest shows that.
+      // With the manifest of another version, that version's chunks would be
+      // loaded under this version's name; the digest detects this.
       if (digest !== versionDigest) {
-        const detail = `${path}: the digest is ${digest}`;
+        const detail = `${path}: unexpected digest ${digest}`;
         return Err({kind: 'malformed', detail} as const);
       }
       return parseJson(content, manifestSchema, path);
@@ -131,7 +131,10 @@
   };
 }
 
-/** The platform over HTTP. Throws if the address is no IP number. */
+/**
+ * Creates a client of the platform over HTTP; throws if the host of the address
+ * is not an IP number.
+ */
 export function createHttpPlatform(options: HttpPlatformOptions): Platform {
   const client = createHttpClient(options);
   return {
--- a/packages/platform/src/node/parse_json.ts
+++ b/packages/platform/src/node/parse_json.ts
@@ -3,7 +3,7 @@
 import type {Result} from 'ts-results';
 import type {ZodType} from 'zod';
 
-/** An answer that is not as agreed. */
+/** Error of an answer that is not JSON or doesn't match its schema. */
 type MalformedError = Extract<PlatformError, {readonly kind: 'malformed'}>;
 
 function jsonOrUndefined(content: string): unknown {
@@ -14,7 +14,7 @@
   }
 }
 
-/** JSON that fits `schema`; `source` is named in the error. */
+/** Parses JSON and validates it against `schema`; errors name `source`. */
 export function parseJson<Body>(
   content: string,
   schema: ZodType<Body>,
@@ -22,6 +22,6 @@
 ): Result<Body, MalformedError> {
   const parsed = schema.safeParse(jsonOrUndefined(content));
   if (parsed.success) return Ok(parsed.data);
-  const detail = `${source}: answer does not fit: ${parsed.error.message}`;
+  const detail = `${source}: unexpected answer: ${parsed.error.message}`;
   return Err({kind: 'malformed', detail});
 }
--- a/packages/platform/src/node/schemas.ts
+++ b/packages/platform/src/node/schemas.ts
@@ -3,7 +3,7 @@
 
 const digest = z.string().regex(/^sha256:[0-9a-f]{64}$/);
 
-// The value comes from JSON.parse, so that any value present is JSON.
+// The value comes from JSON.parse, so any defined value is JSON.
 const jsonValue = z.custom<JsonValue>(value => value !== undefined);
 
 const rowSchema = z.object({
@@ -37,7 +37,7 @@
   ]),
 });
 
-/** Answer to which version a label names. */
+/** Answer to the resolution of a version label. */
 export const resolveAnswerSchema = z.object({versionDigest: digest});
 
 /** A version's manifest. */
@@ -47,7 +47,7 @@
   chunks: z.array(z.object({digest, size: z.int().nonnegative()})),
 });
 
-/** Answer to which instances there are. */
+/** Answer to a request for the list of instances. */
 export const instancesAnswerSchema = z.object({
   instances: z.array(
     z.object({
--- a/packages/platform/src/types/ports.ts
+++ b/packages/platform/src/types/ports.ts
@@ -14,7 +14,7 @@
 } from '@hibiscusbeam/core';
 import type {Result} from 'ts-results';
 
-/** A call's answer, or why the platform gave none. */
+/** A call's result, or the platform's error. */
 export type PlatformReply<Value> = Promise<Result<Value, PlatformError>>;
 
 /** The platform's transactional table service. */
@@ -44,32 +44,32 @@
     label: string,
   ) => PlatformReply<VersionDigest>;
   readonly manifest: (versionDigest: VersionDigest) => PlatformReply<Manifest>;
-  /** Yields the chunk's bytes as they come; not verified. */
+  /** Yields the chunk's bytes as they arrive, unverified. */
   readonly chunk: (
     digest: Digest,
     signal: AbortSignal,
   ) => AsyncIterable<Result<Uint8Array, PlatformError>>;
 }
 
-/** One line of the platform's lagging list of instances. */
+/** An instance in the platform's list, which lags. */
 export interface ListedInstance {
   readonly instance: InstanceName;
   readonly role: 'entry' | 'agent';
-  /** Address of the process's gRPC face, `IP:port`. */
+  /** Address of the process's gRPC server, `IP:port`. */
   readonly address: string;
-  /** Address of an entry's HTTP face, `IP:port`; absent for agents. */
+  /** Address of an entry's HTTP server, `IP:port`; absent for agents. */
   readonly callerAddress?: string;
   readonly zone: ZoneName;
   readonly region: RegionName;
   readonly state: 'live' | 'leaving';
 }
 
-/** The platform's list of instances; late by seconds. */
+/** The platform's list of instances, which lags by seconds. */
 export interface InstanceList {
   readonly list: () => PlatformReply<readonly ListedInstance[]>;
 }
 
-/** All of the platform that our processes use. */
+/** The platform services that this system's processes use. */
 export interface Platform {
   readonly table: TableService;
   readonly objects: ObjectStore;
