--- a/packages/daemon/src/targets/engine_client.ts
+++ b/packages/daemon/src/targets/engine_client.ts
@@ -15,12 +15,12 @@
 } from './types';
 
 /**
- * Connections to one engine: one for each of its running streams, with room
- * for chunks, orders and reports beside them.
+ * Max connections to one engine: one for each running stream, with room for
+ * chunks, orders and reports alongside.
  */
 const MAX_CONNECTIONS = 128;
 
-/** Longest line of an engine's answer, in characters. */
+/** Max length of a line of an engine's answer, in characters. */
 const MAX_LINE_LENGTH = 1024 * 1024;
 
 const reportSchema = z.object({
@@ -67,7 +67,7 @@
 const JSON_HEADERS = {'content-type': 'application/json'};
 const BYTES_HEADERS = {'content-type': 'application/octet-stream'};
 
-/** HTTP client of the model engine at `url`. */
+/** Creates an HTTP client of the model engine at `url`. */
 export function createEngineClient(
   url: string,
   orderGiver: string,
--- a/packages/daemon/src/targets/http_exchange.ts
+++ b/packages/daemon/src/targets/http_exchange.ts
@@ -5,12 +5,12 @@
 import type {z} from 'zod';
 import type {TargetError} from './types';
 
-/** A call to a target without answer for so long counts as cut. */
+/** Default call timeout, after which the call counts as cut. */
 const CALL_TIMEOUT: Milliseconds = 10_000;
 
 const CONNECT_TIMEOUT: Milliseconds = 2_000;
 
-/** Errors that happen before any byte of a request is sent. */
+/** Codes of errors that occur before any byte of a request is sent. */
 const CONNECT_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -25,11 +25,14 @@
   readonly body?: string | Uint8Array | Readable;
   readonly headers?: Readonly<Record<string, string>>;
   readonly signal?: AbortSignal;
-  /** Undefined waits as long as the signal allows. */
+  /**
+   * If undefined, only `signal` limits the call, or the default timeout without
+   * a signal.
+   */
   readonly timeout?: Milliseconds;
 }
 
-/** HTTP to one target, with bounded connections. */
+/** HTTP client of one target with a bounded number of connections. */
 export interface TargetExchange {
   readonly open: (
     call: TargetCall,
@@ -44,7 +47,7 @@
   readonly close: () => Promise<void>;
 }
 
-/** Turns what undici throws into a target's error. */
+/** Maps an error thrown by undici to a target error. */
 export function targetErrorOf(error: unknown): TargetError {
   const detail = error instanceof Error ? error.message : String(error);
   const code = (error as {code?: unknown} | null)?.code;
@@ -54,7 +57,7 @@
   return {kind: 'cut', detail};
 }
 
-/** Opens a bounded pool of connections to the target at `url`. */
+/** Creates a bounded pool of connections to the target at `url`. */
 export function createTargetExchange(
   url: string,
   connections: number,
@@ -111,7 +114,7 @@
   };
 }
 
-/** Reads `content` as JSON of the given form. */
+/** Parses `content` as JSON and validates it against `schema`. */
 export function parseJson<Value>(
   content: Uint8Array | string,
   schema: z.ZodType<Value>,
@@ -136,7 +139,7 @@
     const body = JSON.parse(text) as {error?: unknown};
     if (typeof body.error === 'string') error = body.error;
   } catch {
-    // The status alone tells enough.
+    // Without a JSON body, the status alone describes the refusal.
   }
   return {
     kind: 'refused',
--- a/packages/daemon/src/targets/plain_service_client.ts
+++ b/packages/daemon/src/targets/plain_service_client.ts
@@ -3,12 +3,12 @@
 import {Ok} from 'ts-results';
 import type {PlainServiceClient} from './types';
 
-/** Calls that run on one plain service at a time, at most. */
+/** Max concurrent calls to one plain service. */
 const MAX_CONNECTIONS = 64;
 
 const answerSchema = z.object({attempt: z.string(), result: z.unknown()});
 
-/** HTTP client of the plain service at `url`. */
+/** Creates an HTTP client of the plain service at `url`. */
 export function createPlainServiceClient(url: string): PlainServiceClient {
   const exchange = createTargetExchange(url, MAX_CONNECTIONS);
   return {
--- a/packages/daemon/src/targets/types.ts
+++ b/packages/daemon/src/targets/types.ts
@@ -23,10 +23,10 @@
   | {readonly kind: 'cut'; readonly detail: string}
   | {readonly kind: 'malformed'; readonly detail: string};
 
-/** A target's answer, or why there is none. */
+/** A call's result, or the target's error. */
 export type TargetReply<Value> = Promise<Result<Value, TargetError>>;
 
-/** What a model engine says of itself; late by `ageMilliseconds`. */
+/** State reported by a model engine, `ageMilliseconds` old. */
 export interface EngineReport {
   readonly life: string;
   readonly loaded: readonly {
@@ -40,7 +40,10 @@
   readonly ageMilliseconds: Milliseconds;
 }
 
-/** An order to a model engine. Names the whole wanted state; idempotent. */
+/**
+ * An order to a model engine. Idempotent, since it names the complete wanted
+ * state.
+ */
 export type EngineOrder =
   | {
       readonly kind: 'load';
@@ -56,7 +59,7 @@
   readonly prefix: number;
 }
 
-/** One generation to run on a model engine. */
+/** A generation to run on a model engine. */
 export interface GenerateWork {
   readonly attempt: AttemptId;
   readonly model: ModelName;
@@ -86,9 +89,9 @@
       readonly versionDigest: VersionDigest;
     };
 
-/** A model engine, as its agent uses it. */
+/** An agent's client of its model engine. */
 export interface EngineClient {
-  /** Sends the pieces one after the other, without copying them together. */
+  /** Sends the pieces one after the other without concatenating them. */
   readonly putChunk: (
     digest: Digest,
     pieces: readonly Uint8Array[],
@@ -102,7 +105,9 @@
     readonly events: readonly CacheEvent[];
     readonly latest: number;
   }>;
-  /** Frames as they come; ends after the end frame or the first error. */
+  /**
+   * Yields frames as they arrive; ends after the end frame or the first error.
+   */
   readonly generate: (
     work: GenerateWork,
     signal: AbortSignal,
@@ -111,18 +116,18 @@
   readonly close: () => Promise<void>;
 }
 
-/** A plain service's answer; it names the attempt that it is for. */
+/** A plain service's answer and the attempt it belongs to. */
 export interface PlainServiceAnswer {
   readonly attempt: AttemptId;
   /** JSON text of the result. */
   readonly content: Uint8Array;
 }
 
-/** A plain service, as its agent uses it. */
+/** An agent's client of its plain service. */
 export interface PlainServiceClient {
   /**
-   * Runs one call; `content` is the JSON text of the request's body. The
-   * answer may be another attempt's: whoever asks must match it.
+   * Runs one call; `content` is the JSON text of the request's body. The answer
+   * may belong to another attempt, so the caller must compare the ids.
    */
   readonly call: (
     attempt: AttemptId,
