--- a/packages/daemon/src/older_system/older_system_client.ts
+++ b/packages/daemon/src/older_system/older_system_client.ts
@@ -7,14 +7,14 @@
 import {Agent, request} from 'undici';
 import * as z from 'zod';
 
-/** An older system without answer for so long counts as silent. */
+/** Call timeout, after which the older system counts as silent. */
 const CALL_TIMEOUT: Milliseconds = 1_000;
 
 const MAX_CONNECTIONS = 2;
 
-/** What the older system says of itself, all of one moment. */
+/** State reported by the older system, all as of the same time. */
 export interface OlderSystemState {
-  /** The generation whose ownership it follows; 0 before it was told any. */
+  /** The generation whose ownership it follows; 0 before it received any. */
   readonly generation: Generation;
   /** What it still owns. */
   readonly targets: readonly TargetName[];
@@ -24,20 +24,20 @@
   readonly busyWorkspaces: readonly WorkspaceName[];
 }
 
-/** What the older system is told to own from a generation on. */
+/** What the older system is to own from a generation on. */
 export interface Ownership {
   readonly generation: Generation;
   readonly targets: readonly TargetName[];
   readonly workspaces: readonly WorkspaceName[];
 }
 
-/** The older system as an entry reaches it. */
+/** An entry's client of the older system. */
 export interface OlderSystemClient {
-  /** Undefined if it does not answer, or not in words that are understood. */
+  /** Undefined if it does not answer or its answer is malformed. */
   readonly state: () => Promise<OlderSystemState | undefined>;
   /**
-   * Tells it what it owns. It keeps what a higher generation has told it, so
-   * this may come late and more than once.
+   * Sends it what it owns. It keeps the ownership of the highest generation it
+   * received, so this may arrive late and more than once.
    */
   readonly sendOwnership: (ownership: Ownership) => Promise<void>;
   readonly close: () => Promise<void>;
@@ -53,7 +53,7 @@
   busyWorkspaces: namesSchema,
 });
 
-/** A client of the older system at a base address. */
+/** Creates a client of the older system at a base address. */
 export function createOlderSystemClient(url: string): OlderSystemClient {
   const dispatcher = new Agent({connections: MAX_CONNECTIONS});
   const base = url.replace(/\/$/, '');
@@ -84,7 +84,8 @@
       return stateSchema.safeParse(value).data;
     },
     sendOwnership: async ownership => {
-      // Whether it took effect shows in its state, which is asked for again.
+      // Errors are ignored: whether it took effect shows in the state, which is
+      // read again.
       await send('PUT', '/ownership', ownership).catch(() => undefined);
     },
     close: () => dispatcher.destroy(),
--- a/packages/daemon/src/older_system/ownership_announcer.ts
+++ b/packages/daemon/src/older_system/ownership_announcer.ts
@@ -13,16 +13,19 @@
   Ownership,
 } from './older_system_client';
 
-/** Pause of the entry whose turn it is. */
+/** Check period of the entry with rank 0. */
 const BASE_PERIOD: Milliseconds = 500;
 
-/** Further entries look so much more seldom, by rank. */
+/**
+ * Added to the check period for each rank, so that other entries check less
+ * often.
+ */
 const PERIOD_PER_RANK: Milliseconds = 3_000;
 
-/** Entries that look at all; more would only add calls. */
+/** Max entries that check; more would only add calls. */
 const MAX_ANNOUNCERS = 3;
 
-/** Tells the older system what it owns, until stopped. */
+/** Keeps the older system's ownership up to date until stopped. */
 export interface OwnershipAnnouncer {
   readonly stop: () => void;
 }
@@ -31,15 +34,15 @@
 export interface OwnershipAnnouncerOptions {
   readonly olderSystem: OlderSystemClient;
   readonly current: () => AcceptedConfiguration | undefined;
-  /** Position of this entry among the live ones; 0 tells first. */
+  /** Position of this entry among the live ones; rank 0 announces first. */
   readonly rank: () => number;
   readonly log: Log;
 }
 
 /**
- * Brings the older system to the ownership of the generation that this entry
- * knows. Each entry may do so at any time: the older system keeps to the
- * highest generation that it was told.
+ * Sends the older system the ownership of the generation that this entry knows.
+ * Any entry may do so at any time: the older system keeps the ownership of the
+ * highest generation it received.
  */
 export function startOwnershipAnnouncer(
   options: OwnershipAnnouncerOptions,
@@ -53,7 +56,7 @@
     const state = await olderSystem.state();
     if (state === undefined || state.generation >= accepted.generation) return;
     await olderSystem.sendOwnership(ownershipAt(accepted, state));
-    log.info(`told the older system of generation ${accepted.generation}`);
+    log.info(`sent generation ${accepted.generation} to the older system`);
   };
 
   const run = async (): Promise<void> => {
@@ -69,12 +72,12 @@
   return {stop: () => stopping.abort()};
 }
 
-/** An entry that becomes first learns it within this time. */
+/** An entry that becomes first notices it within this time. */
 const MAX_PERIOD: Milliseconds = BASE_PERIOD + 2 * PERIOD_PER_RANK;
 
 /**
- * What the older system owns at a configuration. What the configuration does
- * not name has never been ours, and stays with the older system.
+ * What the older system owns under a configuration. What the configuration does
+ * not name never belonged to this system and stays with the older one.
  */
 export function ownershipAt(
   {generation, configuration}: AcceptedConfiguration,
--- a/packages/daemon/src/platform_access/measured_platform.ts
+++ b/packages/daemon/src/platform_access/measured_platform.ts
@@ -6,7 +6,7 @@
 
 type Call<Value> = () => Promise<Result<Value, PlatformError>>;
 
-/** The same platform, with each call counted and timed. */
+/** Wraps a platform so that each call is counted and timed. */
 export function measurePlatform(
   platform: Platform,
   metrics: Metrics,
@@ -42,7 +42,7 @@
         measure('weights.resolve', () => weights.resolve(model, label)),
       manifest: versionDigest =>
         measure('weights.manifest', () => weights.manifest(versionDigest)),
-      // Chunks are counted by the transfers, byte by byte.
+      // Transfers count the bytes of chunks themselves.
       chunk: weights.chunk,
     },
     instances: {
