--- a/packages/daemon/src/configuration/configuration_driver.ts
+++ b/packages/daemon/src/configuration/configuration_driver.ts
@@ -22,17 +22,22 @@
 import {digestText} from '../runtime/digests';
 import {drive} from '../runtime/drive';
 
-/** Period in which the keeper looks for newer generations. */
+/**
+ * Period at which the manager checks for newer generations, in milliseconds.
+ */
 export const CONFIGURATION_TICK_PERIOD = 250;
 
-/** A higher number than any generation: asks for the number alone. */
+/**
+ * Higher than any generation, so that a pull returns only the peer's
+ * generation.
+ */
 export const GENERATION_ONLY = Number.MAX_SAFE_INTEGER;
 
-/** How the configuration travels between processes. */
+/** Exchanges configurations between processes. */
 export interface ConfigurationTransport {
-  /** Processes that may be asked, ready or not. */
+  /** Processes that may be queried, ready or not. */
   readonly peers: () => Promise<readonly InstanceName[]>;
-  /** Peers that a session is open with. */
+  /** Peers with an open session. */
   readonly connected: () => readonly InstanceName[];
   readonly liveProcesses: () => number;
   readonly pull: (
@@ -55,7 +60,7 @@
   readonly onHead: (head: HeadRow) => void;
 }
 
-/** One process's configuration, learned, kept and passed on. */
+/** Learns, holds and distributes the configuration of one process. */
 export interface ConfigurationDriver {
   /** Resolves once the generation in force is known. */
   readonly start: () => Promise<void>;
@@ -64,16 +69,16 @@
     peer: InstanceName,
     generation: Generation,
   ) => void;
-  /** Takes a configuration that this process has just committed. */
+  /** Offers a configuration that this process has just committed. */
   readonly offerCommitted: (accepted: AcceptedConfiguration) => void;
-  /** Takes that the head has come to this generation. */
+  /** Reports that the head row has reached this generation. */
   readonly receiveHead: (generation: Generation) => void;
   readonly reply: (knownGeneration: Generation) => PullConfigurationReply;
   readonly tick: () => void;
   readonly dump: () => unknown;
 }
 
-/** Drives the generation keeper of core over table and peers. */
+/** Runs the core's generation manager against the table and the peers. */
 export function createConfigurationDriver(
   options: ConfigurationDriverOptions,
 ): ConfigurationDriver {
@@ -130,7 +135,7 @@
     const offered = activeManager.offer(value, source, clock());
     if (offered.ok) return applyEffects(offered.val);
     if (offered.val.kind === 'notGenuine') {
-      log.warn(`refused a configuration that does not fit its digest`);
+      log.warn(`refused a configuration whose digest does not match`);
     }
   };
 
