--- a/packages/daemon/src/logs/create_log.ts
+++ b/packages/daemon/src/logs/create_log.ts
@@ -6,12 +6,12 @@
 const LEVELS = ['debug', 'info', 'warn', 'error'] as const;
 
 interface Line {
-  /** The part's prefix and the sentence. */
+  /** The message with the prefix of its part. */
   readonly message: string;
   readonly fields: unknown;
 }
 
-/** A log of one part of the process, by default to standard error. */
+/** Creates the log of one part of the process, by default to standard error. */
 export function createLog(options: LogOptions): Log {
   const logger = new Logger<Line>(loggerSettings(options));
   const mask = createMask(options.secrets ?? []);
@@ -35,7 +35,7 @@
   const write = options.write ?? (line => void process.stderr.write(line));
   const format = options.settings.format === 'json' ? formatJson : formatPretty;
   return {
-    // tslog would print to standard output; the transport below writes.
+    // Keeps tslog from printing to standard output; the transport below writes.
     type: 'hidden',
     hideLogPositionForProduction: true,
     attachedTransports: [
@@ -58,7 +58,7 @@
 }
 
 function formatPretty(time: string, level: string, line: Line): string {
-  // A line break in a name from outside would look like a line of its own.
+  // Escapes line breaks, since one in an external name could forge a log line.
   const message = JSON.stringify(line.message).slice(1, -1);
   const fields = Object.entries(line.fields as object)
     .map(([name, value]) => ` ${name}=${JSON.stringify(value)}`)
--- a/packages/daemon/src/logs/mask.ts
+++ b/packages/daemon/src/logs/mask.ts
@@ -14,14 +14,20 @@
 
 const BEARER_TOKEN = /(?<=bearer\s+)[^\s"']+/gi;
 
-/** Takes secrets out of texts, and whole values out of secret fields. */
+/** Masks secrets in texts, and the whole values of secret fields. */
 export interface Mask {
   readonly text: (text: string) => string;
-  /** What is logged for a field of this name, or undefined for its value. */
+  /**
+   * The text logged instead of the value of a field with this name; undefined
+   * if its value is logged.
+   */
   readonly field: (name: string) => string | undefined;
 }
 
-/** Masks the given texts wherever they stand, and all bearer tokens. */
+/**
+ * Creates a mask for the given texts wherever they occur, and for all bearer
+ * tokens.
+ */
 export function createMask(secrets: readonly string[]): Mask {
   const nonEmptySecrets = secrets.filter(secret => secret !== '');
   return {
--- a/packages/daemon/src/logs/plain_values.ts
+++ b/packages/daemon/src/logs/plain_values.ts
@@ -1,17 +1,16 @@
 import type {Mask} from './mask';
 
-// Bounds on one line, so that an odd value cannot flood the log.
+// Limits on one line, so that an unusual value cannot flood the log.
 const MAX_DEPTH = 4;
 const MAX_TEXT_LENGTH = 1_000;
 const MAX_ITEMS = 50;
 
 /**
- * A value made of plain objects, lists, texts and numbers only, bounded and
- * without secrets.
+ * Converts a value to plain objects, arrays, strings and numbers, with limited
+ * size and without secrets.
  *
- * Done here and not by the logger, whose own masking passes over errors, maps
- * and whatever looks like an error: the site's key within an error's message
- * would be logged.
+ * The logger's own masking skips errors, maps and error-like objects, so it
+ * would log the site's key if an error message contained it.
  */
 export function toPlain(value: unknown, mask: Mask, depth = 0): unknown {
   if (typeof value === 'string') return plainText(value, mask);
@@ -34,9 +33,9 @@
   return plainEntries(Object.entries(value), mask, depth);
 }
 
-/** A text without secrets, cut if it is long. */
+/** Masks the secrets in a text and truncates it if it is long. */
 export function plainText(text: string, mask: Mask): string {
-  // Masked before it is cut: half a key at the cut would not be found.
+  // Masked before truncation, which could split a key so that it is not found.
   const masked = mask.text(text);
   if (masked.length <= MAX_TEXT_LENGTH) return masked;
   return `${masked.slice(0, MAX_TEXT_LENGTH)}… (${masked.length} characters)`;
--- a/packages/daemon/src/logs/types.ts
+++ b/packages/daemon/src/logs/types.ts
@@ -17,12 +17,12 @@
   | 'target'
   | 'site';
 
-/** What a line says besides its sentence. */
+/** Structured fields of a log line. */
 export interface LogFields {
   readonly [name: string]: unknown;
 }
 
-/** Writes lines of one part. A sentence is short and names no secret. */
+/** Writes log lines of one part. Messages are short and contain no secrets. */
 export interface Log {
   readonly debug: (message: string, fields?: LogFields) => void;
   readonly info: (message: string, fields?: LogFields) => void;
@@ -30,12 +30,12 @@
   readonly error: (message: string, fields?: LogFields) => void;
 }
 
-/** What a log is made of. */
+/** Options of `createLog`. */
 export interface LogOptions {
   readonly settings: LogSettings;
   readonly part: LogPart;
   /** Texts that must never be written, such as the site's key. */
   readonly secrets?: readonly string[];
-  /** Takes one line with its line end; standard error if absent. */
+  /** Writes one line, including its line break; standard error if absent. */
   readonly write?: (line: string) => void;
 }
--- a/packages/daemon/src/metrics/create_metrics.ts
+++ b/packages/daemon/src/metrics/create_metrics.ts
@@ -3,7 +3,9 @@
 import type {MetricsSettings} from '../types/settings';
 import type {MetricNameOf, MetricTags} from './metric_definitions';
 
-/** Sends metrics; nothing it does waits, throws or ends the process. */
+/**
+ * Sends metrics. No call waits or throws, and failures never end the process.
+ */
 export interface Metrics {
   readonly count: <Name extends MetricNameOf<'counter'>>(
     name: Name,
@@ -24,21 +26,21 @@
   readonly close: () => Promise<void>;
 }
 
-/** What metrics are made of. */
+/** Options of {@link createMetrics}. */
 export interface MetricsOptions {
-  /** Sends none if absent. */
+  /** No metrics are sent if undefined. */
   readonly settings: MetricsSettings | undefined;
-  /** Put on every metric. */
+  /** Added to every metric. */
   readonly tags: {
     readonly role: string;
     readonly instance: string;
     readonly zone: string;
   };
-  /** Told of failures to send. */
+  /** Called when sending fails. */
   readonly onError: (error: Error) => void;
 }
 
-// Below the payload of an Ethernet frame, so that no datagram is split.
+// Below the payload of an Ethernet frame, so that no datagram is fragmented.
 const MAX_DATAGRAM_BYTES = 1_400;
 const FLUSH_INTERVAL_MILLISECONDS = 1_000;
 
@@ -49,7 +51,9 @@
   close: () => Promise.resolve(),
 };
 
-/** Opens the way to the receiver of metrics. */
+/**
+ * Creates a client of the metrics receiver; without settings it sends nothing.
+ */
 export function createMetrics(options: MetricsOptions): Metrics {
   if (options.settings === undefined) return NO_METRICS;
   const client = openClient(options, options.settings);
@@ -96,12 +100,12 @@
     globalTags: {...options.tags},
     maxBufferSize: MAX_DATAGRAM_BYTES,
     bufferFlushInterval: FLUSH_INTERVAL_MILLISECONDS,
-    // Without a handler hot-shots throws from its socket, which would end the
+    // Without a handler, hot-shots throws from its socket, which would end the
     // process as soon as the receiver's host refuses a datagram.
     errorHandler: options.onError,
     udpSocketOptions: {
       type: family === 6 ? 'udp6' : 'udp4',
-      // The host is an IP number, so no name is ever looked up.
+      // The host is an IP number, so no name has to be resolved.
       lookup: (host, _options, callback) => callback(null, host, family),
     },
   });
--- a/packages/daemon/src/metrics/metric_definitions.ts
+++ b/packages/daemon/src/metrics/metric_definitions.ts
@@ -1,4 +1,4 @@
-/** What a metric counts or measures. */
+/** Kind, unit, tags and meaning of a metric. */
 export interface MetricDefinition {
   readonly kind: 'counter' | 'gauge' | 'timing';
   readonly unit: string;
@@ -6,7 +6,7 @@
   readonly meaning: string;
 }
 
-/** Every metric that a process may send; docs/metrics.md lists the same. */
+/** Every metric that a process may send; must match docs/metrics.md. */
 export const METRICS = {
   'requests.received': {
     kind: 'counter',
@@ -152,7 +152,7 @@
   [Name in keyof Metrics]: Metrics[Name]['kind'] extends Kind ? Name : never;
 }[keyof Metrics];
 
-/** Tags of one metric, all of which are given. */
+/** Tags of one metric; all are required. */
 export type MetricTags<Name extends keyof Metrics> = {
   readonly [Tag in Metrics[Name]['tags'][number]]: string;
 };
--- a/packages/daemon/src/process/process_metrics.ts
+++ b/packages/daemon/src/process/process_metrics.ts
@@ -5,21 +5,21 @@
 import {every} from '../runtime/clock';
 import type {CommonSettings} from '../types/settings';
 
-/** How often gauges are sent. */
+/** Period at which gauges are sent, in milliseconds. */
 const GAUGE_PERIOD = 1_000;
 
 /**
- * How finely the loop's delay is sampled. At Node's default of 10 ms the timer
- * alone wakes an idle process 100 times a second.
+ * Sampling resolution of the event loop delay, in milliseconds. At Node's
+ * default of 10 ms the timer alone wakes an idle process 100 times a second.
  */
 const LOOP_DELAY_RESOLUTION = 100;
 
 const NANOSECONDS_PER_MILLISECOND = 1e6;
 
-/** Failures to send are logged once in so many. */
+/** One in this many failures to send is logged. */
 const FAILURES_PER_LOG_LINE = 100;
 
-/** Opens the metrics of one process. */
+/** Creates the metrics of one process. */
 export function createProcessMetrics(
   settings: CommonSettings,
   role: 'entry' | 'agent',
@@ -38,7 +38,7 @@
   });
 }
 
-/** What every process measures of itself once a second. */
+/** Gauges that every process sends once a second. */
 export interface ProcessGauges {
   readonly generation: () => number;
   readonly members: () => readonly Member[];
--- a/packages/daemon/src/process/running_process.ts
+++ b/packages/daemon/src/process/running_process.ts
@@ -1,12 +1,12 @@
 import type {RunningProcess} from '../types/process';
 
-/** What a process does when it starts and stops. */
+/** How a process starts and stops. */
 export interface ProcessLifecycle {
   readonly start: () => Promise<void>;
   readonly stop: () => Promise<void>;
 }
 
-/** Starts a process; resolves once it serves. */
+/** Starts a process; resolves once it is serving. */
 export async function startProcess(
   lifecycle: ProcessLifecycle,
 ): Promise<RunningProcess> {
--- a/test/logs/log.test.ts
+++ b/test/logs/log.test.ts
@@ -14,12 +14,12 @@
   });
 }
 
-/** Values of any shape with the key somewhere inside. */
+/** Values of any shape that contain the key or another secret. */
 const valuesWithSecret = fc.letrec<{node: unknown}>(tie => ({
   node: fc.oneof(
     {maxDepth: 3},
     fc.string().map(text => `${text}${SITE_KEY}`),
-    // A long text is cut, which must not leave the first half of the key.
+    // A long text is truncated, which must not leave the first half of the key.
     fc
       .integer({min: 950, max: 1_050})
       .map(length => `${'x'.repeat(length)}${SITE_KEY}`),
@@ -67,7 +67,7 @@
     },
   );
 
-  test('leaves out what is below its level', () => {
+  test('omits lines below its level', () => {
     const lines: string[] = [];
     const log = logTo(lines, {level: 'warn'});
     log.debug('a');
--- a/test/metrics/metrics.test.ts
+++ b/test/metrics/metrics.test.ts
@@ -21,7 +21,7 @@
 }
 
 describe('metrics', () => {
-  test('are listed on their page as the program has them', () => {
+  test('are the ones that docs/metrics.md lists', () => {
     const expected = Object.entries(METRICS).map(([name, definition]) => [
       name,
       definition.kind,
@@ -33,7 +33,7 @@
     expect(tableRows(page, 'Name')).toEqual(expected);
   });
 
-  test('reach their receiver with prefix and tags', async () => {
+  test('reach the receiver with prefix and tags', async () => {
     const receiver = createSocket('udp4').bind(0, '127.0.0.1');
     await once(receiver, 'listening');
     const {port} = receiver.address();
@@ -54,19 +54,19 @@
     ]);
   });
 
-  test('cost nothing and close at once when there is no receiver', async () => {
+  test('are dropped, and close at once, without a receiver', async () => {
     const metrics = createTestMetrics(undefined);
     metrics.count('requests.retried', {});
     await metrics.close();
     await metrics.close();
   });
 
-  // What a user sees: every process of the site ends within a second.
-  // The host of the metrics receiver goes away or forbids datagrams; sending
-  // fails; the library raises the failure on its socket, where nobody listens.
-  test('that cannot be sent are told of and end nothing', async () => {
+  // Without an error handler, hot-shots raises a failed send on its socket,
+  // where nothing listens. Once the receiver's host goes away or rejects
+  // datagrams, every process of the site would end within a second.
+  test('that cannot be sent are reported and do not end the process', async () => {
     const errors: Error[] = [];
-    // Sending to the broadcast address is refused without a special option.
+    // Sending to the broadcast address fails without a special socket option.
     const address = {host: '255.255.255.255', port: 8125};
     const metrics = createTestMetrics({address, prefix: 'hb.'}, errors);
     // Fills several datagrams, each of which is sent as soon as it is full.
