--- a/packages/daemon/src/runtime/clock.ts
+++ b/packages/daemon/src/runtime/clock.ts
@@ -1,6 +1,6 @@
 import type {Milliseconds, MonotonicInstant} from '@hibiscusbeam/core';
 
-/** Reads the process's monotonic clock; never goes back, stops for no one. */
+/** Reads the process's monotonic clock, which never goes back. */
 export type Clock = () => MonotonicInstant;
 
 /** The monotonic clock of this process. */
@@ -14,8 +14,8 @@
   return new Promise(resolve => {
     const finish = (): void => {
       clearTimeout(timer);
-      // Loops sleep on one signal for the life of the process: a listener left
-      // behind by each pause would show as memory that grows without end.
+      // Loops pass the same signal to every sleep while the process runs; a
+      // listener left behind by each sleep would leak memory.
       signal?.removeEventListener('abort', finish);
       resolve();
     };
--- a/packages/daemon/src/runtime/digests.ts
+++ b/packages/daemon/src/runtime/digests.ts
@@ -3,7 +3,7 @@
 
 const PREFIX = 'sha256:';
 
-/** SHA-256 of a text's UTF-8 form. */
+/** SHA-256 of a text encoded as UTF-8. */
 export const digestText: DigestText = text =>
   PREFIX + createHash('sha256').update(text, 'utf8').digest('hex');
 
--- a/packages/daemon/src/runtime/drive.ts
+++ b/packages/daemon/src/runtime/drive.ts
@@ -1,8 +1,9 @@
 import type {Flow} from '@hibiscusbeam/core';
 
 /**
- * Runs a flow to its outcome. `perform` may reply at once: a reply that is at
- * hand (the next token of a stream, say) then costs no turn of the event loop.
+ * Runs a flow to its outcome. `perform` may reply synchronously, which avoids a
+ * turn of the event loop, for example when the next token of a stream is
+ * already available.
  */
 export async function drive<Effect, Reply, Outcome>(
   flow: Flow<Effect, Reply, Outcome>,
--- a/packages/daemon/src/runtime/keys.ts
+++ b/packages/daemon/src/runtime/keys.ts
@@ -3,14 +3,14 @@
 
 const BEARER = /^Bearer (\S{1,512})$/;
 
-/** The key in an `authorization` header, or undefined without one. */
+/** Returns the key in an `authorization` header, or undefined without one. */
 export function bearerKey(header: string | undefined): string | undefined {
   return header === undefined ? undefined : BEARER.exec(header)?.[1];
 }
 
 /**
- * The name whose stored hash fits `key`. Compares with every stored hash in
- * constant time, so that the time taken tells nothing about the keys.
+ * Returns the name whose stored hash matches `key`. Compares with every stored
+ * hash in constant time, so that the timing reveals nothing about the keys.
  */
 export function findKeyName<Name extends string>(
   keys: readonly HashedKey<Name>[],
--- a/packages/daemon/src/runtime/table_flow.ts
+++ b/packages/daemon/src/runtime/table_flow.ts
@@ -9,7 +9,7 @@
 import {sleep, type Clock} from './clock';
 import {drive} from './drive';
 
-/** Effects of flows that need table, clock and pauses only. */
+/** Effects of flows that only need the table, the clock and waits. */
 export type TableFlowEffect =
   | {readonly kind: 'readRow'; readonly key: string}
   | {readonly kind: 'commit'; readonly transaction: TableTransaction}
@@ -23,7 +23,7 @@
   | {readonly kind: 'clock'; readonly now: number}
   | {readonly kind: 'waited'};
 
-/** Runs one flow over the platform's table. */
+/** Runs a flow against the platform's table. */
 export function runTableFlow<Outcome>(
   flow: Flow<TableFlowEffect, TableFlowReply, Outcome>,
   table: TableService,
--- a/packages/daemon/src/types/process.ts
+++ b/packages/daemon/src/types/process.ts
@@ -1,6 +1,6 @@
 /** A started process of the site. */
 export interface RunningProcess {
-  /** Stops gracefully: no request in progress is cut. */
+  /** Stops gracefully, without cutting off requests in progress. */
   readonly stop: () => Promise<void>;
   /** Resolves once the process has stopped; rejects if it failed. */
   readonly stopped: Promise<void>;
--- a/packages/daemon/src/types/settings.ts
+++ b/packages/daemon/src/types/settings.ts
@@ -10,7 +10,7 @@
   ZoneName,
 } from '@hibiscusbeam/core';
 
-/** A TCP address by IP number. */
+/** A TCP address whose host is an IP number. */
 export interface SocketAddress {
   readonly host: string;
   readonly port: number;
@@ -20,37 +20,37 @@
 export interface PlatformSettings {
   /** Base address of the platform's HTTP interface. */
   readonly url: string;
-  /** A call without answer for so long counts as lost. */
+  /** Call timeout, after which the call counts as lost. */
   readonly timeout: Milliseconds;
 }
 
-/** A bearer key as stored: only its hash. */
+/** A bearer key in its stored form, which is only its hash. */
 export interface HashedKey<Name extends string> {
   readonly name: Name;
   /** SHA-256 of the key, in hexadecimal. */
   readonly sha256: string;
 }
 
-/** Where log lines go and how they look. */
+/** Level and format of the log. */
 export interface LogSettings {
   readonly level: 'debug' | 'info' | 'warn' | 'error';
   readonly format: 'json' | 'pretty';
 }
 
-/** Where metrics go; absent sends none. */
+/** Receiver and prefix of metrics; none are sent without it. */
 export interface MetricsSettings {
   readonly address: SocketAddress;
   readonly prefix: string;
 }
 
-/** What every process of the site has. */
+/** Settings that every process of the site has. */
 export interface CommonSettings {
   readonly instance: InstanceName;
   readonly zone: ZoneName;
   readonly region: RegionName;
   /** Where this process listens for other processes of the site (gRPC). */
   readonly siteAddress: SocketAddress;
-  /** The key that processes of the site show one another. */
+  /** The key that the site's processes use to authenticate to one another. */
   readonly siteKey: string;
   readonly platform: PlatformSettings;
   readonly log: LogSettings;
@@ -63,13 +63,13 @@
   readonly url: string;
 }
 
-/** Bounds on what one caller may send or occupy. */
+/** Limits on what callers may send or occupy. */
 export interface CallerLimits {
   readonly requestBody: Bytes;
   readonly jsonDepth: number;
-  /** Most requests waiting for a target at this entry. */
+  /** Max requests waiting for a target at this entry. */
   readonly waiting: number;
-  /** Longest deadline that a caller may ask for. */
+  /** Max deadline that a caller may request. */
   readonly longestDeadline: Milliseconds;
 }
 
@@ -80,10 +80,10 @@
   readonly callerAddress: SocketAddress;
   readonly operatorKeys: readonly HashedKey<string>[];
   readonly workspaceKeys: readonly HashedKey<WorkspaceName>[];
-  /** The system that this one takes over from; absent where there is none. */
+  /** The system that this one takes over from; undefined if there is none. */
   readonly olderSystem: OlderSystemSettings | undefined;
   readonly limits: CallerLimits;
-  /** How long callers may keep the answer to "which entry shall I use". */
+  /** How long callers may cache the addresses of entries. */
   readonly addressesKeptFor: Milliseconds;
 }
 
@@ -102,7 +102,7 @@
 export interface AgentSettings extends CommonSettings {
   readonly role: 'agent';
   readonly target: AgentTargetSettings;
-  /** Most chunk bytes held in the agent's memory at once. */
+  /** Max chunk bytes held in the agent's memory at once. */
   readonly transferBuffer: Bytes;
 }
 
--- a/packages/daemon/src/utils/activity_counter.ts
+++ b/packages/daemon/src/utils/activity_counter.ts
@@ -1,12 +1,14 @@
-/** How much is in progress under each name. */
+/** Counts the activities in progress under each name. */
 export interface ActivityCounter {
-  /** Counts one more; the returned function ends it, once. */
+  /**
+   * Starts an activity; the returned function ends it and may be called again.
+   */
   readonly begin: (name: string) => () => void;
-  /** Names under which something is in progress. */
+  /** Names with at least one activity in progress. */
   readonly names: () => readonly string[];
 }
 
-/** Nothing is in progress at first. */
+/** Creates a counter without activities. */
 export function createActivityCounter(): ActivityCounter {
   const counts = new Map<string, number>();
   const change = (name: string, by: 1 | -1): void => {
--- a/packages/daemon/src/utils/json_depth.ts
+++ b/packages/daemon/src/utils/json_depth.ts
@@ -4,8 +4,8 @@
 const CLOSING_BRACKETS = new Set([0x5d, 0x7d]);
 
 /**
- * Whether JSON text nests no deeper than `limit`. Deep nesting would overflow
- * the stack of whoever walks the parsed value; it is refused before parsing.
+ * Whether JSON text nests no deeper than `limit`. Checked before parsing, since
+ * deep nesting would overflow the stack of code that walks the parsed value.
  */
 export function isWithinDepth(text: string, limit: number): boolean {
   let depth = 0;
