--- a/test/platform/foreign_rows.test.ts
+++ b/test/platform/foreign_rows.test.ts
@@ -84,12 +84,15 @@
   return (await createOperatorFeed(createStubStore(rows)).readAll(1)).unwrap();
 }
 
-/** What another writer may leave in the place of `valid`, and is never valid. */
+/**
+ * Values that another writer may store in place of `valid`, never valid
+ * themselves.
+ */
 function corrupted(valid: object, required: readonly string[]) {
   const field = fc.constantFrom(...required);
   const otherType = fc.constantFrom(null, true, {}, [], -1.5, '');
   return fc.oneof(
-    // Bytes that are no JSON.
+    // Bytes that are not JSON.
     fc.constant(undefined),
     fc.constantFrom(null, 7, 'text', [], true),
     field.map(name =>
@@ -108,7 +111,7 @@
     name => name !== 'Models' && name !== 'born',
   );
 
-  test('one that is whole names its engine', async () => {
+  test('a complete row lists its engine', async () => {
     const {targets, unusable} = await readTargets(row('i-1', REGISTRATION));
     expect(targets).toEqual([
       {
@@ -142,13 +145,13 @@
   });
 
   test.each([
-    ['a state that is not known', {State: 'warming'}],
-    ['a beginning that is no whole number', {born: 1.5}],
-    ['a beginning in words', {born: '2026-01-01'}],
-    ['models in another type', {Models: 'model'}],
-    ['an address that is none', {Address: 'engine.example'}],
+    ['an unknown state', {State: 'warming'}],
+    ['a start time that is not an integer', {born: 1.5}],
+    ['a start time that is a string', {born: '2026-01-01'}],
+    ['models of the wrong type', {Models: 'model'}],
+    ['an invalid address', {Address: 'engine.example'}],
     ['no slots', {Slots: 0}],
-  ])('%s names no engine', async (_, changes) => {
+  ])('a row with %s lists no engine', async (_, changes) => {
     const value = {...REGISTRATION, ...changes};
     const {targets, unusable} = await readTargets(row('i-1', value));
     expect(targets).toEqual([]);
@@ -177,7 +180,7 @@
     );
   });
 
-  test("a row under another member's key names none", async () => {
+  test("a row under another member's key lists no member", async () => {
     const {changes, unusable} = await readMembers(row('front-2', MEMBER));
     expect(changes).toEqual([]);
     expect(unusable[0]?.reason).toContain('instance');
@@ -185,7 +188,7 @@
 });
 
 describe("the operator's rows", () => {
-  test('versions of other writers name none, and the others hold', async () => {
+  test('malformed rows of other writers name no version, and the others are used', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.array(corrupted(NAMED, ['Model', 'Version']), {maxLength: 8}),
@@ -209,9 +212,9 @@
     );
   });
 
-  test('a configuration of another writer is none, versions hold', async () => {
+  test('a malformed configuration is not used, and versions still are', async () => {
     const foreign = corrupted(CONFIGURATION, ['Version', 'Routes']).filter(
-      // A configuration without routes is one.
+      // A configuration without routes is valid.
       value => !isWithoutRoutes(value),
     );
     await fc.assert(
@@ -228,7 +231,7 @@
     );
   });
 
-  test('the last one written counts', async () => {
+  test('the last configuration written is used', async () => {
     const read = await readOperator(
       row('config', 'torn', 1),
       row('config', CONFIGURATION, 2),
@@ -251,7 +254,7 @@
     );
   });
 
-  test('rows for something else are passed over', async () => {
+  test('rows for other purposes are ignored', async () => {
     const {unusable} = await readOperator(row('note', 'anything'));
     expect(unusable).toEqual([]);
   });
--- a/test/platform/http_platform.test.ts
+++ b/test/platform/http_platform.test.ts
@@ -51,7 +51,7 @@
     expect((await platform.table.read('claims/b')).unwrap()).toBeUndefined();
   });
 
-  it('names the rows whose condition failed', async () => {
+  it('returns the rows whose condition failed', async () => {
     await platform.table.commit(PUT_ONCE);
     const row = {key: 'claims/a', version: 1, value: {attempt: 'ours'}};
     const absent = {kind: 'versionIs', key: 'claims/b', version: 1} as const;
@@ -68,10 +68,10 @@
     });
   });
 
-  it('tells a lost reply apart, so that reading back resolves it', async () => {
-    // A caller's claim is written, but the connection is cut before the answer.
-    // Read as "refused", the claim would be made anew and the call run twice.
-    // Cause: the adapter cannot know, and must say so.
+  it('reports a lost reply as such, so that reading back resolves it', async () => {
+    // A caller's claim is written, but the connection is closed before the
+    // answer. Reported as a refusal, the claim would be made again and the call
+    // would run twice.
     await control(standIn.address, '/faults', {table: {loseReplies: 1}});
     const lost = await platform.table.commit(PUT_ONCE);
     expect(lost.val).toMatchObject({kind: 'replyLost'});
@@ -79,7 +79,7 @@
     expect(row?.value).toEqual({attempt: 'ours'});
   });
 
-  it('maps an outage and a spent rate to errors without effect', async () => {
+  it('maps an outage and an exceeded rate to errors without effect', async () => {
     await control(standIn.address, '/faults', {table: {outage: true}});
     const down = await platform.table.commit(PUT_ONCE);
     expect(down.val).toMatchObject({kind: 'unavailable'});
@@ -92,7 +92,7 @@
     expect(refused?.val).toMatchObject({kind: 'rateLimited'});
   });
 
-  it('keeps objects under keys with slashes', async () => {
+  it('stores objects under keys with slashes', async () => {
     const content = new Uint8Array([1, 2, 3]);
     (await platform.objects.put('plans/a b', content)).unwrap();
     expect((await platform.objects.get('plans/a b')).unwrap()).toEqual(content);
@@ -143,7 +143,7 @@
   });
 });
 
-describe('with a server that misbehaves', () => {
+describe('with a faulty server', () => {
   let server: Server;
 
   async function serve(listener: RequestListener): Promise<string> {
@@ -158,7 +158,7 @@
     server.close();
   });
 
-  it('reports a write without an answer in time as a lost reply', async () => {
+  it('reports a write that times out as a lost reply', async () => {
     const platform = connect(await serve(() => undefined), 20);
     const commit = await platform.table.commit(PUT_ONCE);
     expect(commit.val).toMatchObject({kind: 'replyLost'});
@@ -191,7 +191,7 @@
     expect((await table.read('a')).val).toMatchObject({kind: readError});
   });
 
-  it('rejects a manifest whose digest is another one', async () => {
+  it('rejects a manifest whose digest does not match', async () => {
     const text = JSON.stringify({model: 'notes', label: '1', chunks: []});
     const address = await serve((_request, response) => {
       response.writeHead(200).end(text);
@@ -202,7 +202,7 @@
     expect(other.val).toMatchObject({kind: 'malformed'});
   });
 
-  it('takes an answer whose failed row is null or absent', async () => {
+  it('accepts an answer whose failed row is null or absent', async () => {
     const failed = [{key: 'a', row: null}, {key: 'b'}];
     const address = await serve((_request, response) => {
       const outcome = {kind: 'conditionFailed', failed};
@@ -219,7 +219,7 @@
   });
 });
 
-it('takes no host name in place of an IP number', () => {
+it('rejects a host name in place of an IP number', () => {
   const options = {url: 'http://platform:7000', timeout: TIMEOUT};
   expect(() => createHttpPlatform(options)).toThrow('IP number');
 });
--- a/test/platform/naming_table.test.ts
+++ b/test/platform/naming_table.test.ts
@@ -15,8 +15,8 @@
 afterEach(() => store.close());
 
 // Entries that read the name at the same time, or after a restart, must not
-// replace an earlier time by a later one.
-test('the first recorded time of a naming is the one that counts', async () => {
+// replace an earlier time with a later one.
+test('the first recorded time of a naming is kept', async () => {
   const feed = createOperatorFeed(createStoreClient(store.address));
   const named = {model: 'model', version: 2};
   store.write('op', 'version/model', {Model: 'model', Version: 2});
@@ -28,7 +28,7 @@
   expect(reading.namedVersions).toEqual([{...named, namedAt: 100}]);
 });
 
-test('a naming that nobody has recorded has no time', async () => {
+test('a naming without a record has no time', async () => {
   const feed = createOperatorFeed(createStoreClient(store.address));
   store.write('op', 'version/model', {Model: 'model', Version: 2});
   const reading = (await feed.readAll(TIMEOUT)).unwrap();
@@ -37,7 +37,7 @@
   ]);
 });
 
-test('without a named version no further table is read', async () => {
+test('without a named version only one table is read', async () => {
   const feed = createOperatorFeed(createStoreClient(store.address));
   await feed.readAll(TIMEOUT);
   expect(store.calls.get('/rows-get')).toBe(1);
--- a/test/platform/request_protocol.test.ts
+++ b/test/platform/request_protocol.test.ts
@@ -16,13 +16,13 @@
 });
 
 test.each(['', 'many', '-1', '1e3', '0x10', 'NaN'])(
-  'a limit of %j is none',
+  'a malformed limit of %j is ignored',
   value => {
     expect(rateLimitIn('Server-Limit', value)).toBeUndefined();
   },
 );
 
-test('an answer without the line names no limit', () => {
+test('an answer without the header names no limit', () => {
   expect(rateLimitIn('Content-Length', '3')).toBeUndefined();
 });
 
@@ -30,19 +30,19 @@
   'server-leaving',
   'Server-Leaving',
   'X-Hibiscusbeam-Server-Leaving',
-])('a target leaves by the line %s', name => {
+])('the header %s marks a target as leaving', name => {
   expect(requestProtocol.readAnswer(200, [name, '1']).leaving).toBe(true);
 });
 
 test.each(['', '0', 'no', '11', 'true'])(
-  'a target does not leave by the value %j',
+  'the value %j does not mark a target as leaving',
   value => {
     const lines = ['Server-Leaving', value];
     expect(requestProtocol.readAnswer(200, lines).leaving).toBe(false);
   },
 );
 
-test('a target does not leave by an answer without the line', () => {
+test('an answer without the header does not mark a target as leaving', () => {
   expect(requestProtocol.readAnswer(200, []).leaving).toBe(false);
 });
 
@@ -62,14 +62,14 @@
 );
 
 test.each(['', 'soon', '-1', '1e3', 'Wed, 21 Oct 2026 07:28:00 GMT'])(
-  'a refusal with Retry-After %j asks for no backoff',
+  'an unsupported Retry-After of %j asks for no backoff',
   value => {
     const header = requestProtocol.readAnswer(503, ['Retry-After', value]);
     expect(header.backoff).toBeUndefined();
   },
 );
 
-test('an answer that is no refusal asks for no backoff', () => {
+test('Retry-After of a successful answer asks for no backoff', () => {
   const header = requestProtocol.readAnswer(200, ['Retry-After', '3']);
   expect(header.backoff).toBeUndefined();
 });
--- a/test/platform/restored_store.test.ts
+++ b/test/platform/restored_store.test.ts
@@ -13,7 +13,7 @@
 
 const TIMEOUT = 1_000;
 
-/** Longer than a test may take. */
+/** Longer than the timeout of a test. */
 const LONG_WAIT = 120_000;
 
 let store: HostStore;
@@ -30,7 +30,7 @@
   return (await client.rows('op', TIMEOUT)).unwrap().revision;
 }
 
-test('revisions grow when the store gives versions out again', async () => {
+test('revisions grow when a restored store gives out the same versions again', async () => {
   const copy = store.copy();
   store.write('op', 'config', 1);
   const before = await revision();
@@ -49,7 +49,7 @@
   expect(reply.err && reply.val.kind).toBe('historyLost');
 });
 
-test('a question that waits is ended once any answer shows a restore', async () => {
+test('a pending poll ends once any answer shows that the store was restored', async () => {
   const copy = store.copy();
   store.write('op', 'config', 1);
   const waiting = client.feed('op', await revision(), LONG_WAIT, LONG_WAIT);
@@ -65,7 +65,7 @@
   [3, 17],
   [MAX_ERAS - 1, VERSIONS_PER_ERA - 1],
 ])(
-  'era %d and version %d are read back from their revision',
+  'era %d and version %d are recovered from their revision',
   (era, version) => {
     const joined = toRevision(era, version);
     expect(Number.isSafeInteger(joined)).toBe(true);
@@ -75,7 +75,7 @@
 );
 
 test.each(['-1', 'second', '1.5', String(MAX_ERAS)])(
-  'an answer with the era %j is malformed, by the name of its line',
+  'an answer with the era %j is malformed, and the error names the header',
   async era => {
     const server = createServer((_, response) =>
       response.setHeader('Store-Era', era).end('{}'),
