--- a/packages/daemon/src/logs/plain_values.ts
+++ b/packages/daemon/src/logs/plain_values.ts
@@ -57,6 +57,8 @@
   const {name, message, stack, cause} = error;
   const {code} = error as NodeJS.ErrnoException;
   const parts = {name, message, code, stack, cause};
-  const known = Object.entries(parts).filter(([, part]) => part !== undefined);
-  return plainEntries(known, mask, depth);
+  const definedParts = Object.entries(parts).filter(
+    ([, part]) => part !== undefined,
+  );
+  return plainEntries(definedParts, mask, depth);
 }
