--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -11,14 +11,14 @@
 import {sendAttempt} from './caller';
 import {startEntryProcess, type EntryProcess} from './entry_process';
 import {
-  brokenPromises,
+  findViolations,
   type CallerRecord,
   type ColdSpan,
   type EvacuationSpan,
   type LimitSpan,
   type RouteSpan,
   type SoakRecords,
-} from './oracles';
+} from './invariants';
 import {
   ENGINE_ZONES,
   planEvacuations,
@@ -26,34 +26,34 @@
   planRestores,
   planSilences,
   planStatements,
-  planTroubles,
-  type PlannedTrouble,
+  planBasicFaults,
+  type PlannedFault,
   type SoakSize,
-  type Trouble,
+  type SoakFault,
 } from './plan';
 
-const CRASHING = 'ends its target';
-const ENGINE_BACK = 1_200;
-const LAPSE = 2_000;
-const PAUSE_BETWEEN_REQUESTS = 30;
-const CRASHING_EACH = 25;
-const PROBE_EACH = 7;
-const WRITTEN_AGAIN = 300;
-const HEARTBEAT = 25;
-const LAST_CALM = 6_000;
-const RESTART_PAUSE = 300;
+const CRASHING_BODY = 'ends its target';
+const ENGINE_RESTART_MS = 1_200;
+const LISTING_EXPIRY_MS = 2_000;
+const REQUEST_INTERVAL_MS = 30;
+const CRASHING_INTERVAL = 25;
+const PROBE_INTERVAL = 7;
+const REWRITE_DELAY_MS = 300;
+const STORE_WRITE_INTERVAL_MS = 25;
+const FINAL_CALM_MS = 6_000;
+const RESTART_PAUSE_MS = 300;
 
 /** Period in which a cold engine says how long it stays so. */
-const COLD_HEARTBEAT = 1_200;
+const COLD_REPORT_INTERVAL_MS = 1_200;
 const COLD_RATE = 2;
 
-const EVACUATION_BOUND = 3_000;
+const EVACUATION_BOUND_MS = 3_000;
 
 /** Share of the grace period after which a stopping entry takes no more. */
 const CLOSING_SHARE = 0.45;
 
 /** A stopping entry is surely gone, and started again, after this. */
-const STOPPED_AFTER = 3_500;
+const MAX_STOP_MS = 3_500;
 
 const BOUNDS = {
   configuration: 2_000,
@@ -66,7 +66,7 @@
 };
 
 /** Time from an engine's leaving to its end; what it runs ends meanwhile. */
-const LEAVING_FOR = 1_000;
+const LEAVING_DURATION_MS = 1_000;
 
 const COLD_START = {ColdStartS: 3, ColdPerS: COLD_RATE};
 
@@ -87,15 +87,15 @@
 ];
 
 /** Name of the route that comes and goes. */
-const ADDED = 'added';
+const ADDED_ROUTE_NAME = 'added';
 
 const CRASHING_PATH = '/safe/crashing';
-const KINDS = ['safe', 'unsafe', 'stream'];
+const REQUEST_KINDS = ['safe', 'unsafe', 'stream'];
 
 const ADDED_ROUTE = {
   Host: HOST,
-  Name: ADDED,
-  Prefix: `/${ADDED}/`,
+  Name: ADDED_ROUTE_NAME,
+  Prefix: `/${ADDED_ROUTE_NAME}/`,
   Kind: 'safe',
   Service: 'plain',
   TimeoutMs: 3_000,
@@ -112,17 +112,17 @@
 
 /** How a soak ended. */
 export interface SoakOutcome {
-  readonly broken: readonly string[];
+  readonly violations: readonly string[];
   /** Attempts by status, or by why there was none. */
   readonly statuses: Readonly<Record<string, number>>;
-  readonly troubles: number;
+  readonly faults: number;
   readonly enginesEnded: number;
   /** Share of the requests answered whole once all troubles were over. */
   readonly servedAfterwards: number;
 }
 
 /** Which troubles a soak has. */
-export type SoakTroubles =
+export type FaultSet =
   | 'basic'
   /** Also targets that leave, or ask to back off, by their own answers. */
   | 'statements'
@@ -135,35 +135,38 @@
   /** Losses of power in place of others, right after configurations. */
   | 'powerLosses';
 
-function planOf(
+function planFaults(
   seed: number,
   size: SoakSize,
-  troubles: SoakTroubles,
-): readonly PlannedTrouble[] {
-  const basic = planTroubles(seed, size);
-  const planned = [...basic.filter(keeps), ...moreOf(seed, size, troubles)];
+  faultSet: FaultSet,
+): readonly PlannedFault[] {
+  const basic = planBasicFaults(seed, size);
+  const planned = [
+    ...basic.filter(isKept),
+    ...planAdditionalFaults(seed, size, faultSet),
+  ];
   return planned.sort((one, other) => one.at - other.at);
 
   /** Other faults of the store would leave few seconds to judge a restore by. */
-  function keeps({trouble}: PlannedTrouble): boolean {
-    if (troubles === 'powerLosses') return false;
+  function isKept({fault}: PlannedFault): boolean {
+    if (faultSet === 'powerLosses') return false;
     // Nothing can be written while the store is away, nor an evacuation.
-    const hasOwnFaults = troubles === 'restores' || troubles === 'evacuations';
-    return !hasOwnFaults || trouble.kind !== 'store';
+    const hasOwnFaults = faultSet === 'restores' || faultSet === 'evacuations';
+    return !hasOwnFaults || fault.kind !== 'store';
   }
 }
 
 /** Whether the route that comes and goes is asked for. */
-function hasProbes(troubles: SoakTroubles): boolean {
-  return troubles === 'restores' || troubles === 'powerLosses';
+function hasProbes(faultSet: FaultSet): boolean {
+  return faultSet === 'restores' || faultSet === 'powerLosses';
 }
 
-function moreOf(
+function planAdditionalFaults(
   seed: number,
   size: SoakSize,
-  troubles: SoakTroubles,
-): readonly PlannedTrouble[] {
-  switch (troubles) {
+  faultSet: FaultSet,
+): readonly PlannedFault[] {
+  switch (faultSet) {
     case 'basic':
       return [];
     case 'statements':
@@ -180,10 +183,10 @@
 }
 
 /** Plays the troubles of one seed against real entries. */
-export async function playSoak(
+export async function runSoak(
   seed: number,
   size: SoakSize,
-  troubles: SoakTroubles,
+  faultSet: FaultSet,
   folder: string,
 ): Promise<SoakOutcome> {
   const site = await startHostSite();
@@ -218,7 +221,7 @@
       version: isModel ? 1 : undefined,
       onEnded: () => void replaceEngine(engine, place),
     });
-    engine.setFault({kind: 'crashes', under: CRASHING});
+    engine.setFault({kind: 'crashes', under: CRASHING_BODY});
     engines.push(engine);
     running[place] = engine;
     zones.set(engine, zoneAt(place));
@@ -245,7 +248,7 @@
   function zoneAt(place: number): string {
     const turn = Math.floor(place / 2) % ENGINE_ZONES.length;
     const zone = ENGINE_ZONES[turn] ?? 'north';
-    return troubles === 'evacuations' ? zone : 'north';
+    return faultSet === 'evacuations' ? zone : 'north';
   }
 
   /** Engines that were cold write their lines again with what is left of it. */
@@ -272,16 +275,19 @@
 
   async function replaceEngine(ended: HostEngine, place: number) {
     enginesEnded += 1;
-    setTimeout(() => site.store.remove('servers', ended.instance), LAPSE);
+    setTimeout(
+      () => site.store.remove('servers', ended.instance),
+      LISTING_EXPIRY_MS,
+    );
     endLimit(ended);
-    await sleep(ENGINE_BACK);
+    await sleep(ENGINE_RESTART_MS);
     await startEngine(place);
   }
 
   function configure(): void {
     routes.push({at: performance.now(), isServed: isRouteServed});
     site.configure(
-      troubles === 'evacuations' ? {Services: COLD_SERVICES} : {},
+      faultSet === 'evacuations' ? {Services: COLD_SERVICES} : {},
       isRouteServed ? [ADDED_ROUTE] : [],
     );
   }
@@ -306,7 +312,7 @@
       }
       running.forEach((engine, place) => register(engine, place));
       configure();
-    }, WRITTEN_AGAIN).unref();
+    }, REWRITE_DELAY_MS).unref();
   }
 
   async function endEngine(place: number, coldFor = 0): Promise<void> {
@@ -329,7 +335,7 @@
     const zone = index % 3 === 2 ? 'south' : 'north';
     return startEntryProcess({
       folder,
-      pause: RESTART_PAUSE,
+      pause: RESTART_PAUSE_MS,
       settings: {
         role: 'entry',
         instance: `entry-${index}`,
@@ -344,33 +350,33 @@
         admission: 'none',
         store: {address: site.store.address, heartbeat: 1_200},
         bounds:
-          troubles === 'evacuations'
-            ? {...BOUNDS, evacuation: EVACUATION_BOUND}
+          faultSet === 'evacuations'
+            ? {...BOUNDS, evacuation: EVACUATION_BOUND_MS}
             : BOUNDS,
       },
     });
   }
 
-  function apply(trouble: Trouble, entries: readonly EntryProcess[]): void {
-    switch (trouble.kind) {
+  function apply(fault: SoakFault, entries: readonly EntryProcess[]): void {
+    switch (fault.kind) {
       case 'signal':
-        disturb(trouble.entry, trouble.signal);
-        return entries[trouble.entry]?.signal(trouble.signal);
+        disturb(fault.entry, fault.signal);
+        return entries[fault.entry]?.signal(fault.signal);
       case 'store':
         storeFaults.push(performance.now());
-        return site.store.setFault(trouble.fault);
+        return site.store.setFault(fault.fault);
       case 'copy':
         copy = site.store.copy();
         return;
       case 'restore':
         return restore();
       case 'route':
-        isRouteServed = trouble.isServed;
+        isRouteServed = fault.isServed;
         return configure();
       case 'limit': {
-        const engine = running[trouble.engine];
+        const engine = running[fault.engine];
         if (engine === undefined) return;
-        const {rate} = trouble;
+        const {rate} = fault;
         endLimit(engine);
         engine.setRateLimit(rate);
         if (rate === undefined) return;
@@ -378,28 +384,28 @@
         return;
       }
       case 'silence':
-        return running[trouble.engine]?.fallSilent(trouble.duration);
+        return running[fault.engine]?.fallSilent(fault.duration);
       case 'evacuate':
-        return evacuate(trouble.zone, trouble.isEvacuated);
+        return evacuate(fault.zone, fault.isEvacuated);
       case 'coldReturn':
         for (const place of places) {
-          if (zoneAt(place) !== trouble.zone) continue;
+          if (zoneAt(place) !== fault.zone) continue;
           running[place]?.setLeaving(true);
           setTimeout(
-            () => void endEngine(place, trouble.duration),
-            LEAVING_FOR,
+            () => void endEngine(place, fault.duration),
+            LEAVING_DURATION_MS,
           ).unref();
         }
         return;
       case 'leave':
-        return running[trouble.engine]?.setLeaving(true);
+        return running[fault.engine]?.setLeaving(true);
       case 'end':
-        return void endEngine(trouble.engine);
+        return void endEngine(fault.engine);
       case 'shed': {
-        const {retryAfter} = trouble;
-        running[trouble.engine]?.setFault(
+        const {retryAfter} = fault;
+        running[fault.engine]?.setFault(
           retryAfter === undefined
-            ? {kind: 'crashes', under: CRASHING}
+            ? {kind: 'crashes', under: CRASHING_BODY}
             : {kind: 'shedding', retryAfter},
         );
       }
@@ -410,22 +416,24 @@
     const from = performance.now();
     if (signal === 'SIGTERM') {
       const closesAt = from + BOUNDS.grace * CLOSING_SHARE;
-      closings.push({entry, from: closesAt, until: from + STOPPED_AFTER});
+      closings.push({entry, from: closesAt, until: from + MAX_STOP_MS});
     } else {
-      const gone = signal === 'SIGKILL' ? RESTART_PAUSE : 0;
+      const gone = signal === 'SIGKILL' ? RESTART_PAUSE_MS : 0;
       breaks.push({entry, from, until: from + gone});
     }
-    const lasting = signal === 'SIGTERM' ? BOUNDS.grace : 0;
-    disturbances.push({entry, from, until: from + lasting});
+    const duration = signal === 'SIGTERM' ? BOUNDS.grace : 0;
+    disturbances.push({entry, from, until: from + duration});
   }
 
   async function send(id: number, entry: number): Promise<void> {
     const address = entries[entry]!.callerAddress;
-    const isCrashing = id % CRASHING_EACH === 0;
-    const isProbe = hasProbes(troubles) && id % PROBE_EACH === 0;
-    const usual = isProbe ? ADDED : KINDS[id % KINDS.length];
+    const isCrashing = id % CRASHING_INTERVAL === 0;
+    const isProbe = hasProbes(faultSet) && id % PROBE_INTERVAL === 0;
+    const usual = isProbe
+      ? ADDED_ROUTE_NAME
+      : REQUEST_KINDS[id % REQUEST_KINDS.length];
     const path = isCrashing ? CRASHING_PATH : `/${usual}/${id}`;
-    const body = isCrashing ? CRASHING : `question ${id}`;
+    const body = isCrashing ? CRASHING_BODY : `question ${id}`;
     callers.push(await sendAttempt({id, entry, address, path, body}));
   }
 
@@ -439,11 +447,11 @@
     const ready = await Promise.all(entries.map(isReady));
     return ready.every(isUp => isUp);
   });
-  const heartbeats = setInterval(writeOthers, HEARTBEAT);
-  const coldHeartbeats = setInterval(renewCold, COLD_HEARTBEAT);
+  const heartbeats = setInterval(writeOthers, STORE_WRITE_INTERVAL_MS);
+  const coldHeartbeats = setInterval(renewCold, COLD_REPORT_INTERVAL_MS);
   const startedAt = performance.now();
-  const planned = planOf(seed, size, troubles);
-  const end = startedAt + size.duration + LAST_CALM;
+  const planned = planFaults(seed, size, faultSet);
+  const end = startedAt + size.duration + FINAL_CALM_MS;
   const sending: Promise<void>[] = [];
   let next = 0;
   let id = 0;
@@ -451,16 +459,16 @@
   while (performance.now() < end) {
     const elapsed = performance.now() - startedAt;
     while ((planned[next]?.at ?? Infinity) <= elapsed) {
-      apply(planned[next]!.trouble, entries);
+      apply(planned[next]!.fault, entries);
       next += 1;
     }
     id += 1;
-    if (elapsed > size.duration + LAST_CALM / 2) {
+    if (elapsed > size.duration + FINAL_CALM_MS / 2) {
       idAfterwards = Math.min(idAfterwards, id);
     }
     const entry = id % entries.length;
     sending.push(send(id, entry));
-    await sleep(PAUSE_BETWEEN_REQUESTS);
+    await sleep(REQUEST_INTERVAL_MS);
   }
   await Promise.all(sending);
   isOver = true;
@@ -474,18 +482,18 @@
     limits,
     routes,
     evacuations,
-    evacuationBound: EVACUATION_BOUND,
+    evacuationBound: EVACUATION_BOUND_MS,
     zoneOf: engine => zones.get(engine),
     coldSpans,
     coldRate: COLD_RATE,
     isStoreStable: (from, until) =>
       storeFaults.every(at => at < from || at > until),
-    crashing: CRASHING,
+    crashing: CRASHING_BODY,
     isCalm: (entry, from, until) => !isWithin(disturbances, entry, from, until),
     isRunning: (entry, from, until) => !isWithin(breaks, entry, from, until),
     isClosing: (entry, at) => isWithin(closings, entry, at, at),
   };
-  const broken = brokenPromises(records);
+  const broken = findViolations(records);
   await Promise.all(entries.map(entry => entry.close()));
   await site.close();
   await Promise.all(engines.map(engine => engine.close()));
@@ -493,13 +501,13 @@
     ({requestId, path}) =>
       Number(requestId.split('-')[1]) >= idAfterwards &&
       path !== CRASHING_PATH &&
-      !path.startsWith(`/${ADDED}/`),
+      !path.startsWith(`/${ADDED_ROUTE_NAME}/`),
   );
   const served = afterwards.filter(({status}) => status === 200).length;
   return {
-    broken,
+    violations: broken,
     statuses: countStatuses(callers),
-    troubles: next,
+    faults: next,
     enginesEnded,
     servedAfterwards: served / Math.max(1, afterwards.length),
   };
