--- a/demo/main.ts
+++ b/demo/main.ts
@@ -14,7 +14,7 @@
 import {DEMO_KEYS} from './site/settings_files';
 import {startSmallSite, type SmallSite} from './site/small_site';
 
-/** What the demonstration counted. */
+/** Request outcomes of the demo run; printed as JSON with `--json`. */
 interface Tally {
   ok: boolean;
   answered: number;
@@ -51,7 +51,7 @@
   const intent = initialIntent(site, '2026-12-02.1');
   const {plan} = await planWhenTargetsKnown(site, intent, options.binary);
   log(
-    `Planned ${plan.planId}: ${plan.changes.length} changes, ${plan.originBytes} bytes from the origin. Nothing has changed yet.`,
+    `Planned ${plan.planId}: ${plan.changes.length} changes, ${plan.originBytes} bytes from the origin. Nothing is applied yet.`,
   );
   const confirmed = await confirmByCommand(site, plan.planId, options.binary);
   log(`Confirmed: generation ${confirmed.generation}.`);
@@ -70,8 +70,12 @@
     {authorization: `Bearer ${DEMO_KEYS.workspaces['shop-counter']}`},
   );
   const addresses = reply.entries.map(found => found.address);
-  log(`Asked which entry to use: ${addresses.join(', ')}.`);
-  check(tally, addresses.length === site.entries.length, 'all are named');
+  log(`Entries listed for callers: ${addresses.join(', ')}.`);
+  check(
+    tally,
+    addresses.length === site.entries.length,
+    'all entries are listed',
+  );
 
   const path = {service: DEMO_SERVICE, operation: DEMO_OPERATION};
   for (const [index, address] of [...addresses, ...addresses].entries()) {
@@ -83,7 +87,7 @@
       tally,
       answer.outcome === 'answered' &&
         answer.versionDigest === tally.versionDigest,
-      `a whole repair note of ${answer.tokens} tokens from one version`,
+      `a complete answer of ${answer.tokens} tokens from one version`,
     );
   }
 
@@ -111,10 +115,14 @@
   check(
     tally,
     cut.outcome === 'outcomeUnknown',
-    'a cut after the charge took effect: outcome unknown, never "not run"',
+    'connection cut after the charge took effect: outcome unknown, not "not run"',
   );
   const again = await callService(entry.url, 'call-centre', path, lost, 'w-2');
-  check(tally, again.outcome === 'outcomeUnknown', 'asked again: the same');
+  check(
+    tally,
+    again.outcome === 'outcomeUnknown',
+    'retry with the same key: still unknown',
+  );
 
   const {runs} = await exchangeJson<{runs: Record<string, number>}>(
     'GET',
@@ -158,7 +166,7 @@
   } finally {
     await site.stop();
   }
-  log(tally.ok ? 'All expectations held.' : 'Some expectations failed.');
+  log(tally.ok ? 'All checks passed.' : 'Some checks failed.');
   return tally.ok ? 0 : 1;
 }
 
--- a/demo/requests.ts
+++ b/demo/requests.ts
@@ -2,7 +2,7 @@
 import {exchange} from './site/http';
 import {DEMO_KEYS, type DemoWorkspace} from './site/settings_files';
 
-/** A model's answer as its caller saw it. */
+/** The answer of a model as received by the caller. */
 export interface ModelAnswer {
   readonly status: number;
   readonly outcome: 'answered' | 'notRun' | 'outcomeUnknown' | 'broken';
@@ -11,7 +11,7 @@
   readonly tokens: number;
 }
 
-/** A plain service's answer as its caller saw it. */
+/** The answer of a plain service as received by the caller. */
 export interface CallAnswer {
   readonly status: number;
   readonly outcome: 'answered' | 'notRun' | 'outcomeUnknown' | 'refused';
@@ -33,7 +33,7 @@
   return {authorization: `Bearer ${DEMO_KEYS.workspaces[workspace]}`};
 }
 
-/** Asks a model and reads the stream to its end. */
+/** Sends a generate request and reads the stream to its end. */
 export async function callModel(
   entryUrl: string,
   workspace: DemoWorkspace,
@@ -63,7 +63,7 @@
   };
 }
 
-/** An answer counts only with its end line and with the digest it names. */
+/** An answer is complete if its end line has the right count and digest. */
 function generateOutcome(
   last: StreamLine | undefined,
   tokens: number,
--- a/demo/rollout.ts
+++ b/demo/rollout.ts
@@ -11,21 +11,21 @@
 /** The plain service of the demonstration. */
 export const DEMO_SERVICE = 'invoicing';
 
-/** Its operation that may not be repeated. */
+/** The operation of that service that must run at most once. */
 export const DEMO_OPERATION = 'charge-warranty';
 
 const CHUNK_COUNT = 64;
 const CHUNK_BYTES = 16 * 1024;
 
-/** How often the state of the site is asked for while waiting. */
+/** Interval between checks of a condition that is waited for. */
 const POLL_INTERVAL_MS = 100;
 
 const MAX_WAIT_MS = 30_000;
 
-/** In the refusal of a plan that names a target not yet heard of. */
+/** Part of the error text for a plan with a target unknown to the entry. */
 const UNKNOWN_TARGET_TEXT = 'is known';
 
-/** Publishes a version at the origin; its content follows from `seed`. */
+/** Publishes a version at the origin; `seed` determines its content. */
 export async function publishVersion(
   site: SmallSite,
   label: string,
@@ -72,7 +72,7 @@
   };
 }
 
-/** The part of an intent that serves the model on these engines. */
+/** The change of an intent that serves the model on these engines. */
 export function serveChange(
   engines: readonly string[],
   version: string,
@@ -97,7 +97,7 @@
   };
 }
 
-/** Plans an intent by the command line; nothing changes yet. */
+/** Plans an intent with the command line tool, without applying it. */
 export function planByCommand(
   site: SmallSite,
   intent: unknown,
@@ -109,15 +109,15 @@
   return runJsonCommand<PlannedIntent>(site, ['intent', 'plan', file], binary);
 }
 
-/** As `planByCommand`, once the entry has heard of every target it names. */
+/** Like `planByCommand`, but retries until the entry knows all targets. */
 export async function planWhenTargetsKnown(
   site: SmallSite,
   intent: unknown,
   binary = false,
 ): Promise<PlannedIntent> {
   const planned: PlannedIntent[] = [];
-  // The entry learns of targets by its next look at the instance list, a
-  // second or so after they are listed; until then its plan is refused.
+  // The entry polls the instance list, so it learns of new targets about a
+  // second after they are listed and refuses the plan until then.
   await waitFor(async () => {
     try {
       planned.push(await planByCommand(site, intent, binary));
@@ -131,7 +131,7 @@
   return plan;
 }
 
-/** Confirms a plan by the command line. */
+/** Confirms a plan with the command line tool. */
 export function confirmByCommand(
   site: SmallSite,
   planId: string,
@@ -180,7 +180,7 @@
   }, `version ${versionDigest} on every instance`);
 }
 
-/** Asks `condition` again and again until it holds. */
+/** Polls `condition` until it holds; throws after `timeout` milliseconds. */
 export async function waitFor(
   condition: () => Promise<boolean>,
   description: string,
@@ -191,5 +191,5 @@
     if (await condition()) return;
     await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
   }
-  throw new Error(`waited ${timeout} ms in vain for ${description}`);
+  throw new Error(`timed out after ${timeout} ms waiting for ${description}`);
 }
--- a/demo/site/command_line.ts
+++ b/demo/site/command_line.ts
@@ -1,7 +1,7 @@
 import {spawn} from 'node:child_process';
 import type {SmallSite} from './small_site';
 
-/** What one run of the command line gave. */
+/** Exit code and output of one run of the command line tool. */
 export interface CommandResult {
   readonly code: number | null;
   readonly output: string;
@@ -41,7 +41,7 @@
   });
 }
 
-/** Runs the command line and reads its JSON; throws unless it ended well. */
+/** Runs `hibiscusbeam` and parses its JSON; throws on a nonzero exit code. */
 export async function runJsonCommand<Value>(
   site: SmallSite,
   commandArguments: readonly string[],
--- a/demo/site/http.ts
+++ b/demo/site/http.ts
@@ -1,13 +1,13 @@
 import {request} from 'undici';
 
-/** A reply as text, with its status and headers. */
+/** An HTTP response with its body as text. */
 export interface HttpReply {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly text: string;
 }
 
-/** Sends one request and reads the whole reply. */
+/** Sends a request and reads the complete response. */
 export async function exchange(
   method: 'GET' | 'PUT' | 'POST' | 'DELETE',
   url: string,
@@ -30,7 +30,7 @@
   };
 }
 
-/** Sends one request and reads the reply as JSON; throws on a status >= 400. */
+/** Sends a request and parses the JSON response; throws on status >= 400. */
 export async function exchangeJson<Value>(
   method: 'GET' | 'PUT' | 'POST' | 'DELETE',
   url: string,
--- a/demo/site/processes.ts
+++ b/demo/site/processes.ts
@@ -2,7 +2,7 @@
 import {createServer} from 'node:net';
 import {createInterface} from 'node:readline';
 
-/** The programs a site is made of, as bundled by scripts/programs.mjs. */
+/** The programs of a site, as bundled by scripts/programs.mjs. */
 export type Program = 'hibiscusbeam' | 'standins';
 
 const BUNDLES: Readonly<Record<Program, string>> = {
@@ -12,14 +12,14 @@
 
 const BINARY = 'dist/hibiscusbeam';
 
-/** Last lines of a process's log kept for a failure's report. */
+/** Log lines of a process that are kept for failure reports. */
 const MAX_LOG_LINES = 200;
 
-/** A process that this site started. */
+/** A child process of the site. */
 export interface SiteProcess {
   readonly name: string;
   readonly processId: number;
-  /** The first line on standard output: says that the process is ready. */
+  /** The first line on standard output, written once the process is ready. */
   readonly ready: Promise<string>;
   readonly exited: Promise<number | null>;
   readonly signal: (signal: NodeJS.Signals) => void;
@@ -31,11 +31,11 @@
   readonly name: string;
   readonly program: Program;
   readonly programArguments: readonly string[];
-  /** Runs our program from the one binary in place of the bundle. */
+  /** Runs the single executable instead of the bundle. */
   readonly binary?: boolean;
 }
 
-/** Starts one process; its standard error is kept as its log. */
+/** Starts a process and collects its standard error as its log. */
 export function startProcess(options: StartOptions): SiteProcess {
   const {command, leading} = commandOf(options);
   const child = spawn(command, [...leading, ...options.programArguments], {
@@ -57,7 +57,7 @@
       ),
     );
   });
-  // The owner awaits `ready`; a process that ends later must not raise this.
+  // Prevents an unhandled rejection if nobody awaits `ready`.
   ready.catch(() => undefined);
   return {
     name: options.name,
@@ -95,9 +95,9 @@
 }
 
 /**
- * Ports below those that the kernel gives to outgoing connections: a port of
- * that range may be taken by another process's connection between this look
- * and the start of the process that shall listen on it.
+ * Below the ephemeral port range: the kernel may give a port of that range to
+ * an outgoing connection of another process between the check for a free port
+ * and the start of the process that listens on it.
  */
 const FIRST_PORT = 20_000;
 const PORT_COUNT = 12_000;
--- a/demo/site/settings_files.ts
+++ b/demo/site/settings_files.ts
@@ -3,7 +3,7 @@
 import {join} from 'node:path';
 import {stringify} from 'yaml';
 
-/** Keys of the demonstration site; a real site makes its own. */
+/** Keys of the demo site; a real site generates its own. */
 export const DEMO_KEYS = {
   site: 'demo-site-key-0123456789abcdef',
   operator: 'demo-operator-key',
@@ -14,10 +14,10 @@
   },
 } as const;
 
-/** Name of a workspace of the demonstration site. */
+/** Name of a workspace of the demo site. */
 export type DemoWorkspace = keyof typeof DEMO_KEYS.workspaces;
 
-/** Where one process of the site is and listens. */
+/** Location and listen address of a process. */
 export interface ProcessSpec {
   readonly instance: string;
   readonly zone: string;
@@ -25,12 +25,12 @@
   readonly siteAddress: string;
 }
 
-/** An entry's place, with its face for callers. */
+/** Location of an entry, with the address for callers. */
 export interface EntrySpec extends ProcessSpec {
   readonly callerAddress: string;
 }
 
-/** An agent's place, with its target. */
+/** Location of an agent, with its target. */
 export interface AgentSpec extends ProcessSpec {
   readonly target: {
     readonly name: string;
@@ -41,26 +41,26 @@
   };
 }
 
-/** Writes settings files into one folder. */
+/** Writes settings files; each call returns the path of the file. */
 export interface SettingsWriter {
   readonly entry: (spec: EntrySpec) => string;
   readonly agent: (spec: AgentSpec) => string;
   readonly operatorKeyFile: string;
 }
 
-/** Settings that a site may choose; durations and sizes with their units. */
+/** Optional settings of a site; durations and sizes are written with units. */
 export interface SiteSettings {
   readonly addressesKeptFor?: string;
-  /** How long a process waits for the platform's answer. */
+  /** How long a process waits for a reply of the platform. */
   readonly platformTimeout?: string;
-  /** The entries' bounds, in place of the defaults. */
+  /** Limits of the entries; the defaults apply if omitted. */
   readonly limits?: {
     readonly requestBody?: string;
     readonly waiting?: number;
   };
 }
 
-/** Prepares `folder` and the key files in it. */
+/** Creates `folder` and writes the key files to it. */
 export function createSettingsWriter(
   folder: string,
   platformUrl: string,
--- a/demo/site/site_peers.ts
+++ b/demo/site/site_peers.ts
@@ -5,12 +5,12 @@
 } from '@hibiscusbeam/wire';
 import {DEMO_KEYS} from './settings_files';
 
-/** A process that does not answer within this time counts as silent. */
+/** A process that sends no reply within this time counts as silent. */
 const REPLY_TIMEOUT_MS = 2_000;
 
 const pool = createSiteClientPool(DEMO_KEYS.site);
 
-/** What a process may still act on, asked as another process would. */
+/** Requests the activity report of a process, as a peer would. */
 export function requestActivity(address: string): Promise<ReportActivityReply> {
   return new Promise((resolve, reject) => {
     const deadline = Date.now() + REPLY_TIMEOUT_MS;
@@ -22,7 +22,7 @@
   });
 }
 
-/** A process's generation without its configuration; undefined if silent. */
+/** Requests the generation of a process; undefined if it is silent. */
 export function requestGeneration(
   address: string,
 ): Promise<PullConfigurationReply | undefined> {
@@ -36,8 +36,8 @@
         pool.metadata,
         {deadline},
         (error, reply) => {
-          // A new channel: the old one waits up to 2 s before it calls a
-          // process that was replaced, and that would count as its delay.
+          // A new channel connects at once; the old one backs off for up to
+          // 2 s, which would be counted as a delay of the replaced process.
           if (error !== null) pool.drop(address);
           resolve(error === null ? reply : undefined);
         },
@@ -45,7 +45,7 @@
   });
 }
 
-/** Closes the channels. */
+/** Closes all channels. */
 export function closeSitePeers(): void {
   pool.close();
 }
--- a/demo/site/small_site.ts
+++ b/demo/site/small_site.ts
@@ -19,31 +19,31 @@
   {zone: 'oviedo-hall', region: 'west'},
 ] as const;
 
-/** What the older system serves and for whom. */
+/** What the stand-in of the older system serves, and for whom. */
 export interface OlderSystemOptions {
   readonly model: string;
   readonly label: string;
   readonly workspaces: readonly string[];
-  /** Time between its rounds of orders and requests, in milliseconds. */
+  /** Interval between its rounds of orders and requests, in milliseconds. */
   readonly period: number;
 }
 
-/** How large a site to start, and from what. */
+/** Size of the site and the programs to start it from. */
 export interface SmallSiteOptions extends SiteSettings {
   readonly entries: number;
   readonly engines: number;
   readonly plainServices: number;
-  /** Runs our processes from the one binary. */
+  /** Runs entries and agents from the single executable. */
   readonly binary: boolean;
-  /** Starts the older system too; it owns all targets and these workspaces. */
+  /** Also starts the older system, which owns all targets and its workspaces. */
   readonly olderSystem?: OlderSystemOptions;
   /** Whether engines refuse an order with an old fencing number. */
   readonly fencing?: 'checked' | 'ignored';
-  /** Further options of each engine stand-in's command line. */
+  /** Additional command line options of each engine stand-in. */
   readonly engineOptions?: readonly string[];
 }
 
-/** A target with the agent in its slot. */
+/** A running target and its agent. */
 export interface RunningTarget {
   readonly name: string;
   readonly url: string;
@@ -68,19 +68,19 @@
   readonly engines: readonly RunningTarget[];
   readonly plainServices: readonly RunningTarget[];
   readonly settings: SettingsWriter;
-  /** The older system's address, if there is one. */
+  /** URL of the older system, if it was started. */
   readonly olderSystemUrl: string | undefined;
-  /** Starts an agent anew in the slot of a target. */
+  /** Starts a new agent for a target and waits until it is ready. */
   readonly restartAgent: (target: RunningTarget) => Promise<SiteProcess>;
-  /** Starts a killed process anew; does not wait until it is ready. */
+  /** Restarts a killed process without waiting until it is ready. */
   readonly respawn: (killed: RunningTarget | RunningEntry) => SiteProcess;
-  /** Starts one more entry and lists it at the platform. */
+  /** Starts another entry and lists it at the platform. */
   readonly addEntry: (name: string) => Promise<RunningEntry>;
   readonly delist: (instance: string) => Promise<void>;
   readonly stop: () => Promise<void>;
 }
 
-/** Starts platform, targets, agents and entries, and lists them. */
+/** Starts platform, targets, agents and entries, and lists the instances. */
 export async function startSmallSite(
   options: SmallSiteOptions,
 ): Promise<SmallSite> {
@@ -169,7 +169,7 @@
         : await standin('plain-service', name);
     const [port] = await freePorts(1);
     const spec: AgentSpec = {
-      // The agent runs in the target instance's slot and shares its name.
+      // The agent runs on the instance of its target and shares its name.
       instance: name,
       ...zoneAt(index),
       siteAddress: `${HOST}:${port}`,
@@ -282,7 +282,7 @@
   readonly region: string;
 } {
   const zone = ZONES[index % ZONES.length];
-  if (zone === undefined) throw new Error('no place is configured');
+  if (zone === undefined) throw new Error('no zone is configured');
   return zone;
 }
 
