--- a/examples/caller_client.ts
+++ b/examples/caller_client.ts
@@ -1,8 +1,8 @@
-// Asks a model and calls an operation that may not be repeated.
+// Sends a generate request and calls an operation that must run at most once.
 //
 //   node scripts/run.mjs examples/caller_client.ts [IP:PORT KEY]
 //
-// Without an entry's address it talks to a stand-in on loopback.
+// Without the address of an entry it uses a stand-in on loopback.
 import {createCallerClient} from '@hibiscusbeam/daemon';
 import {startLoopbackEntry} from './loopback_entry';
 
@@ -24,14 +24,14 @@
     deadline: 5_000,
     onToken: text => void process.stdout.write(text),
   });
-  // Tokens seen so far are an answer only if this says so.
+  // The tokens received so far are an answer only if `kind` says so.
   console.log(`\n${note.kind}`);
 
   const charge = await client.call({
     service: 'invoicing',
     operation: 'charge',
     body: {reference: 'warranty-4711', amount: 120},
-    // Made once for this charge and stored with it, before the first send.
+    // Generated once per charge and stored with it before the first attempt.
     idempotencyKey: 'warranty-4711',
     deadline: 5_000,
   });
@@ -40,13 +40,13 @@
       console.log('charged', charge.answer);
       break;
     case 'notRun':
-      console.log(`not charged; ask again in ${charge.retryAfter} ms`);
+      console.log(`not charged; retry in ${charge.retryAfter} ms`);
       break;
     case 'outcomeUnknown':
-      console.log('may be charged; ask again with the same key only');
+      console.log('may be charged; retry with the same key only');
       break;
     case 'rejected':
-      console.log(`wrong request: ${charge.detail}`);
+      console.log(`invalid request: ${charge.detail}`);
       break;
   }
 
--- a/examples/embed_configuration.ts
+++ b/examples/embed_configuration.ts
@@ -1,6 +1,7 @@
-// Embeds the configuration part: two operators plan, one is overtaken, and a
-// process adopts what was accepted. The table is a few lines of memory here;
-// a real one is the platform's, behind the same effects.
+// Embeds the configuration module: two operators plan changes, one plan is
+// overtaken, and a process adopts the accepted configuration. The table is
+// kept in memory here; a real process executes the same effects against the
+// table of the platform.
 import {createHash} from 'node:crypto';
 import {
   type AcceptedConfiguration,
@@ -60,7 +61,7 @@
   }
 }
 
-/** Drives a flow to its end. */
+/** Runs a flow to completion. */
 function runFlow<Outcome>(flow: TableFlow<Outcome>): Outcome {
   let next = flow.next();
   while (!next.done) next = flow.next(executeEffect(next.value));
@@ -112,7 +113,7 @@
 const refused = runFlow(confirmPlan('plan-2', {digestText}));
 if (refused.err && refused.val.kind === 'overtaken') {
   const [other] = refused.val.others;
-  console.log(`plan-2 came second to ${other?.planId} of ${other?.operator}`);
+  console.log(`plan-2 was overtaken by ${other?.planId} of ${other?.operator}`);
   console.log(refused.val.advice);
 }
 
--- a/examples/embed_lease.ts
+++ b/examples/embed_lease.ts
@@ -1,6 +1,7 @@
-// Two workers share one lease over a table in memory. The first one freezes
-// past its lease; the second one takes over under a higher fencing number, and
-// the first one sees before its next use that it must not act.
+// Two workers compete for one lease in an in-memory table. The first one
+// freezes until its lease has expired; the second one takes over with a higher
+// fencing number, and the first one detects before its next use that it must
+// not act.
 import {
   createLease,
   type Lease,
@@ -47,7 +48,7 @@
   }
 }
 
-/** Drives a flow; a process would await its table service here. */
+/** Runs a flow; a real process would await its table service here. */
 function runFlow<Outcome>(
   flow: Generator<LeaseEffect, Outcome, LeaseReply>,
 ): Outcome {
@@ -85,7 +86,7 @@
 // The first worker freezes.
 now += DURATION_MS;
 show('second acquires', runFlow(second.acquire()).val);
-show('first wakes, may act', first.mayAct(now));
+show('first resumes, may act', first.mayAct(now));
 show('first renews', runFlow(first.renew()).val);
 show('second releases', runFlow(second.release()).ok);
 show('first acquires', runFlow(first.acquire()).val);
--- a/examples/loopback_entry.ts
+++ b/examples/loopback_entry.ts
@@ -2,7 +2,7 @@
 import {createServer, type ServerResponse} from 'node:http';
 import type {AddressInfo} from 'node:net';
 
-/** A stand-in for an entry, so that the example runs without a site. */
+/** A stand-in for an entry that lets the example run without a site. */
 export interface LoopbackEntry {
   readonly address: string;
   readonly close: () => void;
@@ -20,7 +20,7 @@
   response.end(lines.map(line => `${JSON.stringify(line)}\n`).join(''));
 }
 
-/** Starts the stand-in. It refuses the first charge, as a busy site would. */
+/** Starts the stand-in. It refuses the first charge, like a busy site. */
 export async function startLoopbackEntry(): Promise<LoopbackEntry> {
   let charges = 0;
   const server = createServer((request, response) => {
