--- a/deploy/warm_up.mjs
+++ b/deploy/warm_up.mjs
@@ -1,6 +1,6 @@
 /**
- * Runs each role of the built program for a moment against an empty platform, so
- * that the code a start needs lies compiled beside it (`scripts/fleet_launcher.cjs`).
+ * Runs each role of the built program briefly against an empty platform, which
+ * writes the code cache that `scripts/fleet_launcher.cjs` loads.
  */
 import {spawn} from 'node:child_process';
 import {mkdtempSync, readFileSync, rmSync, writeFileSync} from 'node:fs';
@@ -12,10 +12,10 @@
 const MODEL = 'model';
 const SERVICE = 'engines';
 
-/** Time in which the roles meet and pass a few reports and news, in ms. */
+/** Time in which the roles connect and exchange reports and updates, in ms. */
 const RUN_FOR = 3_000;
 
-/** Code is compiled for the very flags that it runs with. */
+/** The code cache is valid only for the flags that it was compiled with. */
 function flagsOf(role) {
   const {roles} = parse(readFileSync('deploy/system.toml', 'utf8'));
   return roles[role].run.split(' ').filter(word => word.startsWith('--'));
@@ -38,7 +38,7 @@
   return {Key: key, Ver: 1, Value: text};
 }
 
-/** Store, engine and directory of targets in one. */
+/** Serves as store, engine and target directory. */
 function openPlatform(members) {
   const server = createServer((request, response) => {
     const url = new URL(request.url, 'http://platform');
@@ -135,8 +135,8 @@
 }
 
 /**
- * Two zones, so that entries follow relays of their own zone and of others. One
- * process of each role writes its code.
+ * Two zones, so that entries follow relays of their own and of another zone.
+ * One process of each role writes the code cache.
  */
 const members = [
   await describe('entry-1', 'entry', 'north', true),
--- a/scripts/binary.mjs
+++ b/scripts/binary.mjs
@@ -1,5 +1,5 @@
-// Builds dist/hibiscusbeam, one executable file: Node with the bundled program
-// inside. Prints its size and its start time as measured.
+// Builds dist/hibiscusbeam, a single executable: Node with the bundled program
+// inside. Prints its size and its measured start time.
 import {execFileSync, spawnSync} from 'node:child_process';
 import {
   chmodSync,
@@ -17,9 +17,9 @@
 const BLOB = 'dist/binary/program.blob';
 const CONFIGURATION = 'dist/binary/program.json';
 const BINARY = 'dist/hibiscusbeam';
-// Fixed by Node: marks the place that tells whether a program is inside.
+// Defined by Node: marks where the executable records an embedded program.
 const FUSE = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
-const STARTS_MEASURED = 11;
+const MEASURED_STARTS = 11;
 
 await bundle('packages/hibiscusbeam/src/main.ts', BUNDLE);
 mkdirSync('dist/binary', {recursive: true});
@@ -43,14 +43,14 @@
 report();
 
 function report() {
-  const times = Array.from({length: STARTS_MEASURED}, measureStart);
+  const times = Array.from({length: MEASURED_STARTS}, measureStart);
   times.sort((left, right) => left - right);
   const megabytes = statSync(BINARY).size / 1e6;
   const median = times[Math.floor(times.length / 2)];
   console.log(`${BINARY}: ${megabytes.toFixed(1)} MB`);
   console.log(
     `start time (--version, ${times.length} runs): median ${median.toFixed(0)} ms, ` +
-      `least ${times[0].toFixed(0)} ms, most ${times.at(-1).toFixed(0)} ms`,
+      `min ${times[0].toFixed(0)} ms, max ${times.at(-1).toFixed(0)} ms`,
   );
 }
 
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -15,7 +15,8 @@
 
 const CORE = 'packages/core';
 const CORE_OUTPUT = `${CORE}/dist`;
-// CommonJS whose names Node cannot import from an ES module, so it is built in.
+// CommonJS packages whose named exports Node cannot import from an ES module;
+// they are bundled.
 const BUNDLED = ['ts-results'];
 
 await bundle('packages/hibiscusbeam/src/main.ts', 'dist/hibiscusbeam.cjs');
@@ -47,7 +48,7 @@
     `${CORE_OUTPUT}/package.json`,
     `${JSON.stringify(published, null, 2)}\n`,
   );
-  // Fails the build if plain Node cannot import what was built.
+  // Fails the build if Node cannot import the built module.
   const core = await import(pathToFileURL(resolve(CORE_OUTPUT, 'index.js')));
   if (Object.keys(core).length === 0) throw new Error('core exports nothing');
 }
@@ -73,7 +74,7 @@
   }
 }
 
-// Node's resolution of types wants whole file names in relative imports.
+// Type resolution for Node needs file extensions in relative imports.
 function addExtensions(file) {
   const text = readFileSync(file, 'utf8');
   const whole = text.replace(
--- a/scripts/build_fleet.mjs
+++ b/scripts/build_fleet.mjs
@@ -1,5 +1,5 @@
-// Builds the program of the fleet: target/hibiscusbeam.cjs, a role's part each,
-// and the code of these compiled ahead.
+// Builds the fleet program: the launcher target/hibiscusbeam.cjs, one bundle for
+// each role, and the compiled code of the bundles.
 import {cpSync, rmSync} from 'node:fs';
 import {bundle} from './bundle.mjs';
 
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -5,18 +5,18 @@
   platform: 'node',
   target: 'node20',
   sourcemap: true,
-  // Half of the text to read and to hold at each start; names stay, so that
-  // stack traces in logs can be read.
+  // Halves the source that is read and kept in memory at each start. Names are
+  // kept so that stack traces in logs stay readable.
   minifyWhitespace: true,
   minifySyntax: true,
   legalComments: 'none',
-  // An optional native transport of hot-shots; UDP needs no such module.
+  // An optional native transport of hot-shots; UDP does not need it.
   external: ['unix-dgram'],
   mainFields: ['module', 'main'],
   logLevel: 'warning',
 };
 
-/** Bundles `entryPoint` with its libraries into one CommonJS file for Node 20. */
+/** Bundles `entryPoint` and its libraries into one CommonJS file for Node 20. */
 export async function bundle(entryPoint, output) {
   await build({
     ...COMMON,
--- a/scripts/check_guards.mjs
+++ b/scripts/check_guards.mjs
@@ -1,8 +1,9 @@
-// Runs each proof against the code with one guard removed and expects it to
-// fail: a property that passes without its guard proves nothing.
+// Mutation check: removes one guard from the source at a time and expects its
+// test to fail. A test that still passes does not cover the guard.
 // Guards: test/guards/*.json, entries {name, file, find, replace, test, expect}
-// where `test` is a test file and `expect` a part of a failing test's name.
-// usage: node scripts/check_guards.mjs [part of a name]; GUARD_JOBS at a time.
+// where `test` is a test file and `expect` a part of the failing test's name.
+// usage: node scripts/check_guards.mjs [part of a name]; runs GUARD_JOBS guards
+// in parallel.
 import {spawn} from 'node:child_process';
 import {readFileSync, readdirSync} from 'node:fs';
 
@@ -38,11 +39,11 @@
 
 let passed = 0;
 let failed = 0;
-const waiting = [...guards];
+const pending = [...guards];
 
-async function work() {
+async function runWorker() {
   for (;;) {
-    const guard = waiting.shift();
+    const guard = pending.shift();
     if (guard === undefined) return;
     const caught = await isCaught(guard);
     if (caught) passed += 1;
@@ -53,6 +54,6 @@
   }
 }
 
-await Promise.all(Array.from({length: jobs}, work));
+await Promise.all(Array.from({length: jobs}, runWorker));
 console.log(`guards: ${passed} passed, ${failed} failed`);
 process.exit(failed === 0 ? 0 : 1);
--- a/scripts/ci_verdict.mjs
+++ b/scripts/ci_verdict.mjs
@@ -1,27 +1,27 @@
-// Judges a run of .ci/run and prints the last line, `N passed, N failed`, where
-// a file that could not be loaded counts as one failed.
+// Evaluates a run of .ci/run and prints the last line, `N passed, N failed`. A
+// file that could not be loaded counts as one failed test.
 // Usage: node scripts/ci_verdict.mjs REPORT KNOWN-RED [failed steps...]
 import {existsSync, readFileSync} from 'node:fs';
 import {dirname, join} from 'node:path';
 
-const MOST_KNOWN_RED = 3;
-const KNOWN_RED_PARTS = 4;
+const MAX_KNOWN_RED = 3;
+const KNOWN_RED_FIELDS = 4;
 
 const [reportFile, knownRedFile, ...failedSteps] = process.argv.slice(2);
 const problems = [];
 const knownRed = readKnownRed();
 const report = readReport();
 const tests = report.testResults.flatMap(file => file.assertionResults);
-// Files that could not be loaded fail without a single test in the report.
+// Files that could not be loaded have no tests in the report.
 const unloadedFiles = report.testResults.filter(
   file =>
     file.status === 'failed' &&
     !file.assertionResults.some(test => test.status === 'failed'),
 );
-judgeSteps();
-judgeTests();
-judgeFiles();
-judgeUnhandledErrors();
+checkSteps();
+checkTests();
+checkUnloadedFiles();
+checkUnhandledErrors();
 for (const problem of problems) console.log(`FAILED: ${problem}`);
 const count = status => tests.filter(test => test.status === status).length;
 const failed = count('failed') + unloadedFiles.length;
@@ -34,14 +34,14 @@
     .split('\n')
     .map(line => line.trim())
     .filter(line => line !== '' && !line.startsWith('#'));
-  if (lines.length > MOST_KNOWN_RED) {
+  if (lines.length > MAX_KNOWN_RED) {
     problems.push(
-      `${knownRedFile} lists ${lines.length} tests; at most ${MOST_KNOWN_RED} may be known to fail`,
+      `${knownRedFile} lists ${lines.length} tests; at most ${MAX_KNOWN_RED} may be known to fail`,
     );
   }
   return lines.map(line => {
     const parts = line.split('|').map(part => part.trim());
-    if (parts.length !== KNOWN_RED_PARTS || parts.includes('')) {
+    if (parts.length !== KNOWN_RED_FIELDS || parts.includes('')) {
       problems.push(
         `${knownRedFile}: not "test name | command and seed | what was seen | issue": ${line}`,
       );
@@ -58,8 +58,8 @@
   return {testResults: []};
 }
 
-/** The test step may fail only through tests, which are judged one by one. */
-function judgeSteps() {
+/** The test step may fail only because of tests, which are checked one by one. */
+function checkSteps() {
   for (const step of failedSteps) {
     if (step !== 'test') problems.push(`step ${step}`);
   }
@@ -71,7 +71,7 @@
   }
 }
 
-function judgeTests() {
+function checkTests() {
   if (tests.length === 0) problems.push('no test ran');
   for (const test of tests) {
     const known = knownRed.find(({name}) => name === test.fullName);
@@ -92,13 +92,13 @@
   }
 }
 
-function judgeFiles() {
+function checkUnloadedFiles() {
   for (const file of unloadedFiles) {
     problems.push(`file ${file.name}: ${file.message}`);
   }
 }
 
-function judgeUnhandledErrors() {
+function checkUnhandledErrors() {
   const file = join(dirname(reportFile), 'unhandled_errors.json');
   if (!existsSync(file)) return;
   for (const message of JSON.parse(readFileSync(file, 'utf8'))) {
--- a/scripts/fleet_launcher.cjs
+++ b/scripts/fleet_launcher.cjs
@@ -1,10 +1,10 @@
 /**
- * Starts a role of the fleet: `hibiscusbeam.cjs ROLE`. Loads the role's program
- * with the code that was compiled at the build.
+ * Starts a role of the fleet: `hibiscusbeam.cjs ROLE`. Loads the bundle of the
+ * role with the V8 code cache that was written at build time.
  *
- * An entry's start takes 0.5 s of processor time with it and 0.8 s without, by
- * /proc/PID/stat after 2 s. Code that another runtime, or other flags, have
- * compiled is refused by the runtime; the program is then compiled anew.
+ * The cache reduces the CPU time of an entry's start from 0.8 s to 0.5 s (from
+ * /proc/PID/stat after 2 s). The runtime rejects a cache written by another
+ * version of Node or with other flags; the program is then compiled again.
  */
 'use strict';
 const {existsSync, readFileSync, writeFileSync} = require('node:fs');
@@ -12,10 +12,10 @@
 const {join} = require('node:path');
 const {Script, constants} = require('node:vm');
 
-/** Exit code for a command line that names no role. */
+/** Exit code for a command line without a role. */
 const EXIT_USAGE = 2;
 
-/** Asks for the compiled code to be written when the process ends. */
+/** Writes the code cache when the process exits. */
 const WRITE_FLAG = '--write-compiled';
 
 const [role, flag] = process.argv.slice(2);
@@ -33,7 +33,7 @@
   importModuleDynamically: constants.USE_MAIN_CONTEXT_DEFAULT_LOADER,
 });
 if (script.cachedDataRejected === true) {
-  console.error('compiled code is of another runtime; compiles anew');
+  console.error('code cache rejected: other runtime or flags; compiling again');
 }
 if (flag === WRITE_FLAG) {
   process.on('exit', () => writeFileSync(compiled, script.createCachedData()));
--- a/scripts/programs.mjs
+++ b/scripts/programs.mjs
@@ -1,5 +1,5 @@
-// Bundles the product's program and the stand-ins for the demo, the tests on
-// real processes and the benches.
+// Bundles the programs and the stand-ins for the demo, the benchmarks and the
+// tests on real processes.
 import {bundle} from './bundle.mjs';
 
 await Promise.all([
--- a/scripts/run.mjs
+++ b/scripts/run.mjs
@@ -1,5 +1,5 @@
-// Bundles one TypeScript program and runs it, so that no program needs a
-// loader and every run uses the code as it would ship.
+// Bundles a TypeScript program and runs it. Programs need no loader, and each
+// run uses the code as it is shipped.
 import {spawn} from 'node:child_process';
 import {bundle} from './bundle.mjs';
 
