--- a/bench/configuration/changes.ts
+++ b/bench/configuration/changes.ts
@@ -3,21 +3,21 @@
 import type {SmallSite} from '../../demo/site/small_site';
 import type {BenchProcess} from './site_processes';
 
-/** Pause between two questions to one process: the error of each figure. */
+/** Interval between requests to one process; limits the time resolution. */
 const POLL_INTERVAL_MS = 10;
 
-/** A process that has not come to the generation by then never will. */
+/** The run fails if a process has not reached the generation by then. */
 const MAX_WAIT_MS = 120_000;
 
 const OPERATOR_HEADERS = {authorization: `Bearer ${DEMO_KEYS.operator}`};
 
-/** A planned change, to be confirmed. */
+/** A planned change that is not yet confirmed. */
 export interface PlannedChange {
   readonly planId: string;
   readonly base: number;
 }
 
-/** Plans another weight for a workspace at one of the entries. */
+/** Plans a new weight for a workspace at one of the entries. */
 export async function planChange(
   site: SmallSite,
   number: number,
@@ -36,7 +36,7 @@
   return plan;
 }
 
-/** Confirms a plan at one of the entries; gives its generation. */
+/** Confirms a plan at one of the entries and returns its generation. */
 export async function confirmChange(
   site: SmallSite,
   number: number,
@@ -58,7 +58,7 @@
   return entry.url;
 }
 
-/** Resolves, with the time, once the process is at the generation. */
+/** Resolves with the time at which the process has reached the generation. */
 export async function waitForGeneration(
   process: BenchProcess,
   generation: number,
@@ -69,10 +69,10 @@
     if (known !== undefined && known >= generation) return performance.now();
     await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
   }
-  throw new Error(`${process.name} did not come to generation ${generation}`);
+  throw new Error(`${process.name} did not reach generation ${generation}`);
 }
 
-/** Resolves once the table's head is at the generation. */
+/** Resolves once the head row of the table has reached the generation. */
 export async function waitForCommit(
   site: SmallSite,
   generation: number,
@@ -82,7 +82,7 @@
   }
 }
 
-/** The generation of the table's head. */
+/** Reads the generation of the head row. */
 export async function readHeadGeneration(site: SmallSite): Promise<number> {
   const {row} = await exchangeJson<{
     row: {value: {generation: number}} | null;
@@ -90,7 +90,7 @@
   return row?.value.generation ?? 0;
 }
 
-/** Whether the plan is part of the line, at the generation that was answered. */
+/** Whether the plan is confirmed in the table with the returned generation. */
 export async function isPlanCommitted(
   site: SmallSite,
   planId: string,
--- a/bench/configuration/main.ts
+++ b/bench/configuration/main.ts
@@ -18,21 +18,21 @@
   type Traffic,
 } from './traffic';
 
-/** Of the processes, so many are killed right after the commit. */
+/** Share of the processes that is killed right after the commit. */
 const KILLED_SHARE = 0.25;
 
-/** Changes at a steady pace while bytes are counted, unpolled. */
+/** Changes made at a constant rate while bytes are counted without polling. */
 const TRAFFIC_CHANGES = 20;
 
 const TRAFFIC_CHANGE_INTERVAL_MS = 1_000;
 
-/** Made before anything is measured, until all have met one another. */
+/** Unmeasured changes at the start, until all processes are connected. */
 const WARM_UP_CHANGES = 3;
 
 interface Change {
   readonly planId: string;
   readonly generation: number;
-  /** From sending the confirmation to in force everywhere. */
+  /** Time from sending the confirmation until all processes have applied it. */
   readonly seconds: number;
 }
 
@@ -50,7 +50,7 @@
   });
 }
 
-/** Makes one change and waits until it is in force everywhere. */
+/** Makes a change and waits until it is in force in all processes. */
 async function measureChange(
   site: SmallSite,
   processes: readonly BenchProcess[],
@@ -79,7 +79,7 @@
   return {planId, generation, seconds};
 }
 
-/** For people: when those that stayed were there, and those replaced. */
+/** Logs when the surviving and the replaced processes reached the change. */
 function logReachTimes(
   processes: readonly BenchProcess[],
   reached: readonly number[],
@@ -91,7 +91,7 @@
       .map(at => (at - from) / 1_000);
     return times.length === 0 ? 'none' : Math.max(...times).toFixed(3);
   };
-  log(`  last that stayed: ${secondsOf(false)}, replaced: ${secondsOf(true)}`);
+  log(`  last surviving: ${secondsOf(false)}, replaced: ${secondsOf(true)}`);
 }
 
 async function injectFaultAfterCommit(
@@ -107,14 +107,14 @@
   if (fault === 'kill') await replaceSomeProcesses(processes, number);
 }
 
-/** Kills other ones with each change, among them entries. */
+/** Kills different processes with each change, including entries. */
 async function replaceSomeProcesses(
   processes: readonly BenchProcess[],
   number: number,
 ): Promise<void> {
   const count = Math.round(processes.length * KILLED_SHARE);
   const step = Math.floor(processes.length / count);
-  // The entry that answers the confirmation stays: its answer is the start.
+  // The entry that serves the confirmation is kept, as the change waits for it.
   const killed = Array.from(
     {length: count},
     (_, index) => processes[(number + 1 + index * step) % processes.length],
@@ -122,7 +122,7 @@
   await Promise.all(killed.map(one => one?.replace()));
 }
 
-/** Lets the outage last; nothing may go back during it or after it. */
+/** Keeps the outage up; no generation may go back during or after it. */
 async function endOutage(
   site: SmallSite,
   processes: readonly BenchProcess[],
@@ -135,7 +135,7 @@
   await Promise.all(processes.map(one => waitForGeneration(one, generation)));
 }
 
-/** Bytes of one node while changes are made and nobody asks the processes. */
+/** Bytes of one node while changes are made and processes are not polled. */
 async function measureTraffic(
   site: SmallSite,
   processes: readonly BenchProcess[],
@@ -164,7 +164,7 @@
   for (let number = WARM_UP_CHANGES; number < end; number += 1) {
     const made = await measureChange(site, processes, number, options.fault);
     changes.push(made);
-    // At once: plans are deleted some generations later.
+    // Checked immediately, as plans are deleted some generations later.
     planCommitted.push(
       await isPlanCommitted(site, made.planId, made.generation),
     );
--- a/bench/configuration/options.ts
+++ b/bench/configuration/options.ts
@@ -1,9 +1,9 @@
 import {parseArgs} from 'node:util';
 
-/** What goes wrong right after each commit. */
+/** The fault that is injected right after each commit. */
 export type Fault = 'none' | 'outage' | 'kill';
 
-/** What the bench runs. */
+/** Options of one benchmark run. */
 export interface BenchOptions {
   readonly entries: number;
   readonly agents: number;
@@ -16,7 +16,7 @@
 
 const FAULTS: readonly Fault[] = ['none', 'outage', 'kill'];
 
-/** Reads the command line; throws on what it does not know. */
+/** Parses the command line; throws on unknown options and values. */
 export function readOptions(programArguments: readonly string[]): BenchOptions {
   const {values} = parseArgs({
     args: [...programArguments],
@@ -33,7 +33,7 @@
   if (fault === undefined) {
     throw new Error(`--fault must be one of ${FAULTS.join(', ')}`);
   }
-  // With a fault each change takes a whole outage.
+  // With a fault, each change lasts for a full outage.
   const changes = values.changes ?? (fault === 'none' ? '200' : '1');
   return {
     entries: parseCount('entries', values.entries),
--- a/bench/configuration/site_processes.ts
+++ b/bench/configuration/site_processes.ts
@@ -6,23 +6,23 @@
   SmallSite,
 } from '../../demo/site/small_site';
 
-/** One process of the site; killed ones come back in the same place. */
+/** One process of the site; a killed one is restarted at the same address. */
 export interface BenchProcess {
   readonly name: string;
   readonly address: string;
-  /** Ends it without warning and starts it anew at once. */
+  /** Kills the process and restarts it immediately. */
   readonly replace: () => Promise<void>;
   readonly isReplaced: () => boolean;
   readonly processId: () => number;
-  /** Resolves once the present process is ready. */
+  /** Resolves once the current process is ready. */
   readonly ready: () => Promise<unknown>;
-  /** Its generation; undefined if it does not answer or is not ready. */
+  /** Its generation; undefined if it sends no reply or is not ready. */
   readonly requestGeneration: () => Promise<number | undefined>;
-  /** Times that its generation went down, also across its replacement. */
+  /** How often its generation decreased, including across restarts. */
   readonly reverted: () => number;
 }
 
-/** Every process of the site that holds a configuration. */
+/** Lists all processes of the site that hold a configuration. */
 export function listProcesses(site: SmallSite): readonly BenchProcess[] {
   return [
     ...site.entries.map(entry => trackProcess(site, entry, entry.process)),
--- a/bench/configuration/traffic.ts
+++ b/bench/configuration/traffic.ts
@@ -3,10 +3,10 @@
 import type {SmallSite} from '../../demo/site/small_site';
 import type {BenchProcess} from './site_processes';
 
-/** What was sent and read so far. */
+/** Counters at one point in time. */
 export interface Traffic {
   readonly at: number;
-  /** By process: bytes that it has read and written, sockets and logs alike. */
+  /** Bytes read and written by each process, on sockets and in logs. */
   readonly bytes: readonly number[];
   readonly tableReads: number;
   readonly tableWrites: number;
@@ -28,7 +28,7 @@
   };
 }
 
-/** Counted by the kernel for each process; loopback has no other counter. */
+/** Reads the kernel's I/O counters; loopback has no counter per process. */
 function readProcessBytes(processId: number): number {
   const counters = readFileSync(`/proc/${processId}/io`, 'utf8');
   const valueOf = (name: string): number =>
@@ -36,7 +36,7 @@
   return valueOf('rchar') + valueOf('wchar');
 }
 
-/** Mean bytes per process and second between two readings. */
+/** Mean bytes per process and second between two snapshots. */
 export function bytesPerNodePerSecond(from: Traffic, to: Traffic): number {
   const gained = to.bytes.map(
     (bytes, index) => bytes - (from.bytes[index] ?? 0),
@@ -45,7 +45,7 @@
   return total / gained.length / secondsBetween(from, to);
 }
 
-/** Seconds between two readings. */
+/** Seconds between two snapshots. */
 export function secondsBetween(from: Traffic, to: Traffic): number {
   return (to.at - from.at) / 1_000;
 }
--- a/bench/control/main.ts
+++ b/bench/control/main.ts
@@ -23,7 +23,7 @@
     zones: {type: 'string', default: '2'},
     inZone: {type: 'string', default: '4'},
     callers: {type: 'string', default: '3'},
-    /** Folder of profiles and counts of timers; none are written without. */
+    /** Folder for CPU profiles and timer counts; none are written if omitted. */
     profiles: {type: 'string'},
   },
 });
@@ -53,7 +53,7 @@
   return new Promise(done => setTimeout(done, seconds * 1_000));
 }
 
-/** Sleeps and wakes of a process since its start, by the kernel's count. */
+/** Voluntary context switches of a process since its start. */
 function readWakeUps(processId: number): number {
   const status = readFileSync(`/proc/${processId}/status`, 'utf8');
   return Number(/^voluntary_ctxt_switches:\s+(\d+)/m.exec(status)?.[1] ?? 0);
@@ -205,12 +205,12 @@
         );
       const max = Math.max(...rows.map(({cpu}) => cpu)).toFixed(2);
       console.log(
-        `${name} ${role}: ${mean(({cpu}) => cpu)}% of a core (most ${max}%), ${mean(({wakes}) => wakes)} wake-ups a second`,
+        `${name} ${role}: ${mean(({cpu}) => cpu)}% of a core (max ${max}%), ${mean(({wakes}) => wakes)} wake-ups per second`,
       );
     }
     const calls = sum(store.calls) - callsBefore;
     console.log(
-      `${name} store: ${(calls / seconds).toFixed(2)} calls a second`,
+      `${name} store: ${(calls / seconds).toFixed(2)} calls per second`,
     );
   }
 
--- a/bench/control/timer_counts.cjs
+++ b/bench/control/timer_counts.cjs
@@ -1,10 +1,10 @@
-// Loaded by `bench:control` into the processes that it measures: counts timers
-// that ran, by where they were set, and writes the counts at the process's end.
+// Preloaded by `bench:control` into the measured processes. Counts the timers
+// that ran by call site and writes the counts when the process exits.
 const {writeFileSync} = require('node:fs');
 
 const counts = new Map();
 
-function callerOf() {
+function findCallSite() {
   const lines = (new Error().stack ?? '').split('\n').slice(3, 6);
   return lines
     .map(line =>
@@ -16,17 +16,17 @@
     .join(' < ');
 }
 
-function count(place) {
-  counts.set(place, (counts.get(place) ?? 0) + 1);
+function recordRun(callSite) {
+  counts.set(callSite, (counts.get(callSite) ?? 0) + 1);
 }
 
 for (const name of ['setTimeout', 'setInterval', 'setImmediate']) {
   const original = globalThis[name];
   globalThis[name] = (action, ...rest) => {
-    const place = `${name} ${callerOf()}`;
+    const callSite = `${name} ${findCallSite()}`;
     return original(
       (...passed) => {
-        count(place);
+        recordRun(callSite);
         action(...passed);
       },
       ...rest,
--- a/bench/distribution/baseline_movers.ts
+++ b/bench/distribution/baseline_movers.ts
@@ -8,18 +8,21 @@
   type Mover,
 } from './instance';
 
-/** Chunks that a baseline reads at once, so that a link has no pauses. */
+/** Chunks that a baseline reads concurrently, to keep the link busy. */
 const CONCURRENT_READS = 4;
 
 type Pieces = ReturnType<InstancePorts['fromPeer']>;
 
-/** Every instance reads every chunk from the origin. */
+/** A mover that reads every chunk from the origin. */
 export function createOriginMover(ports: InstancePorts): Mover {
   const open = (digest: Digest) => readOrigin(ports, digest);
   return createOrderedMover(ports, () => open);
 }
 
-/** Instance n reads every chunk from instance (n - 1) / 2; the first one from the origin. */
+/**
+ * A mover in a binary tree: instance n reads every chunk from instance
+ * (n - 1) / 2, and the first one reads from the origin.
+ */
 export function createTreeMover(ports: InstancePorts): Mover {
   return createOrderedMover(ports, peers => {
     if (ports.position === 0) return digest => readOrigin(ports, digest);
--- a/bench/distribution/instance.ts
+++ b/bench/distribution/instance.ts
@@ -29,13 +29,13 @@
 
 type ChunkCall = ServerWritableStream<FetchChunkRequest, ChunkPiece>;
 
-/** Own connections for each instance, as between real machines. */
+/** Separate connections for each instance, as between real machines. */
 const CHANNEL_OPTIONS = {
   'grpc.use_local_subchannel_pool': 1,
   'grpc.enable_http_proxy': 0,
 };
 
-/** What moves the weights of one instance. */
+/** Fetches the weights of one instance and serves them to others. */
 export interface Mover {
   readonly start: (peers: readonly SwarmPeer[]) => void;
   readonly want: (
@@ -50,7 +50,7 @@
   readonly stop: () => void;
 }
 
-/** What a mover works with: the instance's links, store and sockets. */
+/** The links, store and sockets of an instance, as used by its mover. */
 export interface InstancePorts {
   readonly position: number;
   readonly instance: string;
@@ -68,7 +68,7 @@
   readonly peerClient: (address: string) => PeerClient;
 }
 
-/** One instance of the bench, with its own sockets and links. */
+/** An instance of the benchmark with its own sockets and links. */
 export interface BenchInstance {
   readonly peer: SwarmPeer;
   readonly store: MemoryStore;
@@ -79,16 +79,16 @@
   ) => void;
   readonly isAlive: () => boolean;
   readonly requestBytes: () => number;
-  /** Requests for chunks to other instances, with those refused. */
+  /** Chunk requests to other instances, including refused ones. */
   readonly requests: () => number;
 }
 
-/** Name of the instance at a position. */
+/** Name of the instance at a position, counted from 0. */
 export function instanceName(position: number): string {
   return `agent-${String(position).padStart(4, '0')}`;
 }
 
-/** Starts one instance; `createMover` decides how it gets its weights. */
+/** Starts an instance; `createMover` selects how it fetches its weights. */
 export async function startInstance(
   position: number,
   options: BenchOptions,
@@ -148,7 +148,7 @@
       },
     },
     fromPeer(address, digest, signal) {
-      // Field tag and length, then the digest; headers as of any message.
+      // Field tag and length, the digest, and the headers of a message.
       requests += 1;
       requestBytes += digest.length + 2 + MESSAGE_HEADER_BYTES;
       const {agent} = clientOf(address);
@@ -157,7 +157,7 @@
   });
 
   function answer(call: ChunkCall): void {
-    // Signs of life need the link as well.
+    // Keep-alive pieces are empty; a frozen link must drop them too.
     const write = call.write.bind(call);
     call.write = (piece: ChunkPiece) =>
       (piece.content.length === 0 && uplink.isFrozen()) || write(piece);
@@ -203,7 +203,7 @@
   };
 }
 
-/** Sends pieces at the link's rate; a faulty instance changes a byte. */
+/** Sends pieces at the rate of the link; a corrupting instance flips a bit. */
 export async function* sendPaced(
   ports: Pick<InstancePorts, 'uplink' | 'isCorrupting'>,
   pieces: AsyncIterable<Uint8Array>,
@@ -220,7 +220,7 @@
   }
 }
 
-/** Answers a call with what `serve` gives, at the link's rate. */
+/** Answers a call with the pieces from `serve`, at the rate of the link. */
 export function answerPaced(
   ports: InstancePorts,
   call: ChunkCall,
--- a/bench/distribution/links.ts
+++ b/bench/distribution/links.ts
@@ -1,19 +1,19 @@
 import {performance} from 'node:perf_hooks';
 import {setTimeout as sleep} from 'node:timers/promises';
 
-/** A link of limited rate, shared by all who take from it. */
+/** A network link of limited rate, shared by all transfers over it. */
 export interface Link {
-  /** Waits until the link has carried `bytes` more. */
+  /** Waits until the link has transferred another `bytes` bytes. */
   readonly transfer: (bytes: number) => Promise<void>;
-  /** Carries nothing for so long, in milliseconds. */
+  /** Stops all transfers for `time` milliseconds. */
   readonly freeze: (time: number) => void;
   readonly isFrozen: () => boolean;
 }
 
 /**
- * Creates a link as a token bucket. `burstBytes` is what it may carry at once
- * after a pause; it also makes up for the timers of a busy machine, which are
- * late by tens of milliseconds.
+ * Creates a link as a token bucket. After a pause it transfers `burstBytes`
+ * without delay, which also compensates for timers that fire tens of
+ * milliseconds late on a busy machine.
  */
 export function createLink(bytesPerSecond: number, burstBytes: number): Link {
   const burst = (burstBytes * 1000) / bytesPerSecond;
--- a/bench/distribution/memory_store.ts
+++ b/bench/distribution/memory_store.ts
@@ -4,12 +4,12 @@
 import {pieceBytes} from './origin';
 import {digestOf} from './version';
 
-/** An instance's chunks, in memory. */
+/** In-memory chunk store of an instance. */
 export interface MemoryStore extends ChunkStore {
   readonly preload: (digest: Digest, bytes: Uint8Array) => void;
   /** Resolves once the chunk is held. */
   readonly whenHeld: (digest: Digest) => Promise<void>;
-  /** True if every chunk is held and its bytes have its digest. */
+  /** Whether every chunk is held and matches its digest. */
   readonly verify: (manifest: Manifest) => boolean;
 }
 
--- a/bench/distribution/messages.ts
+++ b/bench/distribution/messages.ts
@@ -2,12 +2,12 @@
 import type {SwarmPeer} from '@hibiscusbeam/daemon';
 import type {BenchOptions} from './options';
 
-/** What the bench tells one of its processes. */
+/** A command from the main process to a worker process. */
 export type WorkerCommand =
   | {
       readonly kind: 'begin';
       readonly options: BenchOptions;
-      /** Positions of the instances that this process runs. */
+      /** Positions of the instances that the worker runs. */
       readonly positions: readonly number[];
       readonly originUrl: string;
     }
@@ -16,7 +16,7 @@
       readonly kind: 'want';
       readonly version: IdentifiedManifest;
       readonly superseded: string | undefined;
-      /** How many of the version's first chunks the stores hold beforehand. */
+      /** Number of leading chunks that the stores hold from the start. */
       readonly preload: number;
     }
   | {
@@ -27,7 +27,7 @@
     }
   | {readonly kind: 'finish'};
 
-/** What a process answers. */
+/** A report from a worker process to the main process. */
 export type WorkerReport =
   | {readonly kind: 'listening'; readonly peers: readonly SwarmPeer[]}
   | {readonly kind: 'connected'}
@@ -42,7 +42,7 @@
       readonly controlBytes: number;
       readonly crossZoneBytes: number;
       readonly requests: number;
-      /** Neighbours of all instances of this process together. */
+      /** Total number of neighbours of the worker's instances. */
       readonly neighbours: number;
       readonly cutOffs: number;
     }
--- a/bench/distribution/options.ts
+++ b/bench/distribution/options.ts
@@ -1,9 +1,9 @@
 import {parseArgs} from 'node:util';
 
-/** How weights are moved. */
+/** How weights are distributed. */
 export type Strategy = 'swarm' | 'origin' | 'tree';
 
-/** What goes wrong during the transfer. */
+/** The fault that is injected during the transfer. */
 export type FaultName =
   'none' | 'kill' | 'stall' | 'corrupt' | 'supersede' | 'origin-outage';
 
@@ -17,7 +17,7 @@
   'origin-outage',
 ];
 
-/** One run of the bench. */
+/** Options of one benchmark run. */
 export interface BenchOptions {
   readonly instances: number;
   readonly zones: number;
@@ -27,7 +27,7 @@
   readonly seed: number;
   readonly chunks: number;
   readonly chunkBytes: number;
-  /** The origin sends four copies and each link carries two in this time. */
+  /** In this time the origin sends four copies and each link transfers two. */
   readonly windowSeconds: number;
   readonly ownZonePicks: number | undefined;
   readonly crossZonePicks: number | undefined;
@@ -35,14 +35,14 @@
   readonly uploadSlots: number | undefined;
   /** Whether the agents know the origin's rate. */
   readonly originRate: 'known' | 'unknown';
-  /** Share of the chunks that an older, held version shares. */
+  /** Share of the chunks that an older, already held version contains. */
   readonly shared: number;
   readonly reuse: boolean;
   readonly processes: number;
   readonly json: boolean;
 }
 
-/** Parses the command line; throws an error that names a wrong option. */
+/** Parses the command line; throws an error that names the invalid option. */
 export function parseOptions(programArguments: readonly string[]) {
   const {values} = parseArgs({
     args: [...programArguments],
--- a/bench/distribution/origin.ts
+++ b/bench/distribution/origin.ts
@@ -6,12 +6,12 @@
 import {Agent, request} from 'undici';
 import {createLink} from './links';
 
-/** Bytes that are sent at once by every sender of the bench. */
+/** Size of the pieces in which every sender of the benchmark sends a chunk. */
 export function pieceBytes(chunkBytes: number): number {
   return Math.max(1024, Math.ceil(chunkBytes / 4));
 }
 
-/** The origin of weights behind one link. */
+/** An HTTP origin of weights behind a single link. */
 export interface Origin {
   readonly url: string;
   readonly bytesSent: () => number;
@@ -20,7 +20,7 @@
   readonly close: () => void;
 }
 
-/** Starts an origin whose link carries `bytesPerSecond` in all. */
+/** Starts an origin whose link transfers `bytesPerSecond` in total. */
 export async function startOrigin(
   bytesPerSecond: number,
   chunkBytes: number,
@@ -74,7 +74,7 @@
   };
 }
 
-/** Reads chunks from the origin. */
+/** Creates a client that reads chunks from the origin. */
 export function createOriginClient(url: string): Pick<WeightStore, 'chunk'> {
   const dispatcher = new Agent({connections: 64, pipelining: 1});
   return {
--- a/bench/distribution/result.ts
+++ b/bench/distribution/result.ts
@@ -1,12 +1,12 @@
 import type {BenchOptions} from './options';
 
-/** One run's figures. */
+/** The result of one run. */
 export interface BenchResult {
   readonly strategy: string;
   readonly prefer: string;
   readonly fault: string;
   readonly instances: number;
-  /** Instances that hold the whole version at the end. */
+  /** Instances that hold the complete version at the end. */
   readonly replicas: number;
   readonly seconds: number;
   readonly lowerBoundSeconds: number;
@@ -16,10 +16,10 @@
   readonly p99Seconds: number;
   readonly verified: boolean;
   readonly controlBytesPerNodePerSecond: number;
-  /** CPU share of the busiest process: 1 is one core in full use. */
+  /** CPU use of the busiest process in cores: 1 is one fully used core. */
   readonly cpuShare: number;
   readonly crossZoneCopies: number;
-  /** Requests to other instances per chunk and instance, refused ones too. */
+  /** Requests to other instances per chunk and instance, with refused ones. */
   readonly requestsPerChunk: number;
   readonly neighbours: number;
   readonly chunks: number;
@@ -30,7 +30,7 @@
   readonly seed: number;
 }
 
-/** Least time in which the links could carry the version to all. */
+/** Minimum time in which the links can transfer the version to all. */
 export function lowerBoundSeconds(options: BenchOptions): number {
   const {instances, windowSeconds} = options;
   const origin = 4 / windowSeconds;
@@ -42,13 +42,13 @@
   );
 }
 
-/** The value that `share` of the sorted values do not exceed. */
+/** The smallest value that at least `share` of the values do not exceed. */
 export function quantile(sorted: readonly number[], share: number): number {
   const place = Math.ceil(share * sorted.length) - 1;
   return sorted[Math.max(0, place)] ?? 0;
 }
 
-/** Rounds to three digits after the point. */
+/** Rounds to three decimal places. */
 export function round(value: number): number {
   return Math.round(value * 1000) / 1000;
 }
--- a/bench/distribution/run.ts
+++ b/bench/distribution/run.ts
@@ -11,21 +11,21 @@
 /** Time for sessions to open before the measurement starts. */
 const SETTLE_TIME_MS = 1_500;
 
-/** Longest run, in windows; a run that takes longer has failed. */
+/** A run that takes more windows than this has failed. */
 const MAX_RUN_WINDOWS = 60;
 
-/** Parts of the lower bound after which a fault comes, and that it lasts. */
+/** Start and duration of faults, as shares of the lower bound. */
 const FAULT_START_SHARE = 0.3;
 const OUTAGE_START_SHARE = 0.1;
 const FAULT_DURATION_SHARE = 0.2;
 
-/** The instance that a fault strikes. */
+/** Position of the instance that faults are injected into. */
 const FAULTY_POSITION = 1;
 
-/** Delay of the platform's list of instances after a kill. */
+/** Delay after a kill until the instance list no longer names the instance. */
 const LIST_DELAY_MS = 2_000;
 
-/** Runs the bench once. */
+/** Runs the benchmark once. */
 export async function runBench(options: BenchOptions): Promise<BenchResult> {
   const versionBytes = options.chunks * options.chunkBytes;
   const originRate = (4 * versionBytes) / options.windowSeconds;
--- a/bench/distribution/sessions.ts
+++ b/bench/distribution/sessions.ts
@@ -16,7 +16,7 @@
 
 /** The sessions of one instance with its neighbours. */
 export interface Sessions {
-  /** Opens a session, unless the neighbour is the one to open it. */
+  /** Opens a session, unless the neighbour is responsible for opening it. */
   readonly connect: (peer: SwarmPeer) => void;
   readonly accept: (
     stream: ServerDuplexStream<SessionMessage, SessionMessage>,
@@ -27,7 +27,7 @@
   readonly close: () => void;
 }
 
-/** Creates the sessions of `self`; the driver hears what they bring. */
+/** Creates the sessions of `self`; received messages go to the driver. */
 export function createSessions(
   self: string,
   clientOf: (address: string) => PeerClient,
@@ -90,7 +90,7 @@
   };
 }
 
-/** Size on the wire; counted, since encoding each message twice costs CPU. */
+/** Computes the encoded size; encoding each message twice would cost CPU. */
 function sizeOf({message}: SessionMessage): number {
   if (message?.$case !== 'haveDelta') return 0;
   const {versionDigest, gained} = message.haveDelta;
--- a/bench/distribution/swarm_mover.ts
+++ b/bench/distribution/swarm_mover.ts
@@ -7,10 +7,10 @@
 } from './instance';
 import {createSessions} from './sessions';
 
-/** Chunks that downloads may hold in memory at once. */
+/** Maximum number of chunks that downloads buffer in memory. */
 const BUFFERED_CHUNKS = 16;
 
-/** Moves weights with the swarm driver that an agent embeds. */
+/** Creates a mover that uses the swarm driver of the agent. */
 export function createSwarmMover(ports: InstancePorts): Mover {
   const {options} = ports;
   const versionBytes = options.chunks * options.chunkBytes;
--- a/bench/distribution/version.ts
+++ b/bench/distribution/version.ts
@@ -5,17 +5,17 @@
 } from '@hibiscusbeam/core';
 import {createCipheriv, createHash} from 'node:crypto';
 
-/** A version with its bytes. */
+/** A version with the content of its chunks. */
 export interface BenchVersion extends IdentifiedManifest {
   readonly content: ReadonlyMap<Digest, Uint8Array>;
 }
 
-/** SHA-256 as a digest. */
+/** The SHA-256 digest of the content. */
 export function digestOf(content: string | Uint8Array): Digest {
   return `sha256:${createHash('sha256').update(content).digest('hex')}`;
 }
 
-/** Generates a version; its first `sharedChunks` chunks depend on no label. */
+/** Generates a version; its first `sharedChunks` chunks ignore the label. */
 export function generateVersion(
   label: string,
   seed: number,
--- a/bench/distribution/worker.ts
+++ b/bench/distribution/worker.ts
@@ -10,10 +10,10 @@
 import {createSwarmMover} from './swarm_mover';
 import {generateVersion} from './version';
 
-/** How often a process says what CPU time it has used, in milliseconds. */
+/** Interval between the CPU time reports of a worker. */
 const CPU_REPORT_INTERVAL_MS = 250;
 
-/** Runs a part of the instances, as the bench's main process tells. */
+/** Runs some of the instances, controlled by the main process. */
 export function runWorker(): void {
   let instances: readonly BenchInstance[] = [];
   let options: BenchOptions | undefined;
@@ -56,7 +56,7 @@
     }
   }
 
-  /** The first chunks of the benched version depend on the seed alone. */
+  /** Generates the shared chunks, which depend only on the seed. */
   function preload(count: number): void {
     if (count === 0 || options === undefined) return;
     const {seed, chunkBytes} = options;
--- a/bench/distribution/workers.ts
+++ b/bench/distribution/workers.ts
@@ -1,27 +1,27 @@
 import {fork, type ChildProcess} from 'node:child_process';
 import type {WorkerReport, WorkerCommand} from './messages';
 
-/** Argument that makes the bench's program one of its own processes. */
+/** Command line argument that starts the program as a worker. */
 export const WORKER_ARGUMENT = 'run-instances';
 
-/** The processes that run the instances. */
+/** The worker processes that run the instances. */
 export interface Workers {
   readonly count: number;
   readonly send: (worker: number, message: WorkerCommand) => void;
   readonly sendAll: (message: WorkerCommand) => void;
-  /** Waits for one message of a kind from every process. */
+  /** Waits for one message of the kind from every worker. */
   readonly receiveFromAll: <Kind extends WorkerReport['kind']>(
     kind: Kind,
   ) => Promise<readonly Extract<WorkerReport, {kind: Kind}>[]>;
   readonly onReady: (
     listener: (message: Extract<WorkerReport, {kind: 'ready'}>) => void,
   ) => void;
-  /** CPU time of each process so far, in seconds. */
+  /** CPU time of each worker so far, in seconds. */
   readonly cpuSeconds: () => readonly number[];
   readonly stop: () => void;
 }
 
-/** Starts the processes. */
+/** Starts the worker processes. */
 export function startWorkers(count: number): Workers {
   const children: readonly ChildProcess[] = Array.from({length: count}, () =>
     fork(process.argv[1]!, [WORKER_ARGUMENT]),
--- a/bench/routing/baseline_policies.ts
+++ b/bench/routing/baseline_policies.ts
@@ -1,12 +1,12 @@
 import type {EntryPolicy, EntryPort} from './entry_policy';
 
-/** The baselines: no admission, no ejection, two tries on a broken connection. */
+/** Baselines: no admission, no ejection, two retries on a broken connection. */
 export type BaselineName = 'round-robin' | 'random' | 'least-in-flight';
 
-/** Tries of a request whose target broke the connection. */
+/** Attempts of a request whose targets break the connection. */
 const MAX_BASELINE_TRIES = 3;
 
-/** Creates one entry's baseline over targets that membership knows as live. */
+/** Creates the baseline policy of one entry over the live targets. */
 export function createBaselinePolicy(
   name: BaselineName,
   port: EntryPort,
--- a/bench/routing/cases.ts
+++ b/bench/routing/cases.ts
@@ -1,20 +1,20 @@
 import type {OfferedRate} from './load';
 
-/** Numbers of processes of a site. */
+/** Number of entries, engines and zones of a site. */
 export interface SiteSize {
   readonly entries: number;
   readonly engines: number;
   readonly zones: number;
 }
 
-/** What goes wrong, for as long as the case is measured. */
+/** The fault of a case; it lasts until the end. */
 export type Fault =
   | {readonly kind: 'none'}
   | {readonly kind: 'slowTarget'; readonly factor: number}
   | {readonly kind: 'frozenTarget'}
   | {readonly kind: 'zoneGone'};
 
-/** One case: the load, the fault, and how late reports are. */
+/** A benchmark case: the load, the fault and the delay of reports. */
 export interface BenchCase {
   readonly name: string;
   readonly rate: OfferedRate;
@@ -22,26 +22,26 @@
   readonly reportDelay: number;
 }
 
-/** Requests before this only warm up. */
+/** Requests that arrive earlier only warm up the site. */
 export const MEASUREMENT_START_MS = 20_000;
 /** When a fault or a flood starts. */
 export const FAULT_START_MS = 25_000;
 /** When the last request arrives. */
 export const LOAD_END_MS = 120_000;
 
-/** The bursts of the brief: ten times the mean, here for 3 s of each 60. */
+/** Bursts: ten times the mean rate for 3 s of every 60 s. */
 const BURST_FACTOR = 10;
 const BURST_DURATION_MS = 3_000;
 const BURST_PERIOD_MS = 60_000;
 
-/** Mean of the burst case: half of the peak. */
+/** Mean rate of the burst case, as a share of the peak. */
 const BURST_MEAN_RATE = 0.5;
 
-/** A flood is twice what bursts explain: 20 times the workspace's rate. */
+/** A flood is twice as high as a burst: 20 times the workspace's rate. */
 const FLOOD_FACTOR = 20;
 const FLOODING_RANK = 1;
 
-/** Usual delay of a load report on its way, and the late one. */
+/** Transit delay of load reports by default and in the case of late reports. */
 const DEFAULT_REPORT_DELAY_MS = 100;
 const LATE_REPORT_DELAY_MS = 5_000;
 
@@ -51,7 +51,7 @@
   floodRank: FLOODING_RANK,
 };
 
-/** All requests in bursts and between them add up to the mean. */
+/** The rate in and between bursts averages to the mean. */
 function burstRate(at: number): number {
   const share = BURST_DURATION_MS / BURST_PERIOD_MS;
   const between = (1 - share * BURST_FACTOR) / (1 - share);
@@ -84,5 +84,5 @@
   {...defaults, name: 'flood', rate: flood},
 ];
 
-/** The workspace that floods in the case of that name. */
+/** Rank of the workspace that floods in the `flood` case. */
 export const FLOODING_WORKSPACE_RANK = FLOODING_RANK;
--- a/bench/routing/entry_policy.ts
+++ b/bench/routing/entry_policy.ts
@@ -2,45 +2,45 @@
 import type {FakeClock} from './fake_clock';
 import type {LoadRequest} from './load';
 
-/** An attempt as an entry knows it. */
+/** An attempt as seen by its entry. */
 export interface EntryAttempt {
   readonly attempt: string;
   readonly request: LoadRequest;
   readonly target: string;
-  /** Tries of the request so far, this one included. */
+  /** Attempts of the request so far, including this one. */
   readonly tries: number;
 }
 
-/** What a policy may do; the same for ours and the baselines. */
+/** The operations available to every policy. */
 export interface EntryPort {
   readonly entry: string;
   readonly zone: string;
   readonly clock: FakeClock;
   readonly random: () => number;
   readonly targets: readonly string[];
-  /** Sends a request; `alreadyProduced` tokens are not asked for again. */
+  /** Sends a request; `alreadyProduced` tokens are not generated again. */
   readonly send: (
     request: LoadRequest,
     target: string,
     alreadyProduced: number,
   ) => string;
   readonly cancel: (attempt: string) => void;
-  /** Gives the caller its final answer: not run, come back later. */
+  /** Refuses a request as not run, to be retried after `retryAfter`. */
   readonly refuse: (request: LoadRequest, retryAfter: number) => void;
-  /** Tokens that the caller has of a request. */
+  /** Number of tokens that the caller has received. */
   readonly produced: (request: LoadRequest) => number;
 }
 
-/** One entry's policy. */
+/** The routing policy of one entry. */
 export interface EntryPolicy {
   readonly onRequest: (request: LoadRequest) => void;
-  /** `count` tokens more of an attempt; its first tells `first`. */
+  /** An attempt produced `count` more tokens; `first` marks its first one. */
   readonly onToken: (
     attempt: EntryAttempt,
     count: number,
     first: boolean,
   ) => void;
-  /** The attempt is over: `finished`, or the caller gave up. */
+  /** The attempt ended: it finished, or the caller gave up. */
   readonly onEnd: (attempt: EntryAttempt, finished: boolean) => void;
   /** The connection broke. */
   readonly onFailure: (attempt: EntryAttempt) => void;
--- a/bench/routing/fake_clock.ts
+++ b/bench/routing/fake_clock.ts
@@ -1,4 +1,4 @@
-/** A clock that jumps from one scheduled action to the next. */
+/** A simulated clock that advances from one scheduled action to the next. */
 export interface FakeClock {
   /** Milliseconds since the start. */
   readonly now: () => number;
@@ -13,7 +13,7 @@
   readonly action: () => void;
 }
 
-/** Creates a clock at 0. Actions for the same time run as scheduled. */
+/** Creates a clock at 0. Actions for the same time run in scheduling order. */
 export function createFakeClock(): FakeClock {
   const heap: Scheduled[] = [];
   let now = 0;
--- a/bench/routing/fake_engine.ts
+++ b/bench/routing/fake_engine.ts
@@ -1,22 +1,22 @@
 import type {FakeClock} from './fake_clock';
 import type {LoadRequest} from './load';
 
-/** How fast an engine is and how much it holds. */
+/** Speed and capacity of an engine. */
 export interface EngineSettings {
   readonly slots: number;
-  /** A step's time: fixed, per decoding sequence, per prefilled token. */
+  /** Time of a step: fixed, per decoding sequence, per prefilled token. */
   readonly stepMilliseconds: number;
   readonly sequenceMilliseconds: number;
   readonly prefillMilliseconds: number;
-  /** Most prompt tokens that one step prefills. */
+  /** Maximum number of prompt tokens prefilled in one step. */
   readonly prefillChunk: number;
-  /** Memory for prompt prefixes besides the running sequences. */
+  /** Capacity of the prefix cache, in addition to the running sequences. */
   readonly cacheTokens: number;
 }
 
-/** What a sequence tells whoever submitted it. */
+/** Receives the events of a submitted sequence. */
 export interface SequenceListener {
-  /** `produced` tokens exist now; called for each token. */
+  /** Called for each token with the number of tokens produced so far. */
   readonly onToken: (produced: number) => void;
   readonly onFinish: () => void;
   readonly onFailure: () => void;
@@ -27,19 +27,19 @@
   readonly attempt: string;
   readonly request: LoadRequest;
   readonly priority: number;
-  /** Tokens that the caller already has; they are prefilled, not produced. */
+  /** Tokens that the caller already has; they are prefilled, not generated. */
   readonly alreadyProduced: number;
   readonly listener: SequenceListener;
 }
 
-/** An engine's measurement of itself. */
+/** The load that an engine reports. */
 export interface EngineLoad {
   readonly running: number;
   readonly queued: number;
   readonly cachedPrefixes: readonly number[];
 }
 
-/** A continuously batching engine on a fake clock. */
+/** An engine with continuous batching on a fake clock. */
 export interface FakeEngine {
   readonly submit: (submission: Submission) => void;
   readonly cancel: (attempt: string) => void;
@@ -48,7 +48,7 @@
   readonly freeze: () => void;
   readonly kill: () => void;
   readonly isDead: () => boolean;
-  /** Prefix look-ups and hits so far. */
+  /** Prefix cache lookups and hits so far. */
   readonly cacheCounts: () => {readonly lookups: number; readonly hits: number};
 }
 
@@ -63,7 +63,7 @@
   clock: FakeClock,
   settings: EngineSettings,
 ): FakeEngine {
-  /** Prefix to its tokens; the first is the one not used for longest. */
+  /** Token counts by prefix, from least to most recently used. */
   const cache = new Map<number, number>();
   let cachedTokens = 0;
   let lookups = 0;
@@ -119,7 +119,7 @@
     return true;
   };
 
-  /** Prefills the oldest prompts first, at most one chunk in all. */
+  /** Prefills the oldest prompts first, at most one chunk in total. */
   const prefillChunk = (): number => {
     let left = settings.prefillChunk;
     for (const sequence of running) {
--- a/bench/routing/faults.ts
+++ b/bench/routing/faults.ts
@@ -3,7 +3,7 @@
 import type {Entry, Target} from './members';
 import {FAILURE_DETECTION_MS} from './timing';
 
-/** Starts the fault of a case; it lasts to the end. */
+/** Injects the fault of a case; it lasts until the end. */
 export function startFault(
   benchCase: BenchCase,
   clock: FakeClock,
--- a/bench/routing/heartbeats.ts
+++ b/bench/routing/heartbeats.ts
@@ -8,12 +8,12 @@
 import {ENGINE, MODEL, VERSION} from './site_configuration';
 import {CROSS_ZONE_DELAY_MS, HEARTBEAT_MS} from './timing';
 
-/** Cache events come so much later than the load, and with gaps. */
+/** Cache events arrive later than load reports, and some are lost. */
 const CACHE_EVENT_DELAY_MS = 1_000;
 const CACHE_EVENT_LOSS_SHARE = 0.1;
 const MAX_CACHE_HINTS = 64;
 
-/** Carries the use of workspaces between our entries. */
+/** Exchanges workspace use between entries with the hibiscusbeam policy. */
 export function shareHeartbeats(
   clock: FakeClock,
   entries: readonly Entry[],
@@ -41,7 +41,7 @@
   sendHeartbeats();
 }
 
-/** Carries a target's load to the entries that hold it, late. */
+/** Sends load reports of a target to its entries, with the case's delay. */
 export function reportRegularly(
   clock: FakeClock,
   target: Target,
--- a/bench/routing/hibiscusbeam_policy.ts
+++ b/bench/routing/hibiscusbeam_policy.ts
@@ -23,7 +23,7 @@
 const EVALUATION_PERIOD_MS = 100;
 const DISPATCH_PERIOD_MS = 20;
 
-/** Our policy with what the site's heartbeats need of it. */
+/** The hibiscusbeam policy, with the limits that heartbeats exchange. */
 export interface HibiscusbeamPolicy extends EntryPolicy {
   readonly limits: WorkspaceLimits;
 }
@@ -33,7 +33,7 @@
   readonly expected: number;
 }
 
-/** Creates one entry's policy, wired as the entry wires it. */
+/** Creates the policy of one entry from the same parts as a real entry. */
 export function createHibiscusbeamPolicy(port: EntryPort): HibiscusbeamPolicy {
   const router: Router = createRouter();
   const admission: Admission = createAdmission({
@@ -166,7 +166,7 @@
     port.clock.schedule(EVALUATION_PERIOD_MS, evaluate);
   };
 
-  /** Takes back what waits at a target while another one has a free slot. */
+  /** Moves attempts that wait at a target while another one has a free slot. */
   const moveOverdue = (): void => {
     for (const overdue of router.overdueAttempts(now())) {
       const attempt = attempts.get(overdue.attempt);
@@ -232,7 +232,7 @@
   return {workspace: request.workspace, priority: 0, weight};
 }
 
-/** Limits as the configuration in force gives them to every entry. */
+/** Sets the limits that the configuration gives to every entry. */
 export function configureLimits(
   limits: WorkspaceLimits,
   engines: number,
--- a/bench/routing/load.ts
+++ b/bench/routing/load.ts
@@ -2,12 +2,12 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import type {SiteSize} from './cases';
 
-/** One request as offered to every policy. */
+/** A request of the load, the same for every policy. */
 export interface LoadRequest {
   readonly number: number;
   readonly workspace: string;
   readonly arriveAt: number;
-  /** Callers keep the entry that they were told for a while. */
+  /** Number of the caller; a caller uses the same entry for a while. */
   readonly caller: number;
   readonly prefix: number;
   readonly prefixTokens: number;
@@ -15,41 +15,41 @@
   readonly outputTokens: number;
 }
 
-/** Peak of the brief: 1,900 requests/s over 600 engines. */
+/** Peak load: 1,900 requests/s over 600 engines. */
 export const PEAK_PER_ENGINE = 1_900 / 600;
 
-/** Peak of the brief: 840,000 tokens/s over 1,900 requests/s. */
+/** At peak load: 840,000 tokens/s over 1,900 requests/s. */
 export const MEAN_OUTPUT_TOKENS = 840_000 / 1_900;
 const MAX_OUTPUT_TOKENS = 1_500;
 
-/** Spread of the answers' lengths (sigma of a log-normal distribution). */
+/** Sigma of the log-normal distribution of answer lengths. */
 const OUTPUT_SPREAD = 0.6;
 
-/** "About ten, a few large": each workspace's share of the requests. */
+/** Share of the requests of each workspace: ten workspaces, a few large. */
 export const WORKSPACE_SHARES: readonly number[] = [
   0.3, 0.2, 0.12, 0.1, 0.08, 0.06, 0.05, 0.04, 0.03, 0.02,
 ];
 
-/** Prompt templates of a workspace; the k-th is used 1/k as often. */
+/** Prompt templates of a workspace; the k-th is used with weight 1/k. */
 const TEMPLATES_PER_WORKSPACE = 12;
 
-/** Tokens of a template, and of what a caller adds to it. */
+/** Token counts of a template and of the text that a caller appends. */
 const TEMPLATE_TOKENS = {min: 300, max: 900};
 const CALLER_TOKENS = {min: 50, max: 450};
 
-/** Callers of the site; each one asks again for an entry after a while. */
+/** Number of callers; each one selects a new entry periodically. */
 const CALLERS = 200;
 
-/** A workspace's name, by rank in size. */
+/** Name of a workspace by its rank in size. */
 export function workspaceName(rank: number): string {
   return `workspace-${rank}`;
 }
 
-/** Rate of all requests and of one workspace more, by time. */
+/** Request rate over time: for the site, and for one flooding workspace. */
 export interface OfferedRate {
   /** Multiple of the peak. */
   readonly site: (at: number) => number;
-  /** Multiple of its own usual rate for one workspace. */
+  /** Multiple of the workspace's usual rate. */
   readonly flood: (at: number) => number;
   readonly floodRank: number;
 }
@@ -60,7 +60,7 @@
   return () => (generator.next() >>> 0) / 2 ** 32;
 }
 
-/** Requests with Poisson arrivals over `duration` milliseconds. */
+/** Generates requests with Poisson arrivals over `duration` milliseconds. */
 export function createLoad(
   seed: number,
   size: SiteSize,
@@ -81,7 +81,7 @@
   return requests.sort((left, right) => left.arriveAt - right.arriveAt);
 }
 
-/** Arrivals with a rate that changes, drawn by 10 ms. */
+/** Draws arrivals with a varying rate, in steps of 10 ms. */
 function poissonArrivals(
   random: () => number,
   rateAt: (at: number) => number,
--- a/bench/routing/members.ts
+++ b/bench/routing/members.ts
@@ -10,17 +10,17 @@
 import type {LoadRequest} from './load';
 import {ENGINE, MODEL} from './site_configuration';
 
-/** Which policy the entries of a run have. */
+/** The policy of all entries of a run. */
 export type PolicyName = 'hibiscusbeam' | BaselineName;
 
-/** An engine with its place. */
+/** An engine with its name and zone. */
 export interface Target {
   readonly name: string;
   readonly zone: string;
   readonly engine: FakeEngine;
 }
 
-/** An entry with its policy and the targets that it holds. */
+/** An entry with its policy and its subset of targets. */
 export interface Entry {
   readonly name: string;
   readonly zone: string;
@@ -29,15 +29,15 @@
   alive: boolean;
 }
 
-/** How long a caller keeps the entry that it was told. */
+/** How long a caller uses the same entry. */
 const ENTRY_REUSE_MS = 30_000;
 
-/** Zones take turns over the processes. */
+/** Assigns zones to processes in turn. */
 export function zoneOf(position: number, size: SiteSize): string {
   return `zone-${position % size.zones}`;
 }
 
-/** Ours holds a bounded subset; the baselines know every target. */
+/** The hibiscusbeam policy has a bounded subset, the baselines all targets. */
 export function heldTargets(
   policyName: PolicyName,
   entry: string,
@@ -86,7 +86,7 @@
   });
 }
 
-/** Callers keep an entry for a while; those of a lost entry choose anew. */
+/** Callers reuse an entry for a while and replace one that is gone. */
 export function chooseEntry(
   request: LoadRequest,
   entries: readonly Entry[],
--- a/bench/routing/metrics.ts
+++ b/bench/routing/metrics.ts
@@ -7,7 +7,7 @@
 import {workspaceName} from './load';
 import {DEADLINE_MS, FIRST_TOKEN_GOAL_MS} from './timing';
 
-/** What one caller saw. Times in milliseconds since the start. */
+/** The outcome of one request. Times are milliseconds since the start. */
 export interface RequestRecord {
   readonly request: LoadRequest;
   tries: number;
@@ -19,23 +19,23 @@
   retryAfter: number | undefined;
 }
 
-/** The fields printed for one case and policy. */
+/** The printed results of one case and policy. */
 export interface PolicyFigures {
   readonly goodput: number;
   readonly firstTokenP50Seconds: number;
   readonly firstTokenP95Seconds: number;
   readonly firstTokenP99Seconds: number;
   readonly betweenTokensP95Seconds: number;
-  /** Share of the offered requests that was refused. */
+  /** Share of the offered requests that were refused. */
   readonly refused: number;
   readonly refusalP99Seconds: number;
   readonly triesPerRequest: number;
   readonly cacheHitShare: number;
-  /** Goodput of all workspaces but the one that floods in `flood`. */
+  /** Goodput of all workspaces except the one that floods in `flood`. */
   readonly quietWorkspaceGoodput: number;
 }
 
-/** Collects what callers saw in one run. */
+/** Collects the outcomes of all requests of one run. */
 export interface Metrics {
   readonly recordOf: (request: LoadRequest) => RequestRecord;
   readonly recordToken: (
@@ -139,7 +139,7 @@
   );
 }
 
-/** Share answered within the first-token figure and whole by the deadline. */
+/** Share of requests with a timely first token and finished by the deadline. */
 function goodputOf(records: readonly RequestRecord[]): number {
   return records.filter(meetsGoals).length / Math.max(1, records.length);
 }
--- a/bench/routing/site.ts
+++ b/bench/routing/site.ts
@@ -19,7 +19,7 @@
 import {createMetrics} from './metrics';
 import {DEADLINE_MS, CROSS_ZONE_DELAY_MS, IN_ZONE_DELAY_MS} from './timing';
 
-/** Tokens that an entry counts before it tells its policy. */
+/** Number of tokens that are reported to the policy in one event. */
 const TOKENS_PER_EVENT = 8;
 
 interface RunningAttempt extends EntryAttempt {
@@ -29,7 +29,7 @@
   over: boolean;
 }
 
-/** Runs one case under one policy and returns what its callers saw. */
+/** Runs one case with one policy and returns its metrics. */
 export function runSite(
   benchCase: BenchCase,
   policyName: PolicyName,
--- a/bench/routing/site_configuration.ts
+++ b/bench/routing/site_configuration.ts
@@ -1,15 +1,14 @@
 import {PEAK_PER_ENGINE, WORKSPACE_SHARES, workspaceName} from './load';
 import type {EngineSettings} from './fake_engine';
 
-/** The one model that all engines serve. */
+/** The model that all engines serve. */
 export const MODEL = 'repair-notes';
-/** The version that they all have. */
+/** The version of the model that all engines have loaded. */
 export const VERSION = 'sha256:1';
 
 /**
- * An engine that meets the brief's figures (first token 1.9 s and 45 ms
- * between tokens at p95) at the brief's peak under the best baseline; see
- * docs/design/0004_routing.md for the run that set it.
+ * With the best baseline policy at peak load, this engine meets the goals at
+ * p95: first token after 1.9 s and 45 ms between tokens.
  */
 export const ENGINE: EngineSettings = {
   slots: 48,
@@ -20,10 +19,10 @@
   cacheTokens: 20_000,
 };
 
-/** Bursts are ten times the mean, so a limit leaves room for them. */
+/** Limits allow for bursts, which are ten times the mean. */
 const LIMIT_FACTOR = 10;
 
-/** A workspace's weight in the fair queues: its usual share, in percent. */
+/** Weight of a workspace in the fair queues: its usual share in percent. */
 export function weightOf(workspace: string): number {
   const rank = Number(workspace.slice('workspace-'.length));
   return (WORKSPACE_SHARES[rank] ?? 0) * 100;
--- a/bench/routing/timing.ts
+++ b/bench/routing/timing.ts
@@ -1,16 +1,16 @@
-/** The brief's figure for a first token. */
+/** Goal for the time to the first token. */
 export const FIRST_TOKEN_GOAL_MS = 1_900;
 
-/** Callers give up on the whole answer after this. */
+/** Callers give up on an unfinished answer after this time. */
 export const DEADLINE_MS = 60_000;
 
-/** Heartbeats, and with them load reports. */
+/** Interval of heartbeats and load reports. */
 export const HEARTBEAT_MS = 500;
 
-/** One way between two processes of a zone. */
+/** One-way delay between two processes of a zone. */
 export const IN_ZONE_DELAY_MS = 0.5;
-/** One way across zones. */
+/** One-way delay across zones. */
 export const CROSS_ZONE_DELAY_MS = 1;
 
-/** Until membership tells the entries that a target is gone. */
+/** Time until membership reports a failed target to the entries. */
 export const FAILURE_DETECTION_MS = 2_000;
--- a/bench/shared/load.ts
+++ b/bench/shared/load.ts
@@ -1,7 +1,7 @@
 import {request, Agent} from 'undici';
 import {DEMO_KEYS} from '../../demo/site/settings_files';
 
-/** Load of one kind of request. */
+/** Parameters of a load of generate requests. */
 export interface LoadOptions {
   readonly url: string;
   readonly model: string;
@@ -10,7 +10,7 @@
   readonly tokens: number;
 }
 
-/** What a load came to. */
+/** The result of a load. */
 export interface LoadResult {
   readonly seconds: number;
   readonly answered: number;
@@ -25,7 +25,7 @@
   authorization: `Bearer ${DEMO_KEYS.workspaces['mower-app']}`,
 };
 
-/** Sends requests with a fixed number at a time; closed loop, bounded. */
+/** Sends requests in a closed loop with a fixed concurrency. */
 export async function sendLoad(options: LoadOptions): Promise<LoadResult> {
   const dispatcher = new Agent({connections: options.concurrency});
   const firstTokens: number[] = [];
@@ -81,7 +81,7 @@
   return {seconds, answered, others, tokens, firstTokens};
 }
 
-/** The value below which `share` of the sorted values lie. */
+/** The quantile of sorted values at `share`, from 0 to 1. */
 export function quantile(sorted: readonly number[], share: number): number {
   const index = Math.min(sorted.length - 1, Math.floor(share * sorted.length));
   return sorted[index] ?? 0;
--- a/bench/slopes/fit.ts
+++ b/bench/slopes/fit.ts
@@ -1,19 +1,19 @@
-/** One measured point. */
+/** A measured point. */
 export interface Point {
   readonly x: number;
   readonly y: number;
 }
 
-/** A straight line through points, by least squares. */
+/** A straight line fitted to points by least squares. */
 export interface Fit {
   readonly intercept: number;
   readonly slope: number;
-  /** Root of the mean squared distance, as a share of the mean of y. */
+  /** Root mean square error, as a share of the mean of y. */
   readonly residual: number;
   readonly points: readonly Point[];
 }
 
-/** Fits a line; needs at least two different x. */
+/** Fits a line; requires at least two different values of x. */
 export function fitLine(points: readonly Point[]): Fit {
   const count = points.length;
   const meanX = mean(points.map(point => point.x));
@@ -27,7 +27,7 @@
   return {intercept, slope, residual, points};
 }
 
-/** The mean of some values; 0 for none. */
+/** The mean of the values; 0 if there are none. */
 export function mean(values: readonly number[]): number {
   return values.length === 0 ? 0 : sum(values) / values.length;
 }
--- a/bench/slopes/main.ts
+++ b/bench/slopes/main.ts
@@ -17,10 +17,10 @@
   },
 });
 
-/** How long an idle site is watched. */
+/** How long an idle site is measured. */
 const IDLE_SECONDS = 20;
 
-/** Sessions, caches and compiled code settle before anything is measured. */
+/** Time for sessions, caches and compiled code to settle before measuring. */
 const SETTLE_SECONDS = 10;
 
 function pause(seconds: number): Promise<void> {
@@ -82,7 +82,7 @@
   return fitSeries(points);
 }
 
-/** Runs one series on one site, at each x. */
+/** Runs a series on a single site, one measurement for each x. */
 async function measureOnOneSite(
   options: Partial<SmallSiteOptions>,
   xs: readonly number[],
@@ -103,7 +103,7 @@
   }
 }
 
-/** Figures per second as totals of the window, for series over counts. */
+/** Converts rates to totals of the window, for series over counts. */
 function toTotals(use: SiteUse): SiteUse {
   const total = (role: RoleUse): RoleUse => ({
     ...role,
@@ -173,7 +173,7 @@
     {entries: 3, engines: 8},
     [5, 10, 20, 40],
     async (site, count) => {
-      // One window for all, so that the idle cost is the intercept.
+      // The same window for all counts makes the idle cost the intercept.
       const end = pause(30);
       const [entry] = site.entries;
       const headers = {authorization: `Bearer ${DEMO_KEYS.operator}`};
--- a/bench/slopes/measure_site.ts
+++ b/bench/slopes/measure_site.ts
@@ -4,15 +4,15 @@
 import {mean} from './fit';
 import {readSiteBytes} from './site_bytes';
 
-/** What the processes of one role used per second, on average. */
+/** Mean resource use of the processes of one role. */
 export interface RoleUse {
   readonly cpuShare: number;
-  /** Sent and received, payload of TCP. */
+  /** TCP payload, sent and received. */
   readonly bytesPerSecond: number;
   readonly residentBytes: number;
 }
 
-/** Use of both roles over a window. */
+/** Resource use of both roles over a time window. */
 export interface SiteUse {
   readonly seconds: number;
   readonly entry: RoleUse;
--- a/bench/slopes/served_site.ts
+++ b/bench/slopes/served_site.ts
@@ -12,7 +12,7 @@
   type SmallSiteOptions,
 } from '../../demo/site/small_site';
 
-/** Starts a site and brings in one version. */
+/** Starts a site and rolls out one version. */
 export async function startServedSite(
   options: Partial<SmallSiteOptions>,
 ): Promise<SmallSite> {
--- a/bench/slopes/site_bytes.ts
+++ b/bench/slopes/site_bytes.ts
@@ -1,6 +1,6 @@
 import {execFileSync} from 'node:child_process';
 
-/** Bytes that processes have sent on sockets between processes of the site. */
+/** Bytes that a process has sent and received on site connections. */
 export interface SiteBytes {
   readonly sent: number;
   readonly received: number;
@@ -9,8 +9,8 @@
 const MAX_OUTPUT_BYTES = 64 * 1024 * 1024;
 
 /**
- * Reads from the kernel what each process has sent and received on TCP sockets
- * of which one end is a site address. Payload only, without TCP and IP headers.
+ * Reads from the kernel the bytes of each process on TCP sockets with a site
+ * address at one end. Counts only payload, without TCP and IP headers.
  */
 export function readSiteBytes(
   sitePorts: ReadonlySet<number>,
--- a/bench/throughput/bare_entry.ts
+++ b/bench/throughput/bare_entry.ts
@@ -4,8 +4,9 @@
 import {credentials, Metadata} from '@grpc/grpc-js';
 import {AgentClient, type ServeFrame} from '@hibiscusbeam/wire';
 
-// The baseline of the throughput bench: forwards each request to one agent
-// and its frames back, with no routing, limits, flow or check of the answer.
+// The baseline of the throughput benchmark: forwards each request to one agent
+// and the frames back, without routing, limits, flow control or verification
+// of the answer.
 
 const [listen, agentAddress, siteKey] = process.argv.slice(2);
 
--- a/bench/throughput/main.ts
+++ b/bench/throughput/main.ts
@@ -23,7 +23,7 @@
   },
 });
 
-/** Requests before the measured ones, so that code is compiled. */
+/** Unmeasured requests at the start, so that the code is compiled. */
 const WARM_UP_REQUESTS = 500;
 
 const ENGINE_OPTIONS = [
