--- a/demo/site/small_site.ts
+++ b/demo/site/small_site.ts
@@ -35,7 +35,7 @@
   readonly plainServices: number;
   /** Runs entries and agents from the single executable. */
   readonly binary: boolean;
-  /** Also starts the older system, which owns all targets and its workspaces. */
+  /** Starts an older system too, which owns all targets and its workspaces. */
   readonly olderSystem?: OlderSystemOptions;
   /** Whether engines refuse an order with an old fencing number. */
   readonly fencing?: 'checked' | 'ignored';
--- a/deploy/warm_up.mjs
+++ b/deploy/warm_up.mjs
@@ -12,7 +12,7 @@
 const MODEL = 'model';
 const SERVICE = 'engines';
 
-/** Time in which the roles connect and exchange reports and updates, in ms. */
+/** Time for the roles to connect and exchange reports and updates, in ms. */
 const RUN_FOR = 3_000;
 
 /** The code cache is valid only for the flags that it was compiled with. */
--- a/scripts/build_fleet.mjs
+++ b/scripts/build_fleet.mjs
@@ -1,5 +1,5 @@
-// Builds the fleet program: the launcher target/hibiscusbeam.cjs, one bundle for
-// each role, and the compiled code of the bundles.
+// Builds the fleet program: the launcher target/hibiscusbeam.cjs, one bundle
+// for each role, and the compiled code of the bundles.
 import {cpSync, rmSync} from 'node:fs';
 import {bundle} from './bundle.mjs';
 
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -16,7 +16,7 @@
   logLevel: 'warning',
 };
 
-/** Bundles `entryPoint` and its libraries into one CommonJS file for Node 20. */
+/** Bundles `entryPoint` and its libraries into a CommonJS file for Node 20. */
 export async function bundle(entryPoint, output) {
   await build({
     ...COMMON,
--- a/scripts/ci_verdict.mjs
+++ b/scripts/ci_verdict.mjs
@@ -58,7 +58,7 @@
   return {testResults: []};
 }
 
-/** The test step may fail only because of tests, which are checked one by one. */
+/** The test step may fail only because of tests, which are checked below. */
 function checkSteps() {
   for (const step of failedSteps) {
     if (step !== 'test') problems.push(`step ${step}`);
--- a/scripts/report_unhandled_errors.mjs
+++ b/scripts/report_unhandled_errors.mjs
@@ -1,5 +1,5 @@
-// A Vitest reporter for .ci/run. Errors outside tests fail a run but are missing
-// from the JSON report, so a known failing test would hide them.
+// A Vitest reporter for .ci/run. Errors outside tests fail a run but are
+// missing from the JSON report, so a known failing test would hide them.
 import {mkdirSync, writeFileSync} from 'node:fs';
 
 const OUTPUT = 'dist/ci/unhandled_errors.json';
