--- a/test/soak/caller.ts
+++ b/test/soak/caller.ts
@@ -2,20 +2,20 @@
 import {HOST, KEY} from '../fleet/fixtures/host_site';
 import type {CallerFailure, CallerRecord} from './invariants';
 
-/** Time that callers give, in milliseconds. */
+/** Deadline that callers set for their requests. */
 const DEADLINE_MS = 2_000;
 
-/** One attempt of a caller. */
+/** Parameters of an attempt of a caller. */
 export interface CallerAttempt {
   readonly id: number;
-  /** The entry that is asked, by number. */
+  /** Number of the entry that receives the request. */
   readonly entry: number;
   readonly address: string;
   readonly path: string;
   readonly body: string;
 }
 
-/** Sends an attempt and records what came of it. */
+/** Sends an attempt and returns a record of its outcome. */
 export async function sendAttempt({
   id,
   entry,
--- a/test/soak/entry_process.ts
+++ b/test/soak/entry_process.ts
@@ -6,26 +6,26 @@
 /** Built by `scripts/programs.mjs`, as `npm test` does. */
 const PROGRAM = resolve('dist/fleet_entry.cjs');
 
-/** A real entry as a process of its own, started again whenever it ends. */
+/** An entry in a separate process that is restarted whenever it exits. */
 export interface EntryProcess {
   readonly callerAddress: string;
   readonly readinessAddress: string;
-  /** Sends a signal to the life that runs now, if any. */
+  /** Sends a signal to the running process, if there is one. */
   readonly signal: (signal: NodeJS.Signals) => void;
-  /** Ends it for good. */
+  /** Kills the process and prevents further restarts. */
   readonly close: () => Promise<void>;
 }
 
-/** What an entry is started with. */
+/** Options of an entry process. */
 export interface EntryProcessOptions {
   readonly settings: FleetEntrySettings;
-  /** Folder of its settings and its log. */
+  /** Folder for the settings file and the log. */
   readonly folder: string;
-  /** Pause before it is started again, in milliseconds. */
+  /** Delay before a restart, in milliseconds. */
   readonly pause: number;
 }
 
-/** Starts an entry. */
+/** Starts an entry process. */
 export function startEntryProcess(options: EntryProcessOptions): EntryProcess {
   const {settings, folder, pause} = options;
   mkdirSync(folder, {recursive: true});
--- a/test/soak/invariants.ts
+++ b/test/soak/invariants.ts
@@ -1,56 +1,56 @@
 import type {EngineRun, HostEngine} from '../fleet/fixtures/host_engine';
 
-/** Time in which all entries know what one of them has seen. */
+/** Time within which observations of one entry reach all entries. */
 const SYNC_MS = 3_000;
 
-/** Sends of a request that ends its targets, allowed after that. */
+/** Allowed attempts of a target-crashing request after that time. */
 const MAX_LATE_ATTEMPTS = 3;
 
-/** Bound of the draining of targets. */
+/** Bound on the draining of targets. */
 const DRAINING_BOUND_MS = 2_000;
 
-/** After this an entry knows what it was asked. */
+/** Time within which an entry applies a request to back off. */
 const BACKOFF_NOTICE_MS = 500;
 const MAX_ATTEMPTS_DURING_BACKOFF = 2;
 
-/** Bound of configurations. */
+/** Bound on the age of configurations. */
 const CONFIGURATION_BOUND_MS = 2_000;
 
-/** Why requests are refused when a reading of the store is too old. */
+/** Refusal reasons when data read from the store is too old. */
 const OUTDATED_REASONS = ['outdatedTargets', 'staleConfiguration'];
 
-/** Why an entry gives up a target that sends nothing. */
+/** Reason with which an entry abandons a target that sends nothing. */
 const SILENCE = 'silence';
 
 const LIMIT_WINDOW_MS = 4_000;
 const SECOND_MS = 1_000;
 
-/** Why a caller has no whole answer. */
+/** Why a caller has no complete answer. */
 export type CallerFailure =
-  /** Its entry took no connection. */
+  /** The entry accepted no connection. */
   | 'notConnected'
-  /** Its connection ended, or nothing came for long. */
+  /** The connection was closed, or the attempt timed out. */
   | 'noAnswer';
 
-/** What a caller saw of one attempt. */
+/** The outcome of one attempt, as seen by its caller. */
 export interface CallerRecord {
   readonly requestId: string;
-  /** The entry that was asked, by number. */
+  /** Number of the entry that received the request. */
   readonly entry: number;
   readonly path: string;
-  /** Undefined if no whole answer came. */
+  /** HTTP status; undefined without a complete answer. */
   readonly status: number | undefined;
-  /** Why none came. */
+  /** The reason, if there is no complete answer. */
   readonly failure: CallerFailure | undefined;
   readonly text: string;
-  /** Of the target that answered, if the answer has one. */
+  /** Seal of the target that answered, if the answer has one. */
   readonly seal: string | undefined;
-  /** In milliseconds of a steady clock. */
+  /** Milliseconds of a monotonic clock. */
   readonly sentAt: number;
   readonly endedAt: number;
 }
 
-/** A span in which a target named a limit. */
+/** A time span in which a target stated a rate limit. */
 export interface LimitSpan {
   readonly engine: HostEngine;
   readonly rate: number;
@@ -58,56 +58,56 @@
   readonly until: number;
 }
 
-/** From when on the operator's configuration has the route that comes and goes. */
+/** When the operator's configuration added or removed the probed route. */
 export interface RouteSpan {
   readonly at: number;
   readonly isServed: boolean;
 }
 
-/** A span in which the operator's table had the row of an evacuation. */
+/** A time span in which the operator's table had an evacuation row. */
 export interface EvacuationSpan {
   readonly zone: string;
   readonly from: number;
   readonly until: number;
 }
 
-/** A target that said it was cold when it was listed first. */
+/** A time span in which a target was listed as cold. */
 export interface ColdSpan {
   readonly engine: HostEngine;
   readonly from: number;
   readonly until: number;
 }
 
-/** What a soak has recorded. */
+/** The records of a soak run. */
 export interface SoakRecords {
   readonly callers: readonly CallerRecord[];
   readonly engines: readonly HostEngine[];
   readonly limits: readonly LimitSpan[];
   readonly routes: readonly RouteSpan[];
   readonly evacuations: readonly EvacuationSpan[];
-  /** Bound of evacuations, in milliseconds. */
+  /** Bound on evacuations, in milliseconds. */
   readonly evacuationBound: number;
   readonly zoneOf: (engine: HostEngine) => string | undefined;
   readonly coldSpans: readonly ColdSpan[];
-  /** Requests a second that a cold target takes from all entries together. */
+  /** Requests per second that a cold target accepts from all entries. */
   readonly coldRate: number;
-  /** Whether the store neither began nor ended to misbehave in a span. */
+  /** Whether no fault of the store started or ended in a time span. */
   readonly isStoreStable: (from: number, until: number) => boolean;
-  /** Body of the request under which targets end. */
+  /** Body of the request that crashes its target. */
   readonly crashing: string;
-  /** Whether an entry was not stopped, killed or frozen in a span. */
+  /** Whether an entry was not stopped, killed or frozen in a time span. */
   readonly isCalm: (entry: number, from: number, until: number) => boolean;
-  /** Whether an entry was neither killed nor frozen in a span. */
+  /** Whether an entry was neither killed nor frozen in a time span. */
   readonly isRunning: (entry: number, from: number, until: number) => boolean;
-  /** Whether an entry that was told to stop takes no more requests at a time. */
+  /** Whether a stopping entry no longer accepts requests at a time. */
   readonly isClosing: (entry: number, at: number) => boolean;
 }
 
-/** Checks all promises; returns what is broken. */
+/** Checks all invariants and describes each violation. */
 export function findViolations(records: SoakRecords): readonly string[] {
   return [
-    ...unsafeRunTwice(records),
-    ...refusedAndRun(records),
+    ...unsafeRequestsRunTwice(records),
+    ...refusedRequestsRun(records),
     ...incompleteAnswers(records),
     ...crashingAttempts(records),
     ...exceededLimits(records),
@@ -130,18 +130,20 @@
   );
 }
 
-function unsafeRunTwice(records: SoakRecords): readonly string[] {
+function unsafeRequestsRunTwice(records: SoakRecords): readonly string[] {
   return records.callers
     .filter(({path}) => path.startsWith('/unsafe/'))
     .filter(({requestId}) => runsOf(records, requestId).length > 1)
     .map(({requestId}) => `unsafe request ${requestId} ran twice`);
 }
 
-function refusedAndRun(records: SoakRecords): readonly string[] {
+function refusedRequestsRun(records: SoakRecords): readonly string[] {
   return records.callers
     .filter(({status}) => status === 503)
     .filter(({requestId}) => runsOf(records, requestId).length > 0)
-    .map(({requestId}) => `request ${requestId} was called not run, and ran`);
+    .map(
+      ({requestId}) => `request ${requestId} was reported as not run but ran`,
+    );
 }
 
 function incompleteAnswers(records: SoakRecords): readonly string[] {
@@ -152,7 +154,9 @@
       if (path.startsWith('/stream/')) return !isWholeStream(text);
       return !ran.some(({engine}) => text === `done by ${engine.instance}`);
     })
-    .map(({requestId, text}) => `answer of ${requestId} is not whole: ${text}`);
+    .map(
+      ({requestId, text}) => `answer of ${requestId} is not complete: ${text}`,
+    );
 }
 
 function isWholeStream(text: string): boolean {
@@ -173,7 +177,7 @@
     .filter(({begunAt}) => begunAt > third.begunAt + SYNC_MS)
     .filter(run => isByCalmEntry(records, run));
   return late.length > MAX_LATE_ATTEMPTS
-    ? [`a request that ends targets was sent ${late.length} times more`]
+    ? [`a target-crashing request was sent ${late.length} more times`]
     : [];
 }
 
@@ -193,7 +197,7 @@
   });
 }
 
-/** Whether the entry that sent a run was left alone long enough before it. */
+/** Whether the entry of a run was undisturbed for long enough before it. */
 function isByCalmEntry(
   records: SoakRecords,
   {requestId, begunAt}: EngineRun,
@@ -203,7 +207,7 @@
   return records.isCalm(caller.entry, begunAt - SYNC_MS, begunAt);
 }
 
-/** Requests sent to a target long after their entry passed on that it leaves. */
+/** Attempts at a target long after their entry forwarded that it leaves. */
 function attemptsToLeaving(records: SoakRecords): readonly string[] {
   return records.engines.flatMap(engine =>
     engine.arrivals.flatMap(({requestId, at}) => {
@@ -242,7 +246,7 @@
   );
 }
 
-/** Requests that reach an evacuated zone, also by entries that were frozen. */
+/** Attempts that reach an evacuated zone, even through frozen entries. */
 function attemptsToEvacuated(records: SoakRecords): readonly string[] {
   const {evacuations, evacuationBound, engines, zoneOf} = records;
   return evacuations.flatMap(({zone, from, until}) =>
@@ -268,12 +272,14 @@
     return times.flatMap(first => {
       const count = times.filter(at => at >= first && at < first + SECOND_MS);
       if (count.length <= max) return [];
-      return [`${engine.instance}, cold, got ${count.length} in a second`];
+      return [
+        `${engine.instance}, cold, got ${count.length} requests in a second`,
+      ];
     });
   });
 }
 
-/** Answers by a configuration that had been replaced longer ago than its bound. */
+/** Answers by a configuration that was replaced more than its bound ago. */
 function answersByOldConfiguration(records: SoakRecords): readonly string[] {
   const {callers, routes, isCalm, isStoreStable} = records;
   return callers.flatMap(
@@ -297,7 +303,7 @@
   );
 }
 
-/** Refusals by an old reading though entry and store were in touch. */
+/** Refusals because of old data although entry and store were connected. */
 function outdatedRefusals(records: SoakRecords): readonly string[] {
   return records.callers
     .filter(({text}) => OUTDATED_REASONS.includes(text.trim()))
@@ -309,7 +315,7 @@
     .map(({requestId, text}) => `${requestId} was refused: ${text.trim()}`);
 }
 
-/** Attempts without an answer that no kill, freeze or end of a target explains. */
+/** Attempts without an answer that no kill, freeze or target end explains. */
 function unanswered(records: SoakRecords): readonly string[] {
   return records.callers
     .filter(({failure}) => failure === 'noAnswer')
@@ -321,7 +327,7 @@
     .map(({requestId, path}) => `${requestId} on ${path} got no answer`);
 }
 
-/** Attempts that were given up though no target broke off. */
+/** Attempts that were abandoned although no target disconnected. */
 function abandonedAttempts(records: SoakRecords): readonly string[] {
   return records.callers
     .filter(({status}) => status === 502)
@@ -329,10 +335,10 @@
       caller =>
         caller.text.trim() === SILENCE || !hasTargetEnded(records, caller),
     )
-    .map(({requestId, text}) => `${requestId} was given up: ${text.trim()}`);
+    .map(({requestId, text}) => `${requestId} was abandoned: ${text.trim()}`);
 }
 
-/** Whether a target ended meanwhile; it may not have read the request yet. */
+/** Whether a target ended meanwhile, even before it read the request. */
 function hasTargetEnded(
   {engines}: SoakRecords,
   {sentAt, endedAt}: CallerRecord,
--- a/test/soak/plan.ts
+++ b/test/soak/plan.ts
@@ -1,7 +1,7 @@
 import {hash32} from '@hibiscusbeam/core';
 import type {StoreFault} from '../fleet/fixtures/host_store';
 
-/** Something that happens in a soak. */
+/** A fault that is injected into a soak run. */
 export type SoakFault =
   | {readonly kind: 'signal'; readonly entry: number; readonly signal: Signal}
   | {readonly kind: 'store'; readonly fault: StoreFault}
@@ -10,52 +10,52 @@
       readonly engine: number;
       readonly rate: number | undefined;
     }
-  /** The engine says in its answers that it leaves, and ends later. */
+  /** The engine announces in its answers that it leaves, and ends later. */
   | {readonly kind: 'leave'; readonly engine: number}
   | {readonly kind: 'end'; readonly engine: number}
-  /** The engine turns all requests away; undefined ends that. */
+  /** The engine refuses all requests; undefined ends the fault. */
   | {
       readonly kind: 'shed';
       readonly engine: number;
       readonly retryAfter: number | undefined;
     }
-  /** The engine neither answers nor writes for so many milliseconds. */
+  /** The engine sends nothing for `duration` milliseconds. */
   | {
       readonly kind: 'silence';
       readonly engine: number;
       readonly duration: number;
     }
-  /** The store is copied; a restore brings that copy back. */
+  /** The store is copied; `restore` replaces its content by the copy. */
   | {readonly kind: 'copy'}
   | {readonly kind: 'restore'}
-  /** The operator wants a zone evacuated, or takes that back. */
+  /** The operator starts or ends the evacuation of a zone. */
   | {
       readonly kind: 'evacuate';
       readonly zone: string;
       readonly isEvacuated: boolean;
     }
-  /** All engines of a zone are replaced by ones that are cold. */
+  /** All engines of a zone are replaced by cold ones. */
   | {
       readonly kind: 'coldReturn';
       readonly zone: string;
       readonly duration: number;
     }
-  /** The operator adds a route, or takes it away. */
+  /** The operator adds or removes a route. */
   | {readonly kind: 'route'; readonly isServed: boolean};
 
 type Signal = 'SIGKILL' | 'SIGTERM' | 'SIGSTOP' | 'SIGCONT';
 
-/** A trouble and when it comes, in milliseconds from the start. */
+/** A fault and its time, in milliseconds from the start. */
 export interface PlannedFault {
   readonly at: number;
   readonly fault: SoakFault;
 }
 
-/** Size of a soak. */
+/** Size of a soak run. */
 export interface SoakSize {
   readonly entries: number;
   readonly engines: number;
-  /** Time in which troubles begin, in milliseconds. */
+  /** Time in which faults are started, in milliseconds. */
   readonly duration: number;
 }
 
@@ -67,7 +67,7 @@
 const MAX_STATEMENT_MS = 6_000;
 const MAX_RETRY_AFTER_SECONDS = 2;
 
-/** Versions take so long to be where they were before a restore. */
+/** Minimum age of a copy; the store's versions must have grown meanwhile. */
 const MIN_COPY_AGE_MS = 4_000;
 const COPY_AGE_SPREAD_MS = 2_500;
 const MAX_ROUTE_MS = 4_000;
@@ -83,11 +83,11 @@
 const SILENCE_SPREAD_MS = 1_500;
 const MAX_BETWEEN_SILENCES_MS = 700;
 
-/** Long enough that entries are in touch with the store again. */
+/** Long enough for all entries to reconnect to the store. */
 const MIN_CALM_MS = 4_000;
 const CALM_SPREAD_MS = 2_000;
 
-/** Zones of the engines, in turn. */
+/** Zones that are assigned to engines in turn. */
 export const ENGINE_ZONES: readonly string[] = ['north', 'south', 'west'];
 
 const FIRST_EVACUATION_MS = 1_000;
@@ -104,7 +104,7 @@
   'historyLost',
 ];
 
-/** Plans the troubles of a seed; they overlap and come in series. */
+/** Plans the basic faults of a seed, which may overlap. */
 export function planBasicFaults(
   seed: number,
   {entries, engines, duration}: SoakSize,
@@ -148,7 +148,7 @@
   return planned.sort((one, other) => one.at - other.at);
 }
 
-/** Plans what targets say of themselves, apart from the other troubles. */
+/** Plans announcements by targets that they leave or shed load. */
 export function planStatements(
   seed: number,
   {engines, duration}: SoakSize,
@@ -171,7 +171,7 @@
   return planned;
 }
 
-/** Plans restores of the store, and configurations between them. */
+/** Plans restores of the store and configuration changes between them. */
 export function planRestores(
   seed: number,
   {duration}: SoakSize,
@@ -193,7 +193,7 @@
   return planned;
 }
 
-/** Plans sound targets that fall silent and go on. */
+/** Plans healthy targets that fall silent and then resume. */
 export function planSilences(
   seed: number,
   {engines, duration}: SoakSize,
@@ -210,8 +210,8 @@
 }
 
 /**
- * Plans losses of power right after a configuration was acknowledged; the store
- * is back before the entries, after them, or from a copy.
+ * Plans power losses right after a configuration was acknowledged. The store
+ * returns before the entries, after them, or restored from a copy.
  */
 export function planPowerLosses(
   seed: number,
@@ -243,7 +243,7 @@
   return planned;
 }
 
-/** Plans evacuations that overlap, and zones that return cold after some. */
+/** Plans overlapping evacuations; some zones return cold afterwards. */
 export function planEvacuations(
   seed: number,
   {duration}: SoakSize,
@@ -273,7 +273,7 @@
   return planned;
 }
 
-/** Whole numbers from 0 to below a bound, the same for a seed. */
+/** Deterministic random integers from 0 to below a bound. */
 function createRandom(seed: number | string): (bound: number) => number {
   let drawn = 0;
   return bound => {
--- a/test/soak/soak.test.ts
+++ b/test/soak/soak.test.ts
@@ -5,7 +5,7 @@
 
 const SIZE = {entries: 4, engines: 6, duration: 14_000};
 
-/** `SOAK_SEEDS=7,8` plays others; `SOAK_ENTRIES` sets how many entries. */
+/** SOAK_SEEDS=7,8 selects seeds; SOAK_ENTRIES sets the number of entries. */
 const SEEDS = (process.env.SOAK_SEEDS ?? '1').split(',').map(Number);
 const ENTRIES = Number(process.env.SOAK_ENTRIES ?? SIZE.entries);
 
@@ -22,40 +22,43 @@
   rmSync(folder, {recursive: true});
 }
 
-test.each(SEEDS)('seed %i breaks no promise', async seed => {
-  await expectNoViolations(seed, 'basic');
-});
+test.each(SEEDS)(
+  'seed %i violates no invariant under basic faults',
+  async seed => {
+    await expectNoViolations(seed, 'basic');
+  },
+);
 
 test.each(SEEDS)(
-  'seed %i breaks no promise to targets that leave or ask to back off',
+  'seed %i violates no invariant when targets leave or ask to back off',
   async seed => {
     await expectNoViolations(seed, 'statements');
   },
 );
 
 test.each(SEEDS)(
-  'seed %i breaks no promise while its store comes back from copies',
+  'seed %i violates no invariant when the store is restored from copies',
   async seed => {
     await expectNoViolations(seed, 'restores');
   },
 );
 
 test.each(SEEDS)(
-  'seed %i breaks no promise while sound targets fall silent and go on',
+  'seed %i violates no invariant when healthy targets fall silent and resume',
   async seed => {
     await expectNoViolations(seed, 'silences');
   },
 );
 
 test.each(SEEDS)(
-  'seed %i breaks no promise while zones are evacuated and return cold',
+  'seed %i violates no invariant when zones are evacuated and return cold',
   async seed => {
     await expectNoViolations(seed, 'evacuations');
   },
 );
 
 test.each(SEEDS)(
-  'seed %i breaks no promise when all entries lose power after a configuration',
+  'seed %i violates no invariant when all entries lose power after a configuration',
   async seed => {
     await expectNoViolations(seed, 'powerLosses');
   },
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -43,16 +43,16 @@
 const FINAL_CALM_MS = 6_000;
 const RESTART_PAUSE_MS = 300;
 
-/** Period in which a cold engine says how long it stays so. */
+/** Interval at which a cold engine reports its remaining cold time. */
 const COLD_REPORT_INTERVAL_MS = 1_200;
 const COLD_RATE = 2;
 
 const EVACUATION_BOUND_MS = 3_000;
 
-/** Share of the grace period after which a stopping entry takes no more. */
+/** Share of the grace period after which a stopping entry refuses requests. */
 const CLOSING_SHARE = 0.45;
 
-/** A stopping entry is surely gone, and started again, after this. */
+/** Time within which a stopping entry has exited and was restarted. */
 const MAX_STOP_MS = 3_500;
 
 const BOUNDS = {
@@ -65,7 +65,7 @@
   repeats: {share: 0.2, slack: 104, window: 10_000},
 };
 
-/** Time from an engine's leaving to its end; what it runs ends meanwhile. */
+/** Time from an engine's announcement to its end, enough to finish requests. */
 const LEAVING_DURATION_MS = 1_000;
 
 const COLD_START = {ColdStartS: 3, ColdPerS: COLD_RATE};
@@ -86,7 +86,7 @@
   },
 ];
 
-/** Name of the route that comes and goes. */
+/** Name of the route that is added and removed. */
 const ADDED_ROUTE_NAME = 'added';
 
 const CRASHING_PATH = '/safe/crashing';
@@ -103,36 +103,36 @@
   MaxAttempts: 2,
 };
 
-/** A span in which an entry is stopped, killed or frozen. */
+/** A time span in which an entry is stopped, killed or frozen. */
 interface Disturbance {
   readonly entry: number;
   readonly from: number;
   readonly until: number;
 }
 
-/** How a soak ended. */
+/** The outcome of a soak run. */
 export interface SoakOutcome {
   readonly violations: readonly string[];
-  /** Attempts by status, or by why there was none. */
+  /** Number of attempts by status, or by failure if there is no status. */
   readonly statuses: Readonly<Record<string, number>>;
   readonly faults: number;
   readonly enginesEnded: number;
-  /** Share of the requests answered whole once all troubles were over. */
+  /** Share of the requests answered after all faults were over. */
   readonly servedAfterwards: number;
 }
 
-/** Which troubles a soak has. */
+/** The set of faults of a soak run. */
 export type FaultSet =
   | 'basic'
-  /** Also targets that leave, or ask to back off, by their own answers. */
+  /** Also targets that announce leaving or ask to back off. */
   | 'statements'
-  /** Also a store that comes back from copies, and configurations. */
+  /** Also restores of the store from copies, and configuration changes. */
   | 'restores'
-  /** Also sound targets that fall silent and go on. */
+  /** Also healthy targets that fall silent and then resume. */
   | 'silences'
-  /** Also evacuated zones, and zones that return cold. */
+  /** Also evacuations of zones, and zones that return cold. */
   | 'evacuations'
-  /** Losses of power in place of others, right after configurations. */
+  /** Only power losses, right after configuration changes. */
   | 'powerLosses';
 
 function planFaults(
@@ -147,16 +147,16 @@
   ];
   return planned.sort((one, other) => one.at - other.at);
 
-  /** Other faults of the store would leave few seconds to judge a restore by. */
+  /** Other store faults would leave too little time to check a restore. */
   function isKept({fault}: PlannedFault): boolean {
     if (faultSet === 'powerLosses') return false;
-    // Nothing can be written while the store is away, nor an evacuation.
+    // No evacuation can be written while the store is unavailable.
     const hasOwnFaults = faultSet === 'restores' || faultSet === 'evacuations';
     return !hasOwnFaults || fault.kind !== 'store';
   }
 }
 
-/** Whether the route that comes and goes is asked for. */
+/** Whether requests for the added route are sent. */
 function hasProbes(faultSet: FaultSet): boolean {
   return faultSet === 'restores' || faultSet === 'powerLosses';
 }
@@ -182,7 +182,7 @@
   }
 }
 
-/** Plays the troubles of one seed against real entries. */
+/** Runs the faults of one seed against real entry processes. */
 export async function runSoak(
   seed: number,
   size: SoakSize,
@@ -195,25 +195,25 @@
   const callers: CallerRecord[] = [];
   const limits: LimitSpan[] = [];
   const openLimits = new Map<HostEngine, {rate: number; from: number}>();
-  const disturbances: Disturbance[] = [];
-  /** Spans in which an entry was killed or frozen, or gone for that. */
-  const breaks: Disturbance[] = [];
-  /** Spans in which an entry that is to stop answers "not run", or is gone. */
-  const closings: Disturbance[] = [];
+  const disturbedSpans: Disturbance[] = [];
+  /** Time spans in which an entry was killed, frozen or not yet restarted. */
+  const unavailableSpans: Disturbance[] = [];
+  /** Time spans in which a stopping entry refuses requests or has exited. */
+  const closingSpans: Disturbance[] = [];
   const routes: RouteSpan[] = [];
   const evacuations: EvacuationSpan[] = [];
   const openEvacuations = new Map<string, number>();
   const coldSpans: ColdSpan[] = [];
   const zones = new Map<HostEngine, string>();
-  /** When the store began or ended to misbehave. */
+  /** Times at which a fault of the store started or ended. */
   const storeFaults: number[] = [];
   let copy: StoreSnapshot | undefined;
   let isRouteServed = false;
   let enginesEnded = 0;
-  let isOver = false;
+  let hasEnded = false;
 
   async function startEngine(place: number, coldFor = 0): Promise<void> {
-    if (isOver) return;
+    if (hasEnded) return;
     const isModel = place % 2 === 1;
     const instance = `engine-${place}-${engines.length}`;
     const engine = await startHostEngine({
@@ -251,8 +251,8 @@
     return faultSet === 'evacuations' ? zone : 'north';
   }
 
-  /** Engines that were cold write their lines again with what is left of it. */
-  function renewCold(): void {
+  /** Registers cold engines again with their remaining cold time. */
+  function reportColdEngines(): void {
     const cold = new Set(coldSpans.map(({engine}) => engine));
     for (const [place, engine] of running.entries()) {
       if (cold.has(engine)) register(engine, place);
@@ -292,18 +292,18 @@
     );
   }
 
-  /** Writes what no entry reads, so that the store's versions grow. */
-  function writeOthers(): void {
+  /** Writes rows that no entry reads, to increase the store's versions. */
+  function writeUnrelatedRows(): void {
     site.store.write('others', 'row', performance.now());
   }
 
-  /** What the operator and the engines wrote is written again a little later. */
+  /** Restores the copy; operator and engines write their rows again later. */
   function restore(): void {
     if (copy === undefined) return;
     storeFaults.push(performance.now());
     site.store.restore(copy);
     setTimeout(() => {
-      if (isOver) return;
+      if (hasEnded) return;
       storeFaults.push(performance.now());
       for (const engine of engines) {
         if (!running.includes(engine)) {
@@ -416,13 +416,13 @@
     const from = performance.now();
     if (signal === 'SIGTERM') {
       const closesAt = from + BOUNDS.grace * CLOSING_SHARE;
-      closings.push({entry, from: closesAt, until: from + MAX_STOP_MS});
+      closingSpans.push({entry, from: closesAt, until: from + MAX_STOP_MS});
     } else {
       const gone = signal === 'SIGKILL' ? RESTART_PAUSE_MS : 0;
-      breaks.push({entry, from, until: from + gone});
+      unavailableSpans.push({entry, from, until: from + gone});
     }
     const duration = signal === 'SIGTERM' ? BOUNDS.grace : 0;
-    disturbances.push({entry, from, until: from + duration});
+    disturbedSpans.push({entry, from, until: from + duration});
   }
 
   async function send(id: number, entry: number): Promise<void> {
@@ -447,15 +447,18 @@
     const ready = await Promise.all(entries.map(isReady));
     return ready.every(isUp => isUp);
   });
-  const heartbeats = setInterval(writeOthers, STORE_WRITE_INTERVAL_MS);
-  const coldHeartbeats = setInterval(renewCold, COLD_REPORT_INTERVAL_MS);
+  const heartbeats = setInterval(writeUnrelatedRows, STORE_WRITE_INTERVAL_MS);
+  const coldHeartbeats = setInterval(
+    reportColdEngines,
+    COLD_REPORT_INTERVAL_MS,
+  );
   const startedAt = performance.now();
   const planned = planFaults(seed, size, faultSet);
   const end = startedAt + size.duration + FINAL_CALM_MS;
   const sending: Promise<void>[] = [];
   let next = 0;
   let id = 0;
-  let idAfterwards = Infinity;
+  let firstIdAfterFaults = Infinity;
   while (performance.now() < end) {
     const elapsed = performance.now() - startedAt;
     while ((planned[next]?.at ?? Infinity) <= elapsed) {
@@ -464,14 +467,14 @@
     }
     id += 1;
     if (elapsed > size.duration + FINAL_CALM_MS / 2) {
-      idAfterwards = Math.min(idAfterwards, id);
+      firstIdAfterFaults = Math.min(firstIdAfterFaults, id);
     }
     const entry = id % entries.length;
     sending.push(send(id, entry));
     await sleep(REQUEST_INTERVAL_MS);
   }
   await Promise.all(sending);
-  isOver = true;
+  hasEnded = true;
   clearInterval(heartbeats);
   clearInterval(coldHeartbeats);
   for (const zone of [...openEvacuations.keys()]) endEvacuation(zone);
@@ -489,9 +492,11 @@
     isStoreStable: (from, until) =>
       storeFaults.every(at => at < from || at > until),
     crashing: CRASHING_BODY,
-    isCalm: (entry, from, until) => !isWithin(disturbances, entry, from, until),
-    isRunning: (entry, from, until) => !isWithin(breaks, entry, from, until),
-    isClosing: (entry, at) => isWithin(closings, entry, at, at),
+    isCalm: (entry, from, until) =>
+      !isWithin(disturbedSpans, entry, from, until),
+    isRunning: (entry, from, until) =>
+      !isWithin(unavailableSpans, entry, from, until),
+    isClosing: (entry, at) => isWithin(closingSpans, entry, at, at),
   };
   const broken = findViolations(records);
   await Promise.all(entries.map(entry => entry.close()));
@@ -499,7 +504,7 @@
   await Promise.all(engines.map(engine => engine.close()));
   const afterwards = callers.filter(
     ({requestId, path}) =>
-      Number(requestId.split('-')[1]) >= idAfterwards &&
+      Number(requestId.split('-')[1]) >= firstIdAfterFaults &&
       path !== CRASHING_PATH &&
       !path.startsWith(`/${ADDED_ROUTE_NAME}/`),
   );
@@ -513,7 +518,7 @@
   };
 }
 
-/** Whether one of the spans of an entry touches a span of time. */
+/** Whether a span of the entry overlaps the time from `from` to `until`. */
 function isWithin(
   spans: readonly Disturbance[],
   entry: number,
