--- a/test/processes/at_most_once.test.ts
+++ b/test/processes/at_most_once.test.ts
@@ -15,16 +15,16 @@
   type ServedSite,
 } from './served_site';
 
-/** On a busy machine a signal may come too late; then once more. */
-const TRIES_TO_HIT = 5;
+/** Retries of a setup whose signal came too late on a busy machine. */
+const MAX_SETUP_ATTEMPTS = 5;
 
 let site: ServedSite;
 let first: string;
 let second: string;
 
 beforeAll(async () => {
-  // With a short time-out, an entry that wakes would first take its own claim
-  // for lost; these stories need one that trusts the reply it finds.
+  // With a short timeout, a resumed entry would consider its claim lost before
+  // it reads the pending reply, which these tests need.
   site = await startServedSite({
     entries: 2,
     engines: 0,
@@ -51,7 +51,7 @@
   return counters.table.writes;
 }
 
-/** Sends a call whose claim takes effect while its reply is on its way. */
+/** Sends a call whose claim takes effect while its reply is delayed. */
 async function claimWithSlowReply(reference: string) {
   const key = `key-${reference}`;
   await setFaults(site.platformUrl, {table: {latency: 3_000}});
@@ -65,9 +65,9 @@
   return {key, end};
 }
 
-/** Freezes the first entry after its claim is written, before it knows. */
+/** Freezes the first entry after its claim is written, before the reply. */
 async function freezeAfterClaim() {
-  for (let attempt = 0; attempt < TRIES_TO_HIT; attempt += 1) {
+  for (let attempt = 0; attempt < MAX_SETUP_ATTEMPTS; attempt += 1) {
     const reference = `frozen-${attempt}`;
     const {key, end} = await claimWithSlowReply(reference);
     site.entries[0]?.process.signal('SIGSTOP');
@@ -76,16 +76,16 @@
     const isHit =
       claim?.kind === 'claimed' && (await runsOf(site, reference)) === 0;
     if (isHit) return {reference, key, end};
-    // The entry was quicker than this test: it has its reply already.
+    // Too late: the entry already received the reply.
     site.entries[0]?.process.signal('SIGCONT');
     await end;
   }
   throw new Error('the entry could not be frozen in time');
 }
 
-/** Takes the table down while a claim is on its way to it. */
-async function takeTableDownUnderClaim() {
-  for (let attempt = 0; attempt < TRIES_TO_HIT; attempt += 1) {
+/** Takes the table down while a claim is in flight. */
+async function takeTableDownDuringClaim() {
+  for (let attempt = 0; attempt < MAX_SETUP_ATTEMPTS; attempt += 1) {
     const reference = `outage-during-${attempt}`;
     const key = `key-${reference}`;
     await setFaults(site.platformUrl, {table: {latency: 3_000}});
@@ -98,7 +98,7 @@
     await setFaults(site.platformUrl, {table: {outage: true, latency: 2}});
     const ended = await end;
     await restoreTable();
-    // A claim that was quicker than this test was written, and has run.
+    // Too late: the claim was written and the call has run.
     const hasRun = (await runsOf(site, reference)) > 0;
     if (!hasRun) return {reference, key, ended};
     expect(ended.outcome).toBe('answered');
@@ -111,10 +111,10 @@
 }
 
 describe('a call that may not be repeated', () => {
-  // A warranty charge is claimed by one entry, which is then paused for longer
-  // than its caller waits. The caller asks again through the other entry. That
-  // one has the attempt tombstoned at the agent and runs its own. When the
-  // paused entry wakes, it finds its claim granted and sends it on.
+  // An entry claims a charge and is frozen past the timeout of its caller, who
+  // retries through the other entry. That one tombstones the attempt at the
+  // agent and runs its own. When the frozen entry resumes, it finds its claim
+  // granted and dispatches it, which must not run the charge again.
   test('runs once when its entry is frozen between claim and dispatch', async () => {
     const service = plainService(site);
     const {reference, key, end} = await freezeAfterClaim();
@@ -127,7 +127,7 @@
     site.entries[0]?.process.signal('SIGCONT');
     const late = await end;
 
-    // "Not run" would be a lie by now, and the caller would charge by hand.
+    // "Not run" would be false and make the caller charge manually.
     expect(late).toMatchObject({
       outcome: 'answered',
       answeredReference: reference,
@@ -137,8 +137,8 @@
     await waitUntilCallable(site);
   });
 
-  // The platform's table is down when the charge arrives. Nothing can be
-  // claimed, so nothing is sent on, and the caller is told so at once.
+  // The table of the platform is down when the charge arrives. Nothing can be
+  // claimed, so nothing is forwarded and the caller gets a refusal immediately.
   test('is not run, and says when to come back, during an outage', async () => {
     const reference = 'outage-before';
     await setFaults(site.platformUrl, {table: {outage: true}});
@@ -163,10 +163,10 @@
     expect(await runsOf(site, reference)).toBe(1);
   });
 
-  // The table goes down while the claim is on its way there. It answers that
-  // it is unavailable; the claim was not written.
+  // The table goes down while the claim is in flight. It replies that it is
+  // unavailable, and the claim was not written.
   test('is not run when the table goes down under its claim', async () => {
-    const {reference, key, ended} = await takeTableDownUnderClaim();
+    const {reference, key, ended} = await takeTableDownDuringClaim();
     expect(ended).toMatchObject({outcome: 'notRun', status: 503});
     expect(await runsOf(site, reference)).toBe(0);
 
@@ -175,9 +175,9 @@
     expect(await runsOf(site, reference)).toBe(1);
   });
 
-  // The claim is written, then the table goes down and stays down while the
-  // charge runs. Its answer can't be recorded, but its caller gets it; after
-  // the outage a retry is told the same and nothing runs again.
+  // The claim is written, then the table is down while the charge runs. The
+  // answer cannot be recorded but reaches the caller. After the outage a retry
+  // must get the same answer, and the charge must not run again.
   test('is answered, and later answered the same, when the table goes down after its claim', async () => {
     const reference = 'outage-after';
     const {key, end} = await claimWithSlowReply(reference);
@@ -196,8 +196,8 @@
     expect(await runsOf(site, reference)).toBe(1);
   });
 
-  // A write of the claim takes effect while its reply is lost; so does the
-  // write of the answer. Reading the row back tells whose it is.
+  // The writes of the claim and of the answer take effect but their replies
+  // are lost. The entry must read the row back to see that it is its own.
   test('runs once when the replies to its writes are lost', async () => {
     const references = Array.from({length: 6}, (_, index) => `lost-${index}`);
     for (const reference of references) {
@@ -212,8 +212,8 @@
     await setFaults(site.platformUrl, {table: {loseReplies: 0}});
   });
 
-  // A caller that hears nothing asks both entries again and again with the
-  // same key, while the service is slow.
+  // The service is slow, and a caller without a reply keeps retrying at both
+  // entries with the same key.
   test('runs once when many entries are asked at the same time', async () => {
     const service = plainService(site);
     await setFaults(service.url, {callTime: 300});
@@ -238,8 +238,8 @@
     expect(await runsOf(site, reference)).toBe(1);
   });
 
-  // The service's answers come late, past the caller's deadline, and crossed
-  // on each other's connections. A dealer must never see another's receipt.
+  // The service sends answers after the caller's deadline, or on each other's
+  // connections. No caller may get the answer to another call.
   test('gives each caller its own answer when answers are late and crossed', async () => {
     const service = plainService(site);
     await setFaults(service.url, {crossNext: 6});
@@ -277,9 +277,9 @@
     expect(await runsOf(site, 'late')).toBe(1);
   });
 
-  // The agent dies after it has passed the charge on and before the service
-  // has answered; the charge still takes effect. The agent's next life can't
-  // know, so nobody may say "not run" and nobody may run it again.
+  // The agent is killed after it forwarded the charge and before the service
+  // answered; the charge still takes effect. The restarted agent cannot know,
+  // so the charge must not be reported as not run and must not run again.
   test('has an unknown outcome, for ever, when its agent is killed while it runs', async () => {
     const service = plainService(site);
     await setFaults(service.url, {callTime: 2_000});
--- a/test/processes/bad_input.test.ts
+++ b/test/processes/bad_input.test.ts
@@ -18,7 +18,7 @@
 import {printable, oddName, encoded, wrongGenerate} from './bad_input_values';
 
 const BODY_LIMIT = 64 * 1024;
-const WAITING = 4;
+const MAX_WAITING = 4;
 
 let site: ServedSite;
 let url: string;
@@ -28,14 +28,14 @@
     entries: 1,
     engines: 1,
     plainServices: 1,
-    limits: {requestBody: '64KiB', waiting: WAITING},
+    limits: {requestBody: '64KiB', waiting: MAX_WAITING},
   });
   url = entryUrl(site, 0);
 });
 
 afterAll(() => site?.stop());
 
-// After each flood of bad input.
+// Checks after each series of bad input that the site still serves.
 afterEach(createGoodCallsCheck(() => url));
 
 const CALLER = `Bearer ${DEMO_KEYS.workspaces['shop-counter']}`;
@@ -65,7 +65,7 @@
   return exchange(method as 'GET', `${url}${path}`, sent, headers);
 }
 
-/** The next bytes on a connection, as text; empty if it ends first. */
+/** The next data on a connection as text; empty if it closes first. */
 function nextData(socket: Socket): Promise<string> {
   return new Promise(resolve => {
     socket.once('data', (bytes: Buffer) => resolve(bytes.toString()));
@@ -73,7 +73,7 @@
   });
 }
 
-describe('the HTTP face', () => {
+describe('the HTTP server', () => {
   test('refuses callers and operators without a key, or with a wrong one', async () => {
     const routes = fc.constantFrom(...CALLER_ROUTES, ...OPERATOR_ROUTES);
     const keyless = fc.constantFrom(undefined, '', 'Bearer', 'Basic abc');
@@ -103,7 +103,7 @@
     }
   });
 
-  test('refuses bodies that are no request for a model', async () => {
+  test('refuses invalid generate requests', async () => {
     const [route] = CALLER_ROUTES;
     const headers = {authorization: CALLER};
     await fc.assert(
@@ -155,9 +155,10 @@
     );
   });
 
-  // A caller sends a body that is too large. The entry answers as soon as it has
-  // read the length, and closes with bytes unread; the rest of the body then
-  // meets a reset, and the caller sees a broken connection instead of a 413.
+  // A body is too large, and the entry answers once it has read the length. If
+  // it closed the connection with unread bytes, the rest of the body would
+  // cause a reset, and the caller would see a broken connection instead of a
+  // 413.
   test('lets a refused caller send the rest of its body', async () => {
     const {hostname, port} = new URL(url);
     const body = Buffer.alloc(BODY_LIMIT * 4, 'p');
@@ -175,16 +176,17 @@
     const answer = await nextData(socket);
     expect(answer).toMatch(/^HTTP\/1.1 413 /);
     socket.write(body);
-    // Only a connection that was kept takes one more request.
+    // Another request succeeds only if the connection was kept open.
     socket.write(`GET /v1/entries HTTP/1.1\r\nHost: ${hostname}\r\n\r\n`);
     expect(await nextData(socket)).toMatch(/^HTTP\/1.1 \d+ /);
     expect(errors).toEqual([]);
     socket.destroy();
   });
 
-  // A call's body goes on to the service as JSON. What is not JSON would be
-  // claimed under its key, refused by the service, and be unknown for ever.
-  test('passes on no call whose body is not JSON', async () => {
+  // The body of a call is forwarded to the service as JSON. Any other body
+  // would be claimed under its key and refused by the service, and its outcome
+  // would stay unknown.
+  test('forwards no call whose body is not JSON', async () => {
     const route = CALLER_ROUTES[1];
     const before = await runsAt(plainService(site));
     const body = fc.constantFrom('a: 1', 'reference: yaml', '- x', '');
@@ -244,8 +246,8 @@
     expect((await runsAt(plainService(site)))['bad-header']).toBeUndefined();
   });
 
-  // An odd name must be unknown, not found among what every object has.
-  test('knows no model, service, plan or path by an odd name', async () => {
+  // A name such as `constructor` must be unknown, not found on the prototype.
+  test('finds no model, service, plan or path under an unusual name', async () => {
     await fc.assert(
       fc.asyncProperty(oddName, fc.uuid(), async (name, key) => {
         if (name === '..' || name === '.') return;
@@ -272,7 +274,7 @@
     }
   });
 
-  test('refuses intents that are none', async () => {
+  test('refuses invalid intents', async () => {
     const headers = {authorization: OPERATOR};
     const route = OPERATOR_ROUTES[0];
     const change = fc.record(
@@ -309,7 +311,7 @@
     );
   });
 
-  test('lives on after bytes that are no HTTP', async () => {
+  test('keeps serving after bytes that are not HTTP', async () => {
     const {port, hostname} = new URL(url);
     await fc.assert(
       fc.asyncProperty(
@@ -329,9 +331,9 @@
     );
   });
 
-  // One target, its slots taken, and more callers than may wait: the ones too
-  // many are told at once, while those in front still wait.
-  test('refuses what is too much to wait, before those in front are done', async () => {
+  // All slots of the only target are taken and more callers arrive than may
+  // wait. The excess ones must be refused immediately while others still wait.
+  test('refuses requests beyond the queue limit while earlier ones still wait', async () => {
     const [engine] = site.engines;
     if (engine === undefined) throw new Error('no engine');
     await setFaults(engine.url, {tokenTime: 20});
@@ -362,7 +364,7 @@
   }
 }
 
-/** Whether an HTTP client sends it, and sends it unchanged. */
+/** Whether HTTP clients can send the text unchanged as a header. */
 function isHeader(text: string): boolean {
   return text !== '' && text.trim() === text;
 }
--- a/test/processes/bad_input_values.ts
+++ b/test/processes/bad_input_values.ts
@@ -1,22 +1,22 @@
 import * as fc from 'fast-check';
 
-/** Text that a header may hold. */
+/** Text that is valid in a header. */
 export const printable = fc.string({unit: 'grapheme-ascii', maxLength: 60});
 
-/** Names that every JavaScript object answers to, and other odd ones. */
+/** Names of properties that every JavaScript object has, and other text. */
 export const oddName = fc.oneof(
   fc.constantFrom('__proto__', 'constructor', 'toString', 'valueOf', '..'),
   fc.string({minLength: 1, maxLength: 40}),
   fc.string({unit: 'binary', minLength: 1, maxLength: 20}),
 );
 
-/** A name as a part of a path. */
+/** Encodes a name as a path segment. */
 export function encoded(name: string): string {
-  // A lone surrogate has no UTF-8 form, so that no client could send it.
+  // A lone surrogate has no UTF-8 encoding, so no client could send it.
   return encodeURIComponent(Buffer.from(name).toString());
 }
 
-/** Bodies that are no request for a model. */
+/** Bodies that are invalid generate requests. */
 export const wrongGenerate = fc.oneof(
   fc.jsonValue().filter(value => !isObjectWithPrompt(value)),
   fc.record({prompt: fc.constantFrom('', 5, null, [], {})}),
--- a/test/processes/bad_site_input.test.ts
+++ b/test/processes/bad_site_input.test.ts
@@ -43,8 +43,8 @@
 
 beforeAll(async () => {
   site = await startServedSite({entries: 1, engines: 1, plainServices: 1});
-  const places = [...site.entries, ...site.engines, ...site.plainServices];
-  callers = places.map(({spec: place}) => createSiteCaller(place.siteAddress));
+  const members = [...site.entries, ...site.engines, ...site.plainServices];
+  callers = members.map(({spec}) => createSiteCaller(spec.siteAddress));
 });
 
 afterAll(async () => {
@@ -52,7 +52,7 @@
   await site?.stop();
 });
 
-// After each flood of bad input.
+// Checks after each series of bad input that the site still serves.
 afterEach(createGoodCallsCheck(() => entryUrl(site, 0)));
 
 const SITE_KEY = `Bearer ${DEMO_KEYS.site}`;
@@ -79,8 +79,8 @@
   );
 }
 
-describe('the gRPC face', () => {
-  test('refuses every method without the key, and with garbage for one', async () => {
+describe('the gRPC server', () => {
+  test('refuses every method without a key or with an invalid one', async () => {
     const key = fc.oneof(
       fc.constantFrom(undefined, 'Bearer', `Bearer ${DEMO_KEYS.operator}`),
       fc.stringMatching(/^[ -~]{0,200}$/),
@@ -104,7 +104,7 @@
     );
   });
 
-  test('lives on after messages that are garbage', async () => {
+  test('keeps serving after malformed messages', async () => {
     const content = fc.uint8Array({maxLength: 300});
     await fc.assert(
       fc.asyncProperty(anyProcess, method, content, async (...input) => {
@@ -120,7 +120,7 @@
     expect(code).toBe(status.RESOURCE_EXHAUSTED);
   });
 
-  test('starts nothing for attempts that it can not know', async () => {
+  test('starts no run for attempts of another incarnation', async () => {
     const [engine] = site.engines;
     if (engine === undefined) throw new Error('no engine');
     const before = {
@@ -181,13 +181,13 @@
               message => ServeFrame.decode(message).frame?.$case,
             ),
           ).toEqual(['failed']);
-          const buried = await callAt(
+          const tombstoned = await callAt(
             target,
             TOMBSTONE,
             TombstoneRequest.encode(asked).finish(),
             SITE_KEY,
           );
-          expect(buried.code).toBe(status.OK);
+          expect(tombstoned.code).toBe(status.OK);
         },
       ),
       propertySettings(100),
@@ -199,7 +199,7 @@
     expect(after).toEqual(before);
   });
 
-  test('lives on after a peer that says odd things of itself', async () => {
+  test('keeps serving after a hello with arbitrary values', async () => {
     const hello = fc.record({
       instance: text,
       role: text,
@@ -226,8 +226,8 @@
     );
   });
 
-  // A process of another build, say, that introduces itself well.
-  test('lives on after heartbeats that say odd things', async () => {
+  // Such a peer could be a process of another build; its hello is valid.
+  test('keeps serving after heartbeats with arbitrary values', async () => {
     const double = fc.double();
     const small = fc.nat(2 ** 31);
     const heartbeat = fc.record({
@@ -292,8 +292,8 @@
   });
 });
 
-/** A dump is for reading; a site of this size gives a small part of this. */
-const LARGEST_DUMP = 256 * 1024;
+/** Dumps are read by people; a site of this size needs far less. */
+const MAX_DUMP_LENGTH = 256 * 1024;
 
 describe('hibiscusbeam dump', () => {
   test('shows an entry and an agent without a key and within bounds', async () => {
@@ -306,7 +306,7 @@
       const state = JSON.parse(output) as Record<string, unknown>;
       expect(state).toMatchObject({configuration: {}, requests: {}});
       expect(state.membership).toBeInstanceOf(Array);
-      expect(output.length).toBeLessThan(LARGEST_DUMP);
+      expect(output.length).toBeLessThan(MAX_DUMP_LENGTH);
       for (const key of allKeys()) expect(output).not.toContain(key);
     }
   });
--- a/test/processes/bad_site_values.ts
+++ b/test/processes/bad_site_values.ts
@@ -6,7 +6,7 @@
 export const SERVE = methodNamed('Serve');
 /** The method that collects a finished answer. */
 export const COLLECT = methodNamed('Collect');
-/** The method that forbids a request to run. */
+/** The method that prevents an attempt from running. */
 export const TOMBSTONE = methodNamed('Tombstone');
 /** The session between processes. */
 export const SESSION = methodNamed('Session');
@@ -17,7 +17,7 @@
   return found;
 }
 
-/** What an entry answers for the methods that only agents serve. */
+/** Expected status without a valid key; only agents serve the Agent methods. */
 export function expectedWithoutKey(
   position: number,
   {path}: SiteMethod,
@@ -28,7 +28,7 @@
 
 /** Numbers of any size. */
 export const number = fc.oneof(fc.nat(5), fc.maxSafeNat());
-/** Text with odd characters, and very long text. */
+/** Arbitrary, malformed and very long text. */
 export const text = fc.oneof(
   fc.string(),
   fc.string({unit: 'binary', maxLength: 50}),
--- a/test/processes/callers.ts
+++ b/test/processes/callers.ts
@@ -6,27 +6,27 @@
 /** A call of the plain service. */
 export interface ServiceCall {
   readonly reference: string;
-  /** Without one, an operation that may be repeated must be named. */
+  /** Idempotency key; only repeatable operations may omit it. */
   readonly key?: string;
   readonly operation?: string;
   readonly deadline?: string;
 }
 
-/** How a call ended for its caller. */
+/** The result of a call, as seen by its caller. */
 export interface CallResult {
   readonly status: number;
   readonly outcome: 'answered' | 'notRun' | 'outcomeUnknown' | 'refused';
-  /** Why it was not run, as the entry says. */
+  /** Reason from the entry if the call was not run. */
   readonly reason: string | undefined;
   readonly retryAfter: string | undefined;
-  /** The reference that the answer speaks of. */
+  /** The reference that the answer contains. */
   readonly answeredReference: string | undefined;
   readonly text: string;
 }
 
 const CALLER: DemoWorkspace = 'call-centre';
 
-/** Calls the plain service through one entry, once. */
+/** Sends one call of the plain service through an entry. */
 export async function callOnce(
   url: string,
   call: ServiceCall,
@@ -68,18 +68,18 @@
   return `claims/${CALLER}/${key}`;
 }
 
-/** How a generation ended for its caller. */
+/** The result of a generate request, as seen by its caller. */
 export interface GenerateResult {
   readonly status: number;
   readonly outcome: 'whole' | 'notRun' | 'outcomeUnknown' | 'broken';
-  /** Why, as the entry says; undefined for an answer. */
+  /** Reason from the entry; undefined for an answer. */
   readonly reason: string | undefined;
   readonly versionDigest: string;
   readonly text: string;
   readonly tokens: number;
 }
 
-/** What a caller asks of the model. */
+/** Parameters of a generate request. */
 export interface Prompt {
   readonly prompt: string;
   readonly maximumTokens?: number;
@@ -87,15 +87,14 @@
   readonly model?: string;
 }
 
-/** Asks the model through one entry and reads the stream to its end. */
+/** Sends a generate request through an entry and reads the complete stream. */
 export async function generate(
   url: string,
   {prompt, maximumTokens = 16, deadline = '20s', model = DEMO_MODEL}: Prompt,
 ): Promise<GenerateResult> {
   const reply = await request(`${url}/v1/models/${model}/generate`, {
     method: 'POST',
-    // These tests are about whole answers: no request is refused for coming
-    // later than the usual time for a first token.
+    // Prevents refusals because of the default time to the first token.
     body: JSON.stringify({
       prompt,
       maximumTokens,
@@ -111,13 +110,13 @@
   return parseStream(reply.statusCode, received);
 }
 
-/** A connection that is cut gives what came before the cut. */
+/** Reads a body; if the connection breaks, returns what was received. */
 async function readUntilEnd(body: AsyncIterable<Buffer>): Promise<string> {
   const pieces: Buffer[] = [];
   try {
     for await (const piece of body) pieces.push(piece);
   } catch {
-    // The stream is then judged by its last line.
+    // The last received line then determines the outcome.
   }
   return Buffer.concat(pieces).toString();
 }
--- a/test/processes/good_calls.ts
+++ b/test/processes/good_calls.ts
@@ -2,8 +2,8 @@
 import {callOnce, generate} from './callers';
 
 /**
- * Creates a check that nobody has died: a good request of each kind is answered
- * by the entry at `url()` at its first try.
+ * Creates a check that no process has crashed: the entry at `url()` answers the
+ * first attempt of a valid request of each kind.
  */
 export function createGoodCallsCheck(url: () => string): () => Promise<void> {
   let calls = 0;
--- a/test/processes/grpc_callers.ts
+++ b/test/processes/grpc_callers.ts
@@ -6,7 +6,7 @@
   type ClientReadableStream,
 } from '@grpc/grpc-js';
 
-/** Methods of the site's protocol, as they are called. */
+/** Methods of the site protocol with their kinds. */
 export const SITE_METHODS = [
   {path: '/hibiscusbeam.v1.Peer/Session', kind: 'duplex'},
   {path: '/hibiscusbeam.v1.Peer/PullConfiguration', kind: 'unary'},
@@ -20,15 +20,15 @@
 /** One of {@link SITE_METHODS}. */
 export type SiteMethod = (typeof SITE_METHODS)[number];
 
-/** How a call ended. */
+/** The result of a call. */
 export interface SiteReply {
   readonly code: status;
   readonly messages: readonly Buffer[];
 }
 
-/** A caller of the site's protocol that sends whatever bytes it is given. */
+/** A client of the site protocol that sends arbitrary bytes. */
 export interface SiteCaller {
-  /** Only a session takes more than one message. */
+  /** Sends one message, or several for a session. */
   readonly call: (
     method: SiteMethod,
     contents: readonly Buffer[],
@@ -37,10 +37,10 @@
   readonly close: () => void;
 }
 
-/** A call without an end by then counts as hanging. */
+/** A call that takes longer counts as hanging. */
 const MAX_CALL_MS = 20_000;
 
-/** Metadata with this `authorization`, or without one. */
+/** Metadata with the given `authorization` or none. */
 export function withAuthorization(value: string | undefined): Metadata {
   const metadata = new Metadata();
   if (value !== undefined) metadata.set('authorization', value);
--- a/test/processes/moving.test.ts
+++ b/test/processes/moving.test.ts
@@ -31,11 +31,11 @@
 /** Two versions of 64 chunks of 16 KiB. */
 const VERSION_BYTES = 64 * 16 * 1024;
 
-// What a user sees if this breaks: a warranty charged twice, or a target that
-// flips between two versions. A call is in progress on the old side; operators
-// move everything; the platform fails before the new side is open. The side
-// that believes too early that the other has stopped acts beside it.
-describe('a move under load, there and back, with outages in the middle', () => {
+// Operators move everything while a call is in progress on the old side, and
+// the platform fails before the new side is open. A side that assumes too early
+// that the other one has stopped would act at the same time: a warranty is
+// charged twice, or a target alternates between two versions.
+describe('a move under load in both directions, with outages during the move', () => {
   let site: SmallSite;
   let callers: Callers;
   let entryUrl = '';
@@ -78,14 +78,14 @@
     callers = startCallers(site, 4);
   };
 
-  const until20More = async (kind: 'oldAnswered' | 'newAnswered') => {
+  const waitFor20MoreCalls = async (kind: 'oldAnswered' | 'newAnswered') => {
     const before = callers.count(kind);
     await waitUntil(`20 calls more: ${kind}`, () =>
       Promise.resolve(callers.count(kind) >= before + 20),
     );
   };
 
-  const untilGivers = async (givers: readonly string[]): Promise<void> => {
+  const waitUntilGivers = async (givers: readonly string[]): Promise<void> => {
     await waitUntil(`orders by ${givers.join(', ')} last`, async () => {
       const lists = await Promise.all(
         site.engines.map(engine => readOrderGivers(engine.url)),
@@ -126,7 +126,7 @@
     await waitUntil('nothing in progress on the old side', async () => {
       return !(await isServiceBusy(site, holder));
     });
-    await expectClosed(owner, planId);
+    await expectBothSidesClosed(owner, planId);
     await setOutage(site, false);
     await waitUntil(`all open for ${owner}, everywhere`, async () => {
       const {move, inForce} = await readPlanStatus(otherUrl, planId);
@@ -134,7 +134,7 @@
     });
   };
 
-  /** The entry that has confirmed dies; another carries the move on. */
+  /** Kills the entry that confirmed the move; another one must continue it. */
   const replaceEntry = async (): Promise<void> => {
     const [entry] = site.entries;
     if (entry === undefined) return;
@@ -143,8 +143,11 @@
     await site.respawn(entry).ready;
   };
 
-  /** Both sides are idle; that the platform is down must open neither. */
-  const expectClosed = async (owner: string, planId: string): Promise<void> => {
+  /** With both sides idle, an outage of the platform must open neither. */
+  const expectBothSidesClosed = async (
+    owner: string,
+    planId: string,
+  ): Promise<void> => {
     for (const {name, url} of site.entries) {
       const reference = `outage-${owner}-${name}`;
       duringOutage.push(reference);
@@ -177,8 +180,8 @@
     staying = engines.at(-1) ?? '';
     targets = [...engines, ...site.plainServices.map(({name}) => name)];
     await setUp();
-    await untilGivers(['older-system']);
-    await until20More('oldAnswered');
+    await waitUntilGivers(['older-system']);
+    await waitFor20MoreCalls('oldAnswered');
 
     await moveAll('hibiscusbeam', targets, 'older-system', () =>
       Promise.resolve(),
@@ -192,21 +195,21 @@
       prefer: 'origin-bytes',
     };
     await planAndConfirm(entryUrl, 'serve our version', [serve]);
-    await untilGivers(['older-system', 'hibiscusbeam']);
-    await until20More('newAnswered');
+    await waitUntilGivers(['older-system', 'hibiscusbeam']);
+    await waitFor20MoreCalls('newAnswered');
 
-    // One engine stays: a plan never takes the last one that serves a model.
+    // One engine stays, as a plan never moves the last one that serves a model.
     const back = targets.filter(name => name !== staying);
     await moveAll('older-system', back, service?.name ?? '', replaceEntry);
-    await untilGivers(['older-system', 'hibiscusbeam', 'older-system']);
-    await until20More('oldAnswered');
+    await waitUntilGivers(['older-system', 'hibiscusbeam', 'older-system']);
+    await waitFor20MoreCalls('oldAnswered');
     await callers.stop();
     const counted = await exchangeJson<{runs: Record<string, number>}>(
       'GET',
       `${serviceUrl}/runs`,
     );
     runs = counted.runs;
-  }, LONGEST_SCENARIO);
+  }, SCENARIO_TIMEOUT_MS);
 
   afterAll(() => site.stop());
 
@@ -224,8 +227,8 @@
   });
 
   test('every call that was answered ran, on both sides', () => {
-    const answered = [...callers.outcomes].filter(([, became]) =>
-      ['oldAnswered', 'newAnswered'].includes(became),
+    const answered = [...callers.outcomes].filter(([, outcome]) =>
+      ['oldAnswered', 'newAnswered'].includes(outcome),
     );
     expect(answered.length).toBeGreaterThanOrEqual(60);
     const lost = answered.filter(([reference]) => runs[reference] !== 1);
@@ -234,14 +237,14 @@
 
   test('no call ran whose every answer was "not run"', () => {
     const notRun = [...callers.outcomes]
-      .filter(([, became]) => became === 'notRun')
+      .filter(([, outcome]) => outcome === 'notRun')
       .map(([reference]) => reference);
     const ran = [...notRun, ...duringOutage].filter(name => name in runs);
     expect(duringOutage).toHaveLength(4);
     expect(ran).toEqual([]);
   });
 
-  test('each side took one copy of its version from the origin, or little more', async () => {
+  test('our side fetched little more than one copy of its version from the origin', async () => {
     const {weights} = await exchangeJson<{weights: {bytes: number}}>(
       'GET',
       `${site.platformUrl}/counters`,
@@ -255,5 +258,5 @@
 
 const PLAN_PATH = '/v1/intents/plan';
 
-/** Not a verdict: how long the whole scenario may take on a busy machine. */
-const LONGEST_SCENARIO = 300_000;
+/** Timeout of the complete scenario on a busy machine. */
+const SCENARIO_TIMEOUT_MS = 300_000;
--- a/test/processes/moving_site.ts
+++ b/test/processes/moving_site.ts
@@ -10,20 +10,20 @@
 import {requestActivity} from '../../demo/site/site_peers';
 import {startSmallSite, type SmallSite} from '../../demo/site/small_site';
 
-/** Workspaces that move; the third one stays with us throughout. */
+/** Workspaces that move; the third one is never moved. */
 export const MOVED_WORKSPACES = ['call-centre', 'shop-counter'] as const;
 
 export const OLDER_LABEL = '2026-10-01.1';
 
 const OPERATOR = {authorization: `Bearer ${DEMO_KEYS.operator}`};
 
-/** An answer to an operator as HTTP gave it. */
+/** An HTTP reply to an operator. */
 export interface OperatorReply<Body = Record<string, unknown>> {
   readonly status: number;
   readonly body: Body;
 }
 
-/** Asks an entry as an operator. */
+/** Sends a request to an entry as an operator. */
 export async function requestAsOperator<Body = Record<string, unknown>>(
   method: 'GET' | 'POST' | 'DELETE',
   entryUrl: string,
@@ -34,7 +34,7 @@
   return {status: reply.status, body: JSON.parse(reply.text) as Body};
 }
 
-/** Plans an intent by HTTP and gives the plan's id; throws if refused. */
+/** Plans an intent and returns the plan's id; throws if it is refused. */
 export async function planIntent(
   entryUrl: string,
   summary: string,
@@ -53,7 +53,7 @@
   return reply.body.plan.planId;
 }
 
-/** Plans and confirms; gives the generation. */
+/** Plans and confirms changes; returns the generation. */
 export async function planAndConfirm(
   entryUrl: string,
   summary: string,
@@ -76,7 +76,7 @@
   return reply.body;
 }
 
-/** A plan as `intent show` gets it. */
+/** A plan as returned for `intent show`. */
 export interface PlanStatus {
   readonly state: {readonly kind: string; readonly generation?: number};
   readonly inForce?: boolean;
@@ -109,7 +109,7 @@
   return waitFor(condition, what, 90_000);
 }
 
-/** The table, the weights and the objects fail, or work again. */
+/** Starts or ends an outage of the table, the weights and the objects. */
 export async function setOutage(site: SmallSite, outage: boolean) {
   await exchangeJson('POST', `${site.platformUrl}/faults`, {
     table: {outage},
@@ -118,7 +118,7 @@
   });
 }
 
-/** The older system's state as it says it. */
+/** The state that the older system reports. */
 export interface OlderSystemState {
   readonly generation: number;
   readonly targets: readonly string[];
@@ -135,7 +135,7 @@
   return exchangeJson('GET', `${site.olderSystemUrl}/state`);
 }
 
-/** Whether a call of the plain service is in progress there. */
+/** Whether the process has a call of the plain service in progress. */
 export async function isServiceBusy(
   site: SmallSite,
   process: string,
@@ -148,11 +148,13 @@
   return state.busyTargets.includes(service?.name ?? '');
 }
 
-/** What became of one reference, which its caller never repeats elsewhere
- * unless the answer was "not run". */
+/**
+ * Final outcome of one reference; its caller retries at the other side only
+ * after "not run".
+ */
 export type CallOutcome = 'oldAnswered' | 'newAnswered' | 'unknown' | 'notRun';
 
-/** Callers that send calls which may not be repeated, to both sides. */
+/** Callers that send at-most-once calls to both sides. */
 export interface Callers {
   readonly outcomes: ReadonlyMap<string, CallOutcome>;
   readonly count: (kind: CallOutcome) => number;
@@ -160,12 +162,12 @@
   readonly stop: () => Promise<void>;
 }
 
-/** Answers "not run" after which a caller gives a reference up. */
+/** Number of "not run" answers after which a caller gives up a reference. */
 const MAX_TRIES = 12;
 
 const PAUSE_MS = 25;
 
-/** Starts callers; each asks one side, and the other only after "not run". */
+/** Starts callers; each tries the other side only after "not run". */
 export function startCallers(site: SmallSite, callers: number): Callers {
   const outcomes = new Map<string, CallOutcome>();
   let running = true;
@@ -189,7 +191,7 @@
     const path = {service: DEMO_SERVICE, operation: DEMO_OPERATION};
     const body = {reference};
     const key = reference;
-    // An entry that was killed says nothing: the call may have run.
+    // A killed entry sends no reply, but the call may have run.
     const called = await callService(
       entryUrl,
       workspace,
@@ -248,7 +250,7 @@
   };
 }
 
-/** Order givers of a target in order, each run of the same named once. */
+/** Order givers of a target in order, without consecutive duplicates. */
 export async function readOrderGivers(
   engineUrl: string,
 ): Promise<readonly string[]> {
@@ -267,7 +269,7 @@
     engines: 3,
     plainServices: 1,
     binary: false,
-    // Nothing at the engine itself would tell the two order givers apart.
+    // The engine itself must not reject either of the two order givers.
     fencing: 'ignored',
     olderSystem: {
       model: DEMO_MODEL,
--- a/test/processes/operators.test.ts
+++ b/test/processes/operators.test.ts
@@ -52,7 +52,7 @@
 
   afterAll(() => site.stop());
 
-  /** Both entries know the head, so that two plans get the same base. */
+  /** Waits until both entries know the head, so plans have the same base. */
   beforeEach(() =>
     waitUntil('both entries at one generation', async () => {
       const known = await Promise.all([first, second].map(generationAt));
@@ -85,7 +85,7 @@
       `/v1/plans/${planId}/confirm`,
     );
 
-  /** Confirms one plan at each entry at once; gives who won and who lost. */
+  /** Confirms a plan at each entry concurrently; returns winner and loser. */
   const race = async (workspaces: readonly [string, string]) => {
     const plans = [
       await planWeight(first, workspaces[0]),
@@ -118,7 +118,7 @@
     });
   });
 
-  test('an unrelated plan that came second is told to plan again, in one command', async () => {
+  test('an overtaken unrelated plan is refused with the command to plan again', async () => {
     const {won, refusal} = await race(['shop-counter', 'mower-app']);
     expect(refusal).toMatchObject({
       error: 'overtaken',
@@ -128,7 +128,7 @@
     expect(refusal?.advice).toContain('hibiscusbeam intent plan');
   });
 
-  test('confirming twice, also at two entries at once, is one change', async () => {
+  test('confirming a plan repeatedly, or at two entries at once, makes one change', async () => {
     const planId = await planWeight(first, 'call-centre');
     const before = await headGeneration();
     const both = await Promise.all([
@@ -187,9 +187,9 @@
     });
   });
 
-  // The answer comes while the platform hangs: only the entry's own timeout
-  // can have given it.
-  test('with the platform hanging the answer comes all the same', async () => {
+  // The platform sends nothing, so only the timeout of the entry can end the
+  // request.
+  test('a hanging platform does not keep an operator from getting an answer', async () => {
     const planId = await planWeight(first, 'shop-counter');
     const before = await headGeneration();
     site.platform.signal('SIGSTOP');
--- a/test/processes/planned_stops.test.ts
+++ b/test/processes/planned_stops.test.ts
@@ -13,17 +13,17 @@
   type ServedSite,
 } from './served_site';
 
-/** What the site promises: after so long a leaving target starts nothing. */
-const NOTHING_NEW_AFTER = 2_000;
+/** Time after which a leaving target must start no more requests. */
+const DRAINING_BOUND_MS = 2_000;
 
 /** Requests sent after that, through both entries. */
 const LATER_REQUESTS = 24;
 
-/** As slow as a large model, so that an answer spans the time to leave. */
-const TOKEN_TIME = 20;
+/** Token time of a large model; answers outlast the time to leave. */
+const TOKEN_TIME_MS = 20;
 
-/** Five seconds of such an engine. */
-const LONG_ANSWER = 250;
+/** Tokens of an answer that takes five seconds. */
+const LONG_ANSWER_TOKENS = 250;
 
 let site: ServedSite;
 let urls: readonly string[];
@@ -36,7 +36,7 @@
     addressesKeptFor: '3s',
   });
   urls = site.entries.map(entry => entry.url);
-  const times = {tokenTime: TOKEN_TIME};
+  const times = {tokenTime: TOKEN_TIME_MS};
   await Promise.all(site.engines.map(({url}) => setFaults(url, times)));
 });
 
@@ -48,7 +48,7 @@
   return found;
 }
 
-function ask(
+function sendRequests(
   name: string,
   count: number,
   maximumTokens: number,
@@ -79,8 +79,8 @@
 }
 
 /**
- * Has long answers in progress everywhere, marks one target as leaving and
- * counts what it starts from two seconds later on.
+ * Marks a target as leaving while long answers are in progress, and checks that
+ * it starts nothing from two seconds later on and that all answers finish.
  */
 async function leaveUnderLoad(
   target: RunningTarget,
@@ -90,7 +90,9 @@
   const long: Promise<GenerateResult>[] = [];
   await waitFor(
     async () => {
-      long.push(...ask(`${name} long ${long.length}`, 2, LONG_ANSWER));
+      long.push(
+        ...sendRequests(`${name} long ${long.length}`, 2, LONG_ANSWER_TOKENS),
+      );
       await sleep(200);
       return (await runningAt(target)) > 0;
     },
@@ -98,10 +100,12 @@
     STARTUP_TIMEOUT_MS,
   );
   await mark();
-  const meanwhile = ask(`${name} meanwhile`, LATER_REQUESTS, 4);
-  await sleep(NOTHING_NEW_AFTER);
+  const meanwhile = sendRequests(`${name} meanwhile`, LATER_REQUESTS, 4);
+  await sleep(DRAINING_BOUND_MS);
   const before = await startedAt(target);
-  const later = await Promise.all(ask(`${name} later`, LATER_REQUESTS, 4));
+  const later = await Promise.all(
+    sendRequests(`${name} later`, LATER_REQUESTS, 4),
+  );
   const ended = await Promise.all([...long, ...meanwhile]);
   const unfinished = [...ended, ...later]
     .filter(({outcome}) => outcome !== 'whole')
@@ -110,11 +114,11 @@
   expect(await startedAt(target)).toBe(before);
 }
 
-async function waitUntilItServesAgain(target: RunningTarget): Promise<void> {
+async function waitUntilServesAgain(target: RunningTarget): Promise<void> {
   const before = await startedAt(target);
   await waitFor(
     async () => {
-      await Promise.all(ask('back', 16, 4));
+      await Promise.all(sendRequests('back', 16, 4));
       return (await startedAt(target)) > before;
     },
     `${target.name} to serve again`,
@@ -123,9 +127,9 @@
 }
 
 describe('a leaving target', () => {
-  // The platform takes an instance away and marks it in its list. Work sent
-  // there later would be cut when the instance stops; its long answers must
-  // still come to their end.
+  // The platform marks an instance as leaving in its list. Requests that are
+  // sent to it later would be cut off when it stops; its long answers must
+  // still finish.
   test('starts nothing new and finishes what it runs when the list says so', async () => {
     const target = engine(0);
     const {instance, zone, region, siteAddress: address} = target.spec;
@@ -138,11 +142,11 @@
     await leaveUnderLoad(target, 'list', () => put('leaving'));
 
     await put('live');
-    await waitUntilItServesAgain(target);
+    await waitUntilServesAgain(target);
   });
 
-  // An operator confirms that a target leaves, and later that it joins again.
-  // Its agent runs all the time; it must be given work as before.
+  // An operator confirms that a target leaves, and later that it joins again
+  // while its agent keeps running. It must then get requests as before.
   test('starts nothing new and finishes what it runs when its intent is confirmed', async () => {
     const target = engine(1);
     await leaveUnderLoad(target, 'intent', () =>
@@ -160,10 +164,10 @@
         serveChange(names, 'first'),
       ],
     });
-    await waitUntilItServesAgain(target);
+    await waitUntilServesAgain(target);
   });
 
-  // The agent is told to stop by its signal; it ends only after the answers.
+  // The agent is stopped by a signal and must exit only after the answers.
   test('starts nothing new and finishes what it runs when its agent is stopped', async () => {
     const target = engine(2);
     await leaveUnderLoad(target, 'signal', () =>
@@ -173,12 +177,12 @@
   });
 });
 
-interface Listed {
+interface EntryList {
   readonly addresses: readonly string[];
   readonly keptUntil: number;
 }
 
-async function askForEntries(url: string): Promise<Listed> {
+async function requestEntryList(url: string): Promise<EntryList> {
   const reply = await exchangeJson<{
     entries: {address: string}[];
     keepForMilliseconds: number;
@@ -192,29 +196,29 @@
 }
 
 describe('the planned stop of an entry', () => {
-  // An entry is stopped while its callers hold its address. Another entry is
-  // paused at that moment: it hears of the stop late and goes on naming the
-  // address. All of these callers come for as long as they may, and the last
-  // of them with a long answer; a refused connection is a lost request.
+  // An entry is stopped while callers hold its address. Another entry is frozen
+  // meanwhile, learns of the stop late and still lists the address. Callers use
+  // the address for as long as they may, the last time for a long answer. A
+  // refused connection would lose their request.
   test('cuts no caller that may still hold its address', async () => {
     const [first, second] = site.entries;
     if (first === undefined || second === undefined) throw new Error('entries');
     await waitFor(
-      async () => (await askForEntries(first.url)).addresses.length === 2,
+      async () => (await requestEntryList(first.url)).addresses.length === 2,
       'the entries to know each other',
       STARTUP_TIMEOUT_MS,
     );
     const early = await Promise.all(
-      [first, second].map(entry => askForEntries(entry.url)),
+      [first, second].map(entry => requestEntryList(entry.url)),
     );
-    const askAll = () =>
-      Array.from({length: 16}, () => askForEntries(first.url));
-    await Promise.all(askAll());
+    const requestAllEntryLists = () =>
+      Array.from({length: 16}, () => requestEntryList(first.url));
+    await Promise.all(requestAllEntryLists());
     first.process.signal('SIGSTOP');
-    // On open connections, so that the paused entry finds these questions
-    // before it finds the word that the other one stops; a heartbeat that came
-    // even earlier may bring the word forward, and nobody is misled then.
-    const asked = askAll();
+    // Open connections let the frozen entry read these requests before the
+    // message that the other one stops. If a heartbeat reports the stop even
+    // earlier, the address is not listed.
+    const asked = requestAllEntryLists();
     await sleep(200);
     second.process.signal('SIGTERM');
     await sleep(1_000);
@@ -228,14 +232,14 @@
     ]);
     expect(ends.flat().filter(end => end !== 'whole')).toEqual([]);
     expect(await second.process.exited).toBe(0);
-    const {addresses} = await askForEntries(first.url);
+    const {addresses} = await requestEntryList(first.url);
     expect(addresses).toEqual([first.spec.callerAddress]);
     const after = await exchange('GET', `${first.url}/v1/status`);
     expect(after.status).toBe(401);
   });
 });
 
-/** Uses one address to the last moment at which a caller may. */
+/** Uses an address until the end of the time for which it was given. */
 async function useUntil(
   keptUntil: number,
   url: string,
--- a/test/processes/replacement.test.ts
+++ b/test/processes/replacement.test.ts
@@ -12,7 +12,7 @@
   type ServedSite,
 } from './served_site';
 
-const TOKEN_TIME = 20;
+const TOKEN_TIME_MS = 20;
 
 let site: ServedSite;
 
@@ -23,13 +23,13 @@
     plainServices: 2,
     addressesKeptFor: '2s',
   });
-  const times = {tokenTime: TOKEN_TIME};
+  const times = {tokenTime: TOKEN_TIME_MS};
   await Promise.all(site.engines.map(({url}) => setFaults(url, times)));
 });
 
 afterAll(() => site?.stop());
 
-/** A caller that asks for addresses, keeps them a while and connects itself. */
+/** A caller that requests entry addresses and caches them for a while. */
 function createCaller(entries: () => readonly RunningEntry[]) {
   let addresses: readonly string[] = [];
   let keptUntil = 0;
@@ -63,13 +63,13 @@
   answers: number;
 }
 
-const RETRY_PAUSE = 200;
+const RETRY_PAUSE_MS = 200;
 
 async function pause(): Promise<void> {
-  await new Promise(resolve => setTimeout(resolve, RETRY_PAUSE));
+  await new Promise(resolve => setTimeout(resolve, RETRY_PAUSE_MS));
 }
 
-/** Charges under one key until it is told a final answer. */
+/** Sends a charge with one key until it gets a final answer. */
 async function charge(
   caller: ReturnType<typeof createCaller>,
   reference: string,
@@ -90,8 +90,8 @@
   }
 }
 
-/** Asks the model until it is told something else than "not run". */
-async function askModel(
+/** Sends a generate request until it gets an answer other than "not run". */
+async function generateAnswer(
   caller: ReturnType<typeof createCaller>,
   prompt: string,
   tally: Tally,
@@ -112,8 +112,8 @@
 
 describe('a rolling replacement of all entries and agents', () => {
   // Every entry and every agent is replaced, one after another, while callers
-  // of both kinds go on without a pause. A charge that is lost leaves a
-  // customer waiting; a doubled one charges a repair twice.
+  // of models and services keep sending requests. None of the charges may be
+  // lost or run twice.
   test('loses and doubles nothing under constant load', async () => {
     const tally: Tally = {references: [], lost: [], answers: 0};
     let current: readonly RunningEntry[] = site.entries;
@@ -124,7 +124,7 @@
       for (let round = 0; !replaced; round += 1) {
         asked += 2;
         await charge(caller, `charge-${number}-${round}`, tally);
-        await askModel(
+        await generateAnswer(
           caller,
           `note ${number} ${'.'.repeat(round % 7)}`,
           tally,
@@ -132,7 +132,7 @@
       }
     };
     const callers = Promise.all([1, 2, 3, 4, 5, 6].map(load));
-    // Awaited at the end; a failure before that is reported by itself.
+    // Awaited at the end; prevents an unhandled rejection until then.
     callers.catch(() => undefined);
 
     const replaceEntries = async (): Promise<void> => {
--- a/test/processes/rollout.test.ts
+++ b/test/processes/rollout.test.ts
@@ -14,7 +14,7 @@
 import {DEMO_KEYS} from '../../demo/site/settings_files';
 import {startSmallSite, type SmallSite} from '../../demo/site/small_site';
 
-const LONG = 120_000;
+const TEST_TIMEOUT_MS = 120_000;
 
 let site: SmallSite;
 let secondVersion: string;
@@ -28,7 +28,7 @@
   return version;
 }
 
-/** Sends requests one after another through every entry until told to stop. */
+/** Sends requests through every entry until stopped. */
 function sendConstantly(): {readonly stop: () => Promise<ModelAnswer[]>} {
   let stopped = false;
   const answers: ModelAnswer[] = [];
@@ -68,7 +68,7 @@
   return counts.reduce((sum, count) => sum + count, 0);
 }
 
-interface VersionLine {
+interface VersionStatus {
   readonly versionDigest: string;
   readonly chunksHeld: number;
   readonly chunksTotal: number;
@@ -76,7 +76,7 @@
 
 async function everyEngineHolds(version: string): Promise<boolean> {
   const [entry] = site.entries;
-  const status = await exchangeJson<{versions: VersionLine[]}>(
+  const status = await exchangeJson<{versions: VersionStatus[]}>(
     'GET',
     `${entry?.url}/v1/status`,
     undefined,
@@ -98,15 +98,15 @@
   const {plan} = await planByCommand(site, initialIntent(site, 'one'));
   await confirmByCommand(site, plan.planId);
   await waitUntilServed(site, version, DEMO_KEYS.operator);
-}, LONG);
+}, TEST_TIMEOUT_MS);
 
 afterAll(() => site.stop());
 
 describe('a rollout on real processes', () => {
-  // A caller at the counter asks while the version changes on every engine.
-  // Engines hold one version at a time: each unloads the old one, under a
-  // permit, and loads the new one. A caller must see one whole answer of one
-  // version, and never "no target": the floor keeps two engines serving.
+  // Callers send requests while the version changes on every engine. Engines
+  // hold one version at a time: each unloads the old one under a permit and
+  // loads the new one. Each answer must be complete and from one version, and
+  // no request may fail with "no target": the floor keeps two engines serving.
   test(
     'answers every request whole while versions swap',
     async () => {
@@ -121,12 +121,12 @@
       expect(versions.has(version)).toBe(true);
       expect(versions.size).toBe(2);
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 
-  // The platform's table goes down right after the commit. Agents fetch the new
-  // version, but none can get a permit, so no engine is told to unload, and
-  // callers are still answered by the old version. Then swaps go on.
+  // The table goes down right after the commit. Agents fetch the new version
+  // but cannot get a permit, so no engine may unload the old one, which keeps
+  // serving. After the outage the swaps must continue.
   test(
     'swaps nothing and serves on while the platform is down',
     async () => {
@@ -152,6 +152,6 @@
       await setFaults({table: {outage: false}});
       await waitUntilServed(site, version, DEMO_KEYS.operator);
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 });
--- a/test/processes/served_site.ts
+++ b/test/processes/served_site.ts
@@ -16,7 +16,7 @@
 } from '../../demo/site/small_site';
 import {callOnce} from './callers';
 
-/** A busy machine may take so long to bring a site up. */
+/** Timeout for the startup of a site on a busy machine. */
 export const STARTUP_TIMEOUT_MS = 50_000;
 
 /** A small site that serves one version and one plain service. */
@@ -24,7 +24,7 @@
   readonly versionDigest: string;
 }
 
-/** Starts a site, brings a version in and waits until everything serves. */
+/** Starts a site, rolls out a version and waits until everything serves. */
 export async function startServedSite(
   options: Omit<SmallSiteOptions, 'binary'>,
 ): Promise<ServedSite> {
@@ -32,7 +32,7 @@
   try {
     const versionDigest = await publishVersion(site, 'first', 1);
     const intent = initialIntent(site, 'first');
-    // An entry hears of new targets by its next look at the instance list.
+    // An entry learns of new targets when it next polls the instance list.
     await waitFor(
       () => isPlannable(site, intent),
       'the entry to know all targets',
@@ -82,7 +82,7 @@
   );
 }
 
-/** The caller-facing address of one entry, counted from 0. */
+/** The URL for callers of an entry, counted from 0. */
 export function entryUrl(site: SmallSite, index: number): string {
   const entry = site.entries[index];
   if (entry === undefined) throw new Error(`the site has no entry ${index}`);
@@ -96,7 +96,7 @@
   return service;
 }
 
-/** Waits until each entry, also a restarted one, reaches the plain service. */
+/** Waits until each entry can call the plain service. */
 export async function waitUntilCallable(
   site: SmallSite,
   urls = site.entries.map(entry => entry.url),
@@ -118,7 +118,7 @@
   }
 }
 
-/** How often each reference or attempt ran, as the target counted it. */
+/** Number of runs of each reference or attempt at a target. */
 export async function runsAt(
   target: Pick<RunningTarget, 'url'>,
 ): Promise<Readonly<Record<string, number>>> {
@@ -129,7 +129,7 @@
   return reply.runs;
 }
 
-/** Runs of one reference over all plain services. */
+/** Number of runs of a reference over all plain services. */
 export async function runsOf(
   site: SmallSite,
   reference: string,
@@ -138,12 +138,12 @@
   return counted.reduce((sum, runs) => sum + (runs[reference] ?? 0), 0);
 }
 
-/** Sets faults of a stand-in. */
+/** Sets the faults of a stand-in. */
 export async function setFaults(url: string, faults: unknown): Promise<void> {
   await exchangeJson('POST', `${url}/faults`, faults);
 }
 
-/** The state of the process at a site address. */
+/** Dumps the state of the process at a site address. */
 export async function dumpOf(
   address: string,
 ): Promise<{readonly requests: {readonly running: number}}> {
@@ -152,7 +152,7 @@
   return JSON.parse(dump.val) as {requests: {running: number}};
 }
 
-/** The value of a row of the platform's table. */
+/** Reads the value of a row of the platform's table. */
 export async function rowValue(
   site: SmallSite,
   key: string,
--- a/test/processes/sessions.test.ts
+++ b/test/processes/sessions.test.ts
@@ -17,7 +17,7 @@
 
 afterAll(() => site.stop());
 
-/** How each entry sees the agent. */
+/** The liveness of the agent at each entry. */
 async function livenessAtEntries(): Promise<readonly (string | undefined)[]> {
   const dumps = await Promise.all(
     site.entries.map(entry =>
@@ -32,21 +32,21 @@
   });
 }
 
-const seenAs = (liveness: string) =>
+const waitForLiveness = (liveness: string) =>
   waitUntil(`the agent ${liveness} at every entry`, async () => {
     const seen = await livenessAtEntries();
     return seen.every(one => one === liveness);
   });
 
-// What a user sees: an instance that is healthy and listed gets no request for
-// the rest of its life, and does not learn new configurations while the
-// platform is down. It was frozen, or slow to start, for longer than it takes
-// to count as dead; the entries closed the session and never tried again.
+// An agent is frozen, or slow to start, for longer than it takes to count as
+// dead, and the entries close the session. If they never reconnected, the
+// healthy and listed instance would get no more requests, and no new
+// configurations while the platform is down.
 test('an agent that was silent until it counted as dead is met again', async () => {
-  await seenAs('live');
+  await waitForLiveness('live');
   site.engines[0]?.agent.signal('SIGSTOP');
-  await seenAs('dead');
+  await waitForLiveness('dead');
   site.engines[0]?.agent.signal('SIGCONT');
-  await seenAs('live');
+  await waitForLiveness('live');
   expect(await livenessAtEntries()).toEqual(['live', 'live']);
 }, 300_000);
--- a/test/processes/whole_answers.test.ts
+++ b/test/processes/whole_answers.test.ts
@@ -24,17 +24,17 @@
 
 afterAll(() => site?.stop());
 
-interface Asked {
+interface PromptAnswer {
   readonly prompt: string;
   readonly answer: GenerateResult;
 }
 
-/** Asks for `count` answers at once, through both entries in turn. */
-function askMany(
+/** Sends `count` concurrent requests, through both entries in turn. */
+function sendMany(
   name: string,
   count: number,
   deadline = '20s',
-): Promise<readonly Asked[]> {
+): Promise<readonly PromptAnswer[]> {
   const prompts = Array.from({length: count}, (_, index) => `${name} ${index}`);
   return Promise.all(
     prompts.map(async (prompt, index) => ({
@@ -48,15 +48,15 @@
   );
 }
 
-/** The engines' text follows from version and prompt, so a mix shows. */
-function expectOwnWholeAnswer({prompt, answer}: Asked): void {
+/** Version and prompt determine the text, so a mixed answer is detected. */
+function expectOwnWholeAnswer({prompt, answer}: PromptAnswer): void {
   const {versionDigest} = answer;
   expect(answer.tokens).toBe(TOKENS);
   expect(answer.text).toBe(answerText({versionDigest, prompt}, TOKENS));
 }
 
-/** What came may be cut short, but never be another's or of two versions. */
-function expectOwnBeginning({prompt, answer}: Asked): void {
+/** The answer may be cut short, but not be mixed with another one. */
+function expectOwnPrefix({prompt, answer}: PromptAnswer): void {
   const {versionDigest, tokens, text} = answer;
   expect(text).toBe(answerText({versionDigest, prompt}, tokens));
 }
@@ -66,11 +66,11 @@
 }
 
 describe('a caller of a model', () => {
-  // Two callers ask one engine; it sends each answer on the other's
-  // connection, and some late. Each caller must see its own note or none.
+  // The engine sends answers on the connections of other callers, and some of
+  // them late. Each caller must get its own answer or none.
   test('gets its own answer when the engine crosses and delays answers', async () => {
     await setEngineFaults({crossNext: 6, lateNext: 4, lateBy: 700});
-    const asked = await askMany('crossed', 32);
+    const asked = await sendMany('crossed', 32);
     await setEngineFaults({crossNext: 0, lateNext: 0});
     for (const one of asked) {
       expect(one.answer.outcome).toBe('whole');
@@ -78,35 +78,35 @@
     }
   });
 
-  // The connection to an engine is cut in the middle of an answer. The entry
-  // asks another engine for the same version and goes on where the caller is,
-  // or lets the stream end without its end line.
+  // The connection to an engine breaks in the middle of an answer. The entry
+  // must resume the answer at another engine with the same version, or end the
+  // stream without its end line.
   test('gets a whole answer or none when a connection is cut in mid-stream', async () => {
     await setEngineFaults({dropNext: 2});
-    const asked = await askMany('cut', 24);
+    const asked = await sendMany('cut', 24);
     await setEngineFaults({dropNext: 0});
     for (const one of asked) {
-      expectOwnBeginning(one);
+      expectOwnPrefix(one);
       if (one.answer.outcome === 'whole') expectOwnWholeAnswer(one);
       else expect(one.answer.outcome).toBe('outcomeUnknown');
     }
-    // Four cuts among 24 first tries are within the retry budget.
+    // Four broken connections in 24 first attempts are within the retry budget.
     expect(asked.map(({answer}) => answer.outcome)).not.toContain('notRun');
     const whole = asked.filter(({answer}) => answer.outcome === 'whole');
     expect(whole.length).toBeGreaterThanOrEqual(20);
   });
 
-  // An engine accepts requests and answers nothing. Its callers are answered
-  // by the other engine or told by their deadline; none waits for ever.
+  // An engine accepts requests but sends nothing. Callers must get an answer
+  // from the other engine or an outcome by their deadline.
   test('is answered by another engine, or told so, when one is frozen', async () => {
     const [frozen] = site.engines;
     if (frozen === undefined) throw new Error('no engine');
     const before = Object.keys(await runsAt(frozen)).length;
     await setFaults(frozen.url, {frozen: true});
-    const asked = await askMany('frozen', 16, '12s');
+    const asked = await sendMany('frozen', 16, '12s');
     await setFaults(frozen.url, {frozen: false});
     for (const one of asked) {
-      expectOwnBeginning(one);
+      expectOwnPrefix(one);
       if (one.answer.outcome === 'whole') expectOwnWholeAnswer(one);
       else expect(['notRun', 'outcomeUnknown']).toContain(one.answer.outcome);
     }
@@ -114,17 +114,16 @@
     expect(Object.keys(await runsAt(frozen)).length).toBeGreaterThanOrEqual(
       before,
     );
-    const after = await askMany('thawed', 4);
+    const after = await sendMany('thawed', 4);
     for (const one of after) expectOwnWholeAnswer(one);
   });
 
-  // A new version is rolled out while callers ask without a pause and
-  // connections are cut. An answer that began on the old version and was
-  // finished on the new one would draft a note from two models.
+  // A new version is rolled out under constant load while connections break. An
+  // answer that starts on the old version must not be finished by the new one.
   test('never gets a mix of two versions while engines swap and links break', async () => {
     const next = await publishVersion(site, 'second', 2, site.versionDigest);
     const names = site.engines.map(({name}) => name);
-    const asked: Asked[] = [];
+    const asked: PromptAnswer[] = [];
     let swapped = false;
     const ask = async (caller: number): Promise<void> => {
       for (let round = 0; !swapped || round < 2; round += 1) {
@@ -148,7 +147,7 @@
     await setEngineFaults({dropNext: 0});
 
     for (const one of asked) {
-      expectOwnBeginning(one);
+      expectOwnPrefix(one);
       if (one.answer.outcome === 'whole') expectOwnWholeAnswer(one);
     }
     const versions = new Set(
