--- a/bench/configuration/main.ts
+++ b/bench/configuration/main.ts
@@ -172,7 +172,8 @@
   }
   const after = await readTraffic(site, processes);
   const bytes = await measureTraffic(site, processes, end);
-  const inLine = (await readHeadGeneration(site)) === end + TRAFFIC_CHANGES;
+  const isHistoryComplete =
+    (await readHeadGeneration(site)) === end + TRAFFIC_CHANGES;
   const seconds = changes.map(made => made.seconds).sort((a, b) => a - b);
   const ranked = (share: number): number =>
     seconds[Math.max(0, Math.ceil(share * seconds.length) - 1)] ?? 0;
@@ -186,7 +187,7 @@
     reverted: processes.reduce((sum, one) => sum + one.reverted(), 0),
     lost:
       planCommitted.filter(isCommitted => !isCommitted).length +
-      (inLine ? 0 : 1),
+      (isHistoryComplete ? 0 : 1),
     bytesPerNodePerSecond: Math.round(bytes),
     tableReadsPerSecond: round((after.tableReads - before.tableReads) / ran),
     tableWritesPerSecond: round((after.tableWrites - before.tableWrites) / ran),
--- a/bench/control/main.ts
+++ b/bench/control/main.ts
@@ -185,9 +185,9 @@
   async function measurePhase(name: string): Promise<void> {
     const callsBefore = sum(store.calls);
     const before = readUses(members);
-    const begun = performance.now();
+    const startedAt = performance.now();
     await pause(Number(values.seconds));
-    const seconds = (performance.now() - begun) / 1_000;
+    const seconds = (performance.now() - startedAt) / 1_000;
     const after = readUses(members);
     for (const role of ['agent', 'entry'] as const) {
       const rows = members.flatMap((member, at) => {
@@ -217,7 +217,7 @@
   await measurePhase('idle');
   let isBusy = true;
   let answered = 0;
-  let others = 0;
+  let notAnswered = 0;
   const entries = members.filter(({role}) => role === 'entry');
   const callers = entries.flatMap(({callerAddress}, entry) =>
     Array.from({length: Number(values.callers)}, async (_, caller) => {
@@ -230,7 +230,7 @@
         }).catch(() => undefined);
         if (reply?.status === 200) answered += 1;
         else {
-          others += 1;
+          notAnswered += 1;
           await pause(0.1);
         }
       }
@@ -238,9 +238,9 @@
   );
   await pause(2);
   answered = 0;
-  others = 0;
+  notAnswered = 0;
   await measurePhase('busy');
-  console.log(`busy: ${answered} answered, ${others} not`);
+  console.log(`busy: ${answered} answered, ${notAnswered} not`);
   isBusy = false;
   await Promise.all(callers);
   for (const {child} of members) child.kill('SIGTERM');
--- a/bench/distribution/memory_store.ts
+++ b/bench/distribution/memory_store.ts
@@ -16,12 +16,12 @@
 /** Creates an empty store. */
 export function createMemoryStore(): MemoryStore {
   const chunks = new Map<Digest, Uint8Array>();
-  const waiting = new Map<Digest, (() => void)[]>();
+  const waiters = new Map<Digest, (() => void)[]>();
 
   function keep(digest: Digest, bytes: Uint8Array): void {
     chunks.set(digest, bytes);
-    for (const resolve of waiting.get(digest) ?? []) resolve();
-    waiting.delete(digest);
+    for (const resolve of waiters.get(digest) ?? []) resolve();
+    waiters.delete(digest);
   }
 
   return {
@@ -45,7 +45,7 @@
     whenHeld(digest) {
       if (chunks.has(digest)) return Promise.resolve();
       return new Promise(resolve => {
-        waiting.set(digest, [...(waiting.get(digest) ?? []), resolve]);
+        waiters.set(digest, [...(waiters.get(digest) ?? []), resolve]);
       });
     },
     verify: manifest =>
--- a/bench/distribution/result.ts
+++ b/bench/distribution/result.ts
@@ -44,8 +44,8 @@
 
 /** The smallest value that at least `share` of the values do not exceed. */
 export function quantile(sorted: readonly number[], share: number): number {
-  const place = Math.ceil(share * sorted.length) - 1;
-  return sorted[Math.max(0, place)] ?? 0;
+  const index = Math.ceil(share * sorted.length) - 1;
+  return sorted[Math.max(0, index)] ?? 0;
 }
 
 /** Rounds to three decimal places. */
--- a/bench/distribution/run.ts
+++ b/bench/distribution/run.ts
@@ -50,7 +50,9 @@
     workers.send(worker, {
       kind: 'begin',
       options,
-      positions: positions.filter(place => place % workers.count === worker),
+      positions: positions.filter(
+        position => position % workers.count === worker,
+      ),
       originUrl: origin.url,
     });
   }
@@ -111,7 +113,7 @@
   await allDone;
   const seconds = (performance.now() - startedAt) / 1000;
   const cpu = [cpuSeconds(), ...workers.cpuSeconds()].map(
-    (used, place) => (used - cpuBefore[place]!) / seconds,
+    (used, position) => (used - cpuBefore[position]!) / seconds,
   );
   workers.sendAll({kind: 'finish'});
   const finished = await workers.receiveFromAll('finished');
--- a/bench/distribution/workers.ts
+++ b/bench/distribution/workers.ts
@@ -28,7 +28,7 @@
   );
   const cpu = children.map(() => 0);
   const received = new Map<string, WorkerReport[]>();
-  const waiting = new Map<string, () => void>();
+  const waiters = new Map<string, () => void>();
   let readyListener: (
     message: Extract<WorkerReport, {kind: 'ready'}>,
   ) => void = () => {};
@@ -42,7 +42,7 @@
           ...(received.get(message.kind) ?? []),
           message,
         ]);
-        waiting.get(message.kind)?.();
+        waiters.get(message.kind)?.();
       }
     });
   });
@@ -55,7 +55,7 @@
     },
     async receiveFromAll<Kind extends WorkerReport['kind']>(kind: Kind) {
       while ((received.get(kind)?.length ?? 0) < count) {
-        await new Promise<void>(resolve => waiting.set(kind, resolve));
+        await new Promise<void>(resolve => waiters.set(kind, resolve));
       }
       const messages = received.get(kind) ?? [];
       received.delete(kind);
--- a/bench/routing/baseline_policies.ts
+++ b/bench/routing/baseline_policies.ts
@@ -29,12 +29,12 @@
 
   const leastInFlight = (): string | undefined => {
     const start = Math.floor(port.random() * live.length);
-    let least: string | undefined;
+    let best: string | undefined;
     for (let step = 0; step < live.length; step += 1) {
       const target = live[(start + step) % live.length]!;
-      if (least === undefined || count(target) < count(least)) least = target;
+      if (best === undefined || count(target) < count(best)) best = target;
     }
-    return least;
+    return best;
   };
 
   const count = (target: string): number => inFlight.get(target) ?? 0;
--- a/bench/routing/fake_clock.ts
+++ b/bench/routing/fake_clock.ts
@@ -44,9 +44,9 @@
 }
 
 function swap(heap: Scheduled[], left: number, right: number): void {
-  const kept = heap[left]!;
+  const previous = heap[left]!;
   heap[left] = heap[right]!;
-  heap[right] = kept;
+  heap[right] = previous;
 }
 
 function siftUp(heap: Scheduled[], start: number): void {
@@ -66,14 +66,14 @@
   heap[0] = last;
   let parent = 0;
   for (;;) {
-    let least = parent;
+    let smallest = parent;
     for (const child of [2 * parent + 1, 2 * parent + 2]) {
-      if (child < heap.length && isBefore(heap[child]!, heap[least]!)) {
-        least = child;
+      if (child < heap.length && isBefore(heap[child]!, heap[smallest]!)) {
+        smallest = child;
       }
     }
-    if (least === parent) return first;
-    swap(heap, parent, least);
-    parent = least;
+    if (smallest === parent) return first;
+    swap(heap, parent, smallest);
+    parent = smallest;
   }
 }
--- a/bench/shared/load.ts
+++ b/bench/shared/load.ts
@@ -35,7 +35,7 @@
   let tokens = 0;
 
   const sendOne = async (number: number): Promise<void> => {
-    const begun = performance.now();
+    const startedAt = performance.now();
     const reply = await request(
       `${options.url}/v1/models/${options.model}/generate`,
       {
@@ -54,7 +54,7 @@
     let last = '';
     for await (const piece of reply.body) {
       const text = (piece as Buffer).toString();
-      if (lines === 0) firstTokens.push(performance.now() - begun);
+      if (lines === 0) firstTokens.push(performance.now() - startedAt);
       for (const line of text.split('\n')) {
         if (line.includes('"kind":"token"')) lines += 1;
       }
@@ -66,7 +66,7 @@
     } else others += 1;
   };
 
-  const begun = performance.now();
+  const startedAt = performance.now();
   await Promise.all(
     Array.from({length: options.concurrency}, async () => {
       while (sent < options.requests) {
@@ -75,7 +75,7 @@
       }
     }),
   );
-  const seconds = (performance.now() - begun) / 1_000;
+  const seconds = (performance.now() - startedAt) / 1_000;
   await dispatcher.close();
   firstTokens.sort((left, right) => left - right);
   return {seconds, answered, others, tokens, firstTokens};
--- a/bench/slopes/measure_site.ts
+++ b/bench/slopes/measure_site.ts
@@ -58,9 +58,9 @@
   });
   const countersBefore = await readCounters(site);
   const before = read();
-  const begun = performance.now();
+  const startedAt = performance.now();
   await action();
-  const seconds = (performance.now() - begun) / 1_000;
+  const seconds = (performance.now() - startedAt) / 1_000;
   const after = read();
   const countersAfter = await readCounters(site);
 
--- a/examples/embed_configuration.ts
+++ b/examples/embed_configuration.ts
@@ -36,9 +36,9 @@
 }
 
 function commit({conditions, writes}: TableTransaction): CommitOutcome {
-  const broken = conditions.filter(condition => !holds(condition));
-  if (broken.length > 0) {
-    const failed = broken.map(({key}) => ({key, row: rows.get(key)}));
+  const violated = conditions.filter(condition => !holds(condition));
+  if (violated.length > 0) {
+    const failed = violated.map(({key}) => ({key, row: rows.get(key)}));
     return {kind: 'conditionFailed', failed};
   }
   for (const write of writes) {
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -77,12 +77,12 @@
 // Type resolution for Node needs file extensions in relative imports.
 function addExtensions(file) {
   const text = readFileSync(file, 'utf8');
-  const whole = text.replace(
+  const rewritten = text.replace(
     /(from |import\()'(\.{1,2}(?:\/[^']*)?)'/g,
     (_match, lead, path) => {
       const isFile = existsSync(join(dirname(file), `${path}.d.ts`));
       return `${lead}'${path}${isFile ? '.js' : '/index.js'}'`;
     },
   );
-  writeFileSync(file, whole);
+  writeFileSync(file, rewritten);
 }
--- a/test/deploy/days.test.ts
+++ b/test/deploy/days.test.ts
@@ -37,6 +37,6 @@
 // with such a name could run on one site only.
 test.each(files)('%s contains no names of a particular site', file => {
   const text = readFileSync(`${FOLDER}/${file}`, 'utf8');
-  const places = [...text.matchAll(/(?:service|class|zone) = "([^"]*)"/g)];
-  for (const [, place] of places) expect(place).toMatch(/^@[csz]\d$/);
+  const labels = [...text.matchAll(/(?:service|class|zone) = "([^"]*)"/g)];
+  for (const [, label] of labels) expect(label).toMatch(/^@[csz]\d$/);
 });
--- a/test/processes/bad_input.test.ts
+++ b/test/processes/bad_input.test.ts
@@ -338,7 +338,7 @@
     if (engine === undefined) throw new Error('no engine');
     await setFaults(engine.url, {tokenTime: 20});
     const ends: string[] = [];
-    const ask = async (index: number): Promise<void> => {
+    const sendPrompt = async (index: number): Promise<void> => {
       const {outcome, status: code} = await generate(url, {
         prompt: `many ${index}`,
         maximumTokens: 100,
@@ -346,7 +346,9 @@
       if (outcome === 'notRun') expect([429, 503]).toContain(code);
       ends.push(outcome);
     };
-    await Promise.all(Array.from({length: 60}, (_, index) => ask(index)));
+    await Promise.all(
+      Array.from({length: 60}, (_, index) => sendPrompt(index)),
+    );
     await setFaults(engine.url, {tokenTime: 2});
     const firstWhole = ends.indexOf('whole');
     const refused = ends.slice(0, firstWhole);
--- a/test/processes/bad_site_input.test.ts
+++ b/test/processes/bad_site_input.test.ts
@@ -169,11 +169,11 @@
             message => ServeFrame.decode(message).frame?.$case,
           );
           expect(['failed', 'refused']).toContain(kinds[0] ?? 'refused');
-          const asked = {attempt, incarnation};
+          const identity = {attempt, incarnation};
           const collected = await callAt(
             target,
             COLLECT,
-            CollectRequest.encode(asked).finish(),
+            CollectRequest.encode(identity).finish(),
             SITE_KEY,
           );
           expect(
@@ -184,7 +184,7 @@
           const tombstoned = await callAt(
             target,
             TOMBSTONE,
-            TombstoneRequest.encode(asked).finish(),
+            TombstoneRequest.encode(identity).finish(),
             SITE_KEY,
           );
           expect(tombstoned.code).toBe(status.OK);
--- a/test/processes/planned_stops.test.ts
+++ b/test/processes/planned_stops.test.ts
@@ -218,17 +218,21 @@
     // Open connections let the frozen entry read these requests before the
     // message that the other one stops. If a heartbeat reports the stop even
     // earlier, the address is not listed.
-    const asked = requestAllEntryLists();
+    const pendingLists = requestAllEntryLists();
     await sleep(200);
     second.process.signal('SIGTERM');
     await sleep(1_000);
     first.process.signal('SIGCONT');
-    const late = await Promise.all(asked);
+    const late = await Promise.all(pendingLists);
     const address = second.spec.callerAddress;
-    const held = late.filter(({addresses}) => addresses.includes(address));
+    const listsWithAddress = late.filter(({addresses}) =>
+      addresses.includes(address),
+    );
     const ends = await Promise.all([
       ...early.map(list => useUntil(list.keptUntil, second.url, 4)),
-      ...held.map(list => useUntil(list.keptUntil, second.url, 100)),
+      ...listsWithAddress.map(list =>
+        useUntil(list.keptUntil, second.url, 100),
+      ),
     ]);
     expect(ends.flat().filter(end => end !== 'whole')).toEqual([]);
     expect(await second.process.exited).toBe(0);
--- a/test/processes/replacement.test.ts
+++ b/test/processes/replacement.test.ts
@@ -37,7 +37,7 @@
 
   async function refresh(): Promise<void> {
     const known = addresses[0] ?? entries()[0]?.spec.callerAddress;
-    const askedAt = performance.now();
+    const requestedAt = performance.now();
     const reply = await exchangeJson<{
       entries: {address: string}[];
       keepForMilliseconds: number;
@@ -45,7 +45,7 @@
       authorization: `Bearer ${DEMO_KEYS.workspaces['call-centre']}`,
     });
     addresses = reply.entries.map(({address}) => address);
-    keptUntil = askedAt + reply.keepForMilliseconds / 2;
+    keptUntil = requestedAt + reply.keepForMilliseconds / 2;
   }
 
   return {
@@ -118,11 +118,11 @@
     const tally: Tally = {references: [], lost: [], answers: 0};
     let current: readonly RunningEntry[] = site.entries;
     let replaced = false;
-    let asked = 0;
+    let sentCount = 0;
     const load = async (number: number): Promise<void> => {
       const caller = createCaller(() => current);
       for (let round = 0; !replaced; round += 1) {
-        asked += 2;
+        sentCount += 2;
         await charge(caller, `charge-${number}-${round}`, tally);
         await generateAnswer(
           caller,
@@ -164,7 +164,7 @@
     await callers;
 
     expect(tally.lost).toEqual([]);
-    expect(tally.answers).toBe(asked);
+    expect(tally.answers).toBe(sentCount);
     expect(tally.references.length).toBeGreaterThan(50);
     const runs = await Promise.all(
       tally.references.map(reference => runsOf(site, reference)),
--- a/test/processes/whole_answers.test.ts
+++ b/test/processes/whole_answers.test.ts
@@ -70,9 +70,9 @@
   // them late. Each caller must get its own answer or none.
   test('gets its own answer when the engine crosses and delays answers', async () => {
     await setEngineFaults({crossNext: 6, lateNext: 4, lateBy: 700});
-    const asked = await sendMany('crossed', 32);
+    const answers = await sendMany('crossed', 32);
     await setEngineFaults({crossNext: 0, lateNext: 0});
-    for (const one of asked) {
+    for (const one of answers) {
       expect(one.answer.outcome).toBe('whole');
       expectOwnWholeAnswer(one);
     }
@@ -83,16 +83,16 @@
   // stream without its end line.
   test('gets a whole answer or none when a connection is cut in mid-stream', async () => {
     await setEngineFaults({dropNext: 2});
-    const asked = await sendMany('cut', 24);
+    const answers = await sendMany('cut', 24);
     await setEngineFaults({dropNext: 0});
-    for (const one of asked) {
+    for (const one of answers) {
       expectOwnPrefix(one);
       if (one.answer.outcome === 'whole') expectOwnWholeAnswer(one);
       else expect(one.answer.outcome).toBe('outcomeUnknown');
     }
     // Four broken connections in 24 first attempts are within the retry budget.
-    expect(asked.map(({answer}) => answer.outcome)).not.toContain('notRun');
-    const whole = asked.filter(({answer}) => answer.outcome === 'whole');
+    expect(answers.map(({answer}) => answer.outcome)).not.toContain('notRun');
+    const whole = answers.filter(({answer}) => answer.outcome === 'whole');
     expect(whole.length).toBeGreaterThanOrEqual(20);
   });
 
@@ -103,14 +103,14 @@
     if (frozen === undefined) throw new Error('no engine');
     const before = Object.keys(await runsAt(frozen)).length;
     await setFaults(frozen.url, {frozen: true});
-    const asked = await sendMany('frozen', 16, '12s');
+    const answers = await sendMany('frozen', 16, '12s');
     await setFaults(frozen.url, {frozen: false});
-    for (const one of asked) {
+    for (const one of answers) {
       expectOwnPrefix(one);
       if (one.answer.outcome === 'whole') expectOwnWholeAnswer(one);
       else expect(['notRun', 'outcomeUnknown']).toContain(one.answer.outcome);
     }
-    expect(asked.some(({answer}) => answer.outcome === 'whole')).toBe(true);
+    expect(answers.some(({answer}) => answer.outcome === 'whole')).toBe(true);
     expect(Object.keys(await runsAt(frozen)).length).toBeGreaterThanOrEqual(
       before,
     );
@@ -123,20 +123,20 @@
   test('never gets a mix of two versions while engines swap and links break', async () => {
     const next = await publishVersion(site, 'second', 2, site.versionDigest);
     const names = site.engines.map(({name}) => name);
-    const asked: PromptAnswer[] = [];
+    const answers: PromptAnswer[] = [];
     let swapped = false;
-    const ask = async (caller: number): Promise<void> => {
+    const sendRepeatedly = async (caller: number): Promise<void> => {
       for (let round = 0; !swapped || round < 2; round += 1) {
         const prompt = `swap ${caller} ${round}`;
         const answer = await generate(urls[caller % urls.length] ?? '', {
           prompt,
           maximumTokens: TOKENS,
         });
-        asked.push({prompt, answer});
+        answers.push({prompt, answer});
         if (round % 5 === 0) await setEngineFaults({dropNext: 1});
       }
     };
-    const callers = [0, 1, 2, 3].map(ask);
+    const callers = [0, 1, 2, 3].map(sendRepeatedly);
     await planAndConfirm(site, {
       summary: 'serve the second version',
       changes: [serveChange(names, 'second')],
@@ -146,12 +146,12 @@
     await Promise.all(callers);
     await setEngineFaults({dropNext: 0});
 
-    for (const one of asked) {
+    for (const one of answers) {
       expectOwnPrefix(one);
       if (one.answer.outcome === 'whole') expectOwnWholeAnswer(one);
     }
     const versions = new Set(
-      asked
+      answers
         .filter(({answer}) => answer.outcome === 'whole')
         .map(({answer}) => answer.versionDigest),
     );
--- a/test/soak/invariants.ts
+++ b/test/soak/invariants.ts
@@ -230,15 +230,15 @@
 
 function attemptsDuringBackoff(records: SoakRecords): readonly string[] {
   return records.engines.flatMap(({instance, arrivals}) =>
-    arrivals.flatMap(({requestId, at: askedAt, backoff}) => {
-      const asked = callerOf(records, requestId);
-      if (backoff === undefined || asked === undefined) return [];
-      const until = askedAt + backoff * SECOND_MS;
+    arrivals.flatMap(({requestId, at: backoffAt, backoff}) => {
+      const caller = callerOf(records, requestId);
+      if (backoff === undefined || caller === undefined) return [];
+      const until = backoffAt + backoff * SECOND_MS;
       const late = arrivals
-        .filter(({at}) => at > askedAt + BACKOFF_NOTICE_MS && at < until)
+        .filter(({at}) => at > backoffAt + BACKOFF_NOTICE_MS && at < until)
         .filter(({requestId: id, at}) => {
           const entry = callerOf(records, id)?.entry;
-          return entry === asked.entry && records.isCalm(entry, askedAt, at);
+          return entry === caller.entry && records.isCalm(entry, backoffAt, at);
         });
       if (late.length <= MAX_ATTEMPTS_DURING_BACKOFF) return [];
       return [`${instance} asked to back off and got ${late.length} requests`];
--- a/test/soak/plan.ts
+++ b/test/soak/plan.ts
@@ -258,8 +258,8 @@
   ) {
     turn += 1;
     const zone = ENGINE_ZONES[turn % ENGINE_ZONES.length] ?? 'north';
-    const lasting = MIN_EVACUATED_MS + random(EVACUATED_SPREAD_MS);
-    const until = Math.min(duration, at + lasting);
+    const evacuatedFor = MIN_EVACUATED_MS + random(EVACUATED_SPREAD_MS);
+    const until = Math.min(duration, at + evacuatedFor);
     const evacuate = {kind: 'evacuate', zone} as const;
     planned.push({at, fault: {...evacuate, isEvacuated: true}});
     planned.push({at: until, fault: {...evacuate, isEvacuated: false}});
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -212,41 +212,41 @@
   let enginesEnded = 0;
   let hasEnded = false;
 
-  async function startEngine(place: number, coldFor = 0): Promise<void> {
+  async function startEngine(position: number, coldFor = 0): Promise<void> {
     if (hasEnded) return;
-    const isModel = place % 2 === 1;
-    const instance = `engine-${place}-${engines.length}`;
+    const isModel = position % 2 === 1;
+    const instance = `engine-${position}-${engines.length}`;
     const engine = await startHostEngine({
       instance,
       version: isModel ? 1 : undefined,
-      onEnded: () => void replaceEngine(engine, place),
+      onEnded: () => void replaceEngine(engine, position),
     });
     engine.setFault({kind: 'crashes', under: CRASHING_BODY});
     engines.push(engine);
-    running[place] = engine;
-    zones.set(engine, zoneAt(place));
+    running[position] = engine;
+    zones.set(engine, zoneAt(position));
     if (coldFor > 0) {
       const from = performance.now();
       coldSpans.push({engine, from, until: from + coldFor});
     }
-    register(engine, place);
+    register(engine, position);
   }
 
-  function register(engine: HostEngine, place: number): void {
+  function register(engine: HostEngine, position: number): void {
     const models = {
       Service: 'engines',
       Models: [{Name: 'model', Version: 1, Adapters: []}],
     };
     const cold = coldSpans.find(span => span.engine === engine);
     site.register(engine, {
-      ...(place % 2 === 1 && models),
-      Zone: zoneAt(place),
+      ...(position % 2 === 1 && models),
+      Zone: zoneAt(position),
       ColdRemainingMs: Math.max(0, (cold?.until ?? 0) - performance.now()),
     });
   }
 
-  function zoneAt(place: number): string {
-    const turn = Math.floor(place / 2) % ENGINE_ZONES.length;
+  function zoneAt(position: number): string {
+    const turn = Math.floor(position / 2) % ENGINE_ZONES.length;
     const zone = ENGINE_ZONES[turn] ?? 'north';
     return faultSet === 'evacuations' ? zone : 'north';
   }
@@ -254,8 +254,8 @@
   /** Registers cold engines again with their remaining cold time. */
   function reportColdEngines(): void {
     const cold = new Set(coldSpans.map(({engine}) => engine));
-    for (const [place, engine] of running.entries()) {
-      if (cold.has(engine)) register(engine, place);
+    for (const [position, engine] of running.entries()) {
+      if (cold.has(engine)) register(engine, position);
     }
   }
 
@@ -273,7 +273,7 @@
     evacuations.push({zone, from, until: performance.now()});
   }
 
-  async function replaceEngine(ended: HostEngine, place: number) {
+  async function replaceEngine(ended: HostEngine, position: number) {
     enginesEnded += 1;
     setTimeout(
       () => site.store.remove('servers', ended.instance),
@@ -281,7 +281,7 @@
     );
     endLimit(ended);
     await sleep(ENGINE_RESTART_MS);
-    await startEngine(place);
+    await startEngine(position);
   }
 
   function configure(): void {
@@ -310,17 +310,17 @@
           site.store.remove('servers', engine.instance);
         }
       }
-      running.forEach((engine, place) => register(engine, place));
+      running.forEach((engine, position) => register(engine, position));
       configure();
     }, REWRITE_DELAY_MS).unref();
   }
 
-  async function endEngine(place: number, coldFor = 0): Promise<void> {
-    const engine = running[place];
+  async function endEngine(position: number, coldFor = 0): Promise<void> {
+    const engine = running[position];
     if (engine === undefined) return;
     site.store.remove('servers', engine.instance);
     endLimit(engine);
-    await startEngine(place, coldFor);
+    await startEngine(position, coldFor);
     await engine.close();
   }
 
@@ -388,11 +388,11 @@
       case 'evacuate':
         return evacuate(fault.zone, fault.isEvacuated);
       case 'coldReturn':
-        for (const place of places) {
-          if (zoneAt(place) !== fault.zone) continue;
-          running[place]?.setLeaving(true);
+        for (const position of positions) {
+          if (zoneAt(position) !== fault.zone) continue;
+          running[position]?.setLeaving(true);
           setTimeout(
-            () => void endEngine(place, fault.duration),
+            () => void endEngine(position, fault.duration),
             LEAVING_DURATION_MS,
           ).unref();
         }
@@ -418,8 +418,8 @@
       const closesAt = from + BOUNDS.grace * CLOSING_SHARE;
       closingSpans.push({entry, from: closesAt, until: from + MAX_STOP_MS});
     } else {
-      const gone = signal === 'SIGKILL' ? RESTART_PAUSE_MS : 0;
-      unavailableSpans.push({entry, from, until: from + gone});
+      const restartDelay = signal === 'SIGKILL' ? RESTART_PAUSE_MS : 0;
+      unavailableSpans.push({entry, from, until: from + restartDelay});
     }
     const duration = signal === 'SIGTERM' ? BOUNDS.grace : 0;
     disturbedSpans.push({entry, from, until: from + duration});
@@ -437,8 +437,11 @@
     callers.push(await sendAttempt({id, entry, address, path, body}));
   }
 
-  const places = Array.from({length: size.engines}, (_, place) => place);
-  await Promise.all(places.map(place => startEngine(place)));
+  const positions = Array.from(
+    {length: size.engines},
+    (_, position) => position,
+  );
+  await Promise.all(positions.map(position => startEngine(position)));
   configure();
   const entries = await Promise.all(
     Array.from({length: size.entries}, (_, index) => startEntry(index)),
@@ -498,7 +501,7 @@
       !isWithin(unavailableSpans, entry, from, until),
     isClosing: (entry, at) => isWithin(closingSpans, entry, at, at),
   };
-  const broken = findViolations(records);
+  const violations = findViolations(records);
   await Promise.all(entries.map(entry => entry.close()));
   await site.close();
   await Promise.all(engines.map(engine => engine.close()));
@@ -510,7 +513,7 @@
   );
   const served = afterwards.filter(({status}) => status === 200).length;
   return {
-    violations: broken,
+    violations,
     statuses: countStatuses(callers),
     faults: next,
     enginesEnded,
