--- a/test/laboratory/swarm_run.test.ts
+++ b/test/laboratory/swarm_run.test.ts
@@ -106,7 +106,7 @@
 // version after 8,334 ms for a freeze at 500 ms, past its bound, and no engine
 // could start requests for two seconds. Now it takes 4,591 to 4,618 ms, and
 // 4,618 ms without a freeze.
-test('an agent that freezes holds up the others for little', () => {
+test('an agent that freezes hardly delays the others', () => {
   const last = [200, 300, 400, 500, 600, 800, 1_000].map(frozenFrom => {
     const members = agents(15, index => ({
       linkShare: AGENT_TRANSFER_POLICY.shareBesideLive,
@@ -173,7 +173,7 @@
   expect(copies('crossZoneBytes')).toBeLessThanOrEqual(2.1);
 });
 
-test('agents that learn of a version late wait for no fetcher that others expect', () => {
+test('agents that learn of a version late do not wait long for a fetcher', () => {
   const originStartsAt = 6_500;
   const members = agents(19, index => {
     if (index < 3) return {leavesAt: 4_000};
--- a/test/platform/foreign_rows.test.ts
+++ b/test/platform/foreign_rows.test.ts
@@ -129,7 +129,7 @@
     expect(unusable).toEqual([]);
   });
 
-  test('those of other writers name none, and the others hold', async () => {
+  test('malformed rows of other writers are listed as unusable, and the others are used', async () => {
     const foreign = corrupted(REGISTRATION, fields);
     await fc.assert(
       fc.asyncProperty(fc.array(foreign, {maxLength: 8}), async values => {
@@ -163,7 +163,7 @@
 describe('members', () => {
   const fields = Object.keys(MEMBER).filter(name => name !== 'callerAddress');
 
-  test('those of other writers name none, and the others hold', async () => {
+  test('malformed rows of other writers are listed as unusable, and the others are used', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.array(corrupted(MEMBER, fields), {maxLength: 8}),
--- a/test/platform/restored_store.test.ts
+++ b/test/platform/restored_store.test.ts
@@ -38,7 +38,7 @@
   expect(await revision()).toBeGreaterThan(before);
 });
 
-test('a feed goes on from no version of an earlier era, though the store has it again', async () => {
+test('a feed does not resume from a version of an earlier era, even if the store has it again', async () => {
   const copy = store.copy();
   store.write('op', 'config', 1);
   const before = await revision();
