--- a/packages/core/src/activation/create_activation.ts
+++ b/packages/core/src/activation/create_activation.ts
@@ -19,6 +19,7 @@
 
   /**
    * Begins a flow. Earlier flows are superseded, and no permit counts as held.
+   * The returned function tells whether this flow has been superseded.
    */
   function beginFlow(): () => boolean {
     lastFlow += 1;
--- a/packages/core/src/activation/types.ts
+++ b/packages/core/src/activation/types.ts
@@ -48,7 +48,7 @@
   readonly fenced: boolean;
 }
 
-/** Why a permit was not granted or not returned. */
+/** Why a permit, a report or a withdrawal was not completed. */
 export type ActivationError =
   /** Another swap now would leave too few targets serving; try again later. */
   | {
--- a/packages/core/src/admission/level.ts
+++ b/packages/core/src/admission/level.ts
@@ -1,13 +1,13 @@
 import type {PriorityDemand} from './site_demand';
 
-/** Share of each priority that is admitted in any case. */
+/** Min share of each priority that is admitted; see {@link FloorBase}. */
 const FLOOR = 0.25;
 
 /**
  * What the floor is a share of: each priority's demand, or the part of the
  * whole demand that the capacity can serve. The second one still serves each
  * priority at least a quarter as often as the average, and leaves more to
- * urgent ones from twice the capacity on.
+ * urgent ones when the demand is twice the capacity or more.
  */
 export type FloorBase = 'demand' | 'served';
 
@@ -29,9 +29,9 @@
 }
 
 /**
- * Returns the level at which demand fills `capacity`: priorities are admitted
- * completely from the most urgent one on, the first that doesn't fit by a
- * share, and those below it by the floor.
+ * Returns the level at which demand fills `capacity`. Priorities are admitted
+ * completely, the most urgent one first; the first that doesn't fit is admitted
+ * in part, and those below it only up to the floor.
  */
 export function admissionLevel(
   demandByPriority: PriorityDemand,
@@ -39,16 +39,16 @@
   floorBase: FloorBase = 'demand',
 ): AdmissionLevel {
   const requested = [...demandByPriority]
-    .filter(([, places]) => places > 0)
+    .filter(([, slots]) => slots > 0)
     .sort(([one], [other]) => one - other);
-  const demand = requested.reduce((sum, [, places]) => sum + places, 0);
+  const demand = requested.reduce((sum, [, slots]) => sum + slots, 0);
   const served = demand > 0 ? Math.min(1, capacity / demand) : 1;
   const floor = floorOf(floorBase, served);
   let remaining = capacity - floor * demand;
-  const shares = requested.map(([priority, places]) => {
-    const beyondFloor = Math.min(places * (1 - floor), remaining);
+  const shares = requested.map(([priority, slots]) => {
+    const beyondFloor = Math.min(slots * (1 - floor), remaining);
     remaining -= beyondFloor;
-    return {priority, share: Math.min(1, floor + beyondFloor / places)};
+    return {priority, share: Math.min(1, floor + beyondFloor / slots)};
   });
   return {shares, demand, capacity};
 }
@@ -62,7 +62,10 @@
   }
 }
 
-/** Returns the share of a priority, also of one without recent demand. */
+/**
+ * Returns the share of a priority. One without recent demand has the share of
+ * the next more urgent one with demand, or 1 if there is none.
+ */
 export function shareAt({shares}: AdmissionLevel, priority: number): number {
   const atLeastAsUrgent = shares.filter(known => known.priority <= priority);
   return atLeastAsUrgent.at(-1)?.share ?? 1;
--- a/packages/core/src/admission/slot_times.ts
+++ b/packages/core/src/admission/slot_times.ts
@@ -1,9 +1,13 @@
 import type {Milliseconds, MonotonicInstant, ServiceName} from '../types';
 
-/** Decay time of the recorded times. */
+/** Time constant of the exponential decay of the recorded times. */
 const DECAY_TIME: Milliseconds = 5_000;
 
-/** Expected time for which the profile counts alongside the recorded times. */
+/**
+ * Weight of the profile, from which expected times are computed, against the
+ * recorded times: it counts like requests with this total expected time that
+ * held their slots for exactly as long.
+ */
 const PROFILE_WEIGHT: Milliseconds = 5_000;
 
 /** Bounds of the learned factor, against hints that are far off. */
@@ -31,14 +35,17 @@
 interface RecordedTimes {
   /** Of the requests with a known length. */
   readonly expected: Milliseconds;
-  readonly heldAsExpected: Milliseconds;
+  readonly heldWithExpected: Milliseconds;
   /** Of all requests. */
   readonly held: Milliseconds;
   readonly count: number;
   readonly at: MonotonicInstant;
 }
 
-/** Creates the times; the profile is trusted until requests have ended. */
+/**
+ * Creates the slot times of all services. Until the first request of a service
+ * has ended, its expected times are returned unchanged.
+ */
 export function createSlotTimes(): SlotTimes {
   const services = new Map<ServiceName, RecordedTimes>();
 
@@ -49,8 +56,8 @@
       const isKnown = expected !== undefined;
       services.set(service, {
         expected: (before?.expected ?? 0) * decay + (expected ?? 0),
-        heldAsExpected:
-          (before?.heldAsExpected ?? 0) * decay + (isKnown ? held : 0),
+        heldWithExpected:
+          (before?.heldWithExpected ?? 0) * decay + (isKnown ? held : 0),
         held: (before?.held ?? 0) * decay + held,
         count: (before?.count ?? 0) * decay + 1,
         at: now,
@@ -63,7 +70,7 @@
       }
       if (recorded === undefined) return expected;
       const factor =
-        (recorded.heldAsExpected + PROFILE_WEIGHT) /
+        (recorded.heldWithExpected + PROFILE_WEIGHT) /
         (recorded.expected + PROFILE_WEIGHT);
       return expected * Math.min(MAX_FACTOR, Math.max(MIN_FACTOR, factor));
     },
--- a/packages/core/src/configuration/commands/describe_conflict.ts
+++ b/packages/core/src/configuration/commands/describe_conflict.ts
@@ -28,9 +28,13 @@
     const other = yield* readInterveningChange(plan, generation);
     if (other !== undefined) others.push(other);
   }
-  const isWhole = others.length === newest - plan.base && newest > plan.base;
+  const isComplete = others.length === newest - plan.base && newest > plan.base;
   const sharesAny = others.some(other => other.shared.length > 0);
-  const relation = sharesAny ? 'sameThings' : isWhole ? 'unrelated' : 'unknown';
+  const relation = sharesAny
+    ? 'sameThings'
+    : isComplete
+      ? 'unrelated'
+      : 'unknown';
   return {
     kind: 'overtaken',
     planId: plan.planId,
--- a/packages/core/src/configuration/commands/generation_manager.ts
+++ b/packages/core/src/configuration/commands/generation_manager.ts
@@ -209,7 +209,7 @@
   ): readonly GenerationManagerEffect[] {
     // The period grows with the number of processes, so that the total read
     // rate is fixed. Hundreds of processes with a fixed period would use up the
-    // table's reads, which the older system and claims need as well.
+    // table's read capacity, which the older system and claims need as well.
     const shared = (next.liveProcesses / bounds.headReadsPerSecond) * 1_000;
     const period = Math.max(bounds.minPollPeriod, shared);
     nextPollAt ??= options.startedAt + period * pollPhase(instance);
--- a/packages/core/src/configuration/commands/table_steps.ts
+++ b/packages/core/src/configuration/commands/table_steps.ts
@@ -38,7 +38,7 @@
   return reply.result;
 }
 
-/** Commits once. */
+/** Commits a transaction without retries. */
 export function* commitOnce(
   transaction: TableTransaction,
 ): TableFlow<Result<CommitOutcome, PlatformError>> {
@@ -47,7 +47,7 @@
   return reply.result;
 }
 
-/** Waits. */
+/** Waits for `duration`. */
 export function* pause(duration: Milliseconds): TableFlow<void> {
   const reply = yield {kind: 'wait', duration};
   if (reply.kind !== 'waited') throw new Error('driver: expected a pause');
--- a/packages/core/src/configuration/queries/apply_move.ts
+++ b/packages/core/src/configuration/queries/apply_move.ts
@@ -11,7 +11,8 @@
 
 /**
  * Closes the items that an `own` change moves. Neither side serves a closed
- * item; the move flow opens it on the new side in a later generation.
+ * item; in a later generation, the move flow gives it to the new side, open if
+ * it was open before.
  */
 export function applyMove(
   draft: Draft,
--- a/packages/core/src/configuration/queries/estimate_transfers.ts
+++ b/packages/core/src/configuration/queries/estimate_transfers.ts
@@ -87,8 +87,8 @@
 }
 
 /**
- * Counts the targets that serve each changed model while the plan is carried
- * out.
+ * Counts the targets that serve each changed model before and after the change,
+ * and the fewest while it is carried out.
  */
 export function estimateCapacity(
   before: SiteConfiguration,
--- a/packages/core/src/configuration/queries/plan_intent.ts
+++ b/packages/core/src/configuration/queries/plan_intent.ts
@@ -148,8 +148,8 @@
 }
 
 /**
- * Lists the differences. For items that move, the second step of the move is
- * included.
+ * Lists the differences. An item that moves is listed with both steps: closed
+ * on both sides, then with the new owner.
  */
 function describePlan(
   before: SiteConfiguration,
--- a/packages/core/src/distribution/bounds.ts
+++ b/packages/core/src/distribution/bounds.ts
@@ -32,20 +32,22 @@
 export const MAX_WAITING_UPLOADS = 4;
 
 /**
- * Max concurrent downloads from the origin: one being sent and one on its way.
+ * Max concurrent downloads from the origin: one in transfer and one already
+ * requested.
  */
 export const ORIGIN_SLOTS = 2;
 
 /**
  * Default number of neighbours that a node picks in its own zone and in other
  * zones. Two nodes are neighbours if either one picks the other, so a node has
- * between one and two times as many neighbours.
+ * on average between one and two times as many neighbours.
  */
 export const OWN_ZONE_PICKS = 8;
 export const CROSS_ZONE_PICKS = 2;
 
 /**
- * Max neighbours, so that members with a different member list cannot add more.
+ * Max neighbours of a node per version. It bounds the neighbours that members
+ * with a different member list add.
  */
 export const MAX_NEIGHBOURS = 40;
 
@@ -65,7 +67,10 @@
  */
 export const BAD_CHUNKS_UNTIL_CUT_OFF = 2;
 
-/** Takeover timeout before any chunk time is known, and its limits. */
+/**
+ * Takeover timeout, after which the next rank requests an overdue chunk: the
+ * value before any chunk time is known and the limits.
+ */
 export const INITIAL_TAKEOVER_TIMEOUT_MS = 3_000;
 export const MIN_TAKEOVER_TIMEOUT_MS = 500;
 export const MAX_TAKEOVER_TIMEOUT_MS = 60_000;
--- a/packages/core/src/distribution/commands/chunks.ts
+++ b/packages/core/src/distribution/commands/chunks.ts
@@ -101,8 +101,9 @@
 }
 
 /**
- * Orders only the missing chunks. Members that hold an older version miss the
- * same few chunks, and the time slots of all other chunks would pass unused.
+ * Computes the order of origin requests for the missing chunks alone. Members
+ * that hold an older version miss the same few chunks; in the order of all
+ * chunks, the time slots of the others would pass unused.
  */
 function orderMissing(version: WantedVersion): Int32Array {
   const {originOrder} = version.ranks;
--- a/packages/core/src/distribution/commands/schedule_neighbours.ts
+++ b/packages/core/src/distribution/commands/schedule_neighbours.ts
@@ -84,9 +84,9 @@
 }
 
 /**
- * Chooses the free holder with the oldest request, which spreads the load. A
- * holder in another zone is chosen only if this zone has none and this node's
- * rank allows it.
+ * Chooses the free holder that was least recently sent a request, which spreads
+ * the load. A holder in another zone is chosen only if this zone has none, free
+ * or busy, and this node's rank allows it.
  */
 function chooseSender(
   state: SwarmState,
--- a/packages/core/src/distribution/commands/transfers.ts
+++ b/packages/core/src/distribution/commands/transfers.ts
@@ -57,7 +57,7 @@
   const transfer = state.transfers.get(id);
   if (transfer === undefined) return undefined;
   state.transfers.delete(id);
-  if (!transfer.stalled) lowerActive(state, transfer.digest);
+  if (!transfer.stalled) decrementActive(state, transfer.digest);
   const neighbour = senderOf(state, transfer);
   if (neighbour?.transfer === id) neighbour.transfer = undefined;
   return transfer;
@@ -174,7 +174,7 @@
   limit: number,
 ): void {
   transfer.stalled = true;
-  lowerActive(state, transfer.digest);
+  decrementActive(state, transfer.digest);
   const neighbour = senderOf(state, transfer);
   if (neighbour === undefined) return;
   neighbour.failures += 1;
@@ -199,7 +199,7 @@
   state.originBackoffUntil = state.now + wait;
   // While the origin is down, the takeover timeouts of all ranks expire
   // together, and after the outage all nodes would request the same chunks.
-  // Counting from the last failure again keeps the ranks apart.
+  // Restarting the timeouts after each failure's backoff keeps the ranks apart.
   state.takeoverBase = state.originBackoffUntil;
 }
 
@@ -222,7 +222,7 @@
   }
 }
 
-function lowerActive(state: SwarmState, digest: Digest): void {
+function decrementActive(state: SwarmState, digest: Digest): void {
   const left = (state.active.get(digest) ?? 1) - 1;
   if (left === 0) state.active.delete(digest);
   else state.active.set(digest, left);
--- a/packages/core/src/distribution/load_offsets.ts
+++ b/packages/core/src/distribution/load_offsets.ts
@@ -8,8 +8,9 @@
 export type LoadOffset = number;
 
 /**
- * Fraction of a version's bound by which the last load starts. An engine that
- * loads after older versions may no longer start requests is idle until then.
+ * Fraction of a version's bound by which the last load starts. After the bound
+ * no request may start on an older version, so an engine that has not loaded the
+ * version by then is idle until it has.
  */
 const LAST_LOAD_SHARE = 0.9;
 
@@ -21,10 +22,11 @@
 
 /**
  * Fractions of the bound after which a newer version waits until this one is
- * loaded; a version named sooner replaces it. By 0.3, more than half of a
- * version has been transferred and the first engines load it. The last engines
- * load it by 0.9. A version named by 0.6 can arrive 1.5 s after the older one's
- * bound, which costs less than a separate load.
+ * loaded, for the first and the last load offset; a version named sooner
+ * replaces it. By 0.3, more than half of a version has been transferred and the
+ * first engines load it. The last engines load it by 0.9. A version named by 0.6
+ * can arrive 1.5 s after the older one's bound, which costs less than a separate
+ * load.
  */
 const COMMITTED_SHARE = {first: 0.3, last: 0.6} as const;
 
@@ -50,10 +52,10 @@
 }
 
 /**
- * Age of a version at which an engine loads it, if its chunks had arrived at
- * age `transferAge`. Loads are spread from then until the start of the last
- * one. If they started in two waves, half of the engines would accept no new
- * requests for two seconds.
+ * Age of a version at which an engine loads it. Its chunks had arrived at age
+ * `transferAge`, which is undefined while some are missing. Loads are spread
+ * from then until the start of the last one. If they started in two waves, half
+ * of the engines would accept no new requests for two seconds.
  */
 export function loadAge(
   offset: LoadOffset,
--- a/packages/core/src/distribution/ranks.ts
+++ b/packages/core/src/distribution/ranks.ts
@@ -16,7 +16,9 @@
    * none.
    */
   readonly owner: Int32Array;
-  /** This node's rank, per chunk. */
+  /**
+   * This node's rank, per chunk; the number of fetchers if it is none of them.
+   */
   readonly ownRank: Int32Array;
   /** Position of each chunk in the order of origin requests. */
   readonly originOrder: Int32Array;
@@ -24,10 +26,10 @@
 
 /**
  * Ranks the fetchers of every chunk by rendezvous hashing. Rank 0 is balanced:
- * each fetcher gets one chunk in every round of as many chunks as there are
- * fetchers. The chunks of a fetcher that is not live move to the next one in
- * rank while all other chunks stay, so nodes with different views of the live
- * fetchers disagree on few chunks.
+ * with n fetchers, each one gets it for one chunk out of every n. The chunks of
+ * a fetcher that is not live move to the next one in rank while all other chunks
+ * stay, so nodes with different views of the live fetchers disagree on few
+ * chunks.
  */
 export function rankFetchers(
   chunks: readonly Digest[],
@@ -37,7 +39,7 @@
 ): OriginRanks {
   const fetcherHashes = fetchers.map(fetcher => hash32(fetcher));
   const chunkHashes = chunks.map(chunk => hash32(chunk));
-  const lost = Uint8Array.from(fetchers, fetcher => (isLive(fetcher) ? 0 : 1));
+  const down = Uint8Array.from(fetchers, fetcher => (isLive(fetcher) ? 0 : 1));
   const selfPosition = fetchers.indexOf(self);
   const owner = new Int32Array(chunks.length).fill(-1);
   const ownRank = new Int32Array(chunks.length).fill(fetchers.length);
@@ -53,8 +55,8 @@
     const balanced = findBest(scores, used);
     used[balanced] = 1;
     originOrder[chunk] = index;
-    owner[chunk] = lost[balanced] === 0 ? balanced : findBest(scores, lost);
-    ownRank[chunk] = rankOf(selfPosition, owner[chunk]!, scores, lost);
+    owner[chunk] = down[balanced] === 0 ? balanced : findBest(scores, down);
+    ownRank[chunk] = rankOf(selfPosition, owner[chunk]!, scores, down);
   });
   return {owner, ownRank, originOrder};
 }
@@ -100,14 +102,14 @@
   self: number,
   owner: number,
   scores: Uint32Array,
-  lost: Uint8Array,
+  down: Uint8Array,
 ): number {
   if (self === -1) return scores.length;
   if (self === owner) return 0;
   const ownScore = scores[self]!;
   let rank = 1;
   for (let other = 0; other < scores.length; other += 1) {
-    if (other === owner || other === self || lost[other] === 1) continue;
+    if (other === owner || other === self || down[other] === 1) continue;
     const before = scores[other]! - ownScore || self - other;
     if (before > 0) rank += 1;
   }
--- a/packages/core/src/distribution/transfer_policy.ts
+++ b/packages/core/src/distribution/transfer_policy.ts
@@ -4,11 +4,9 @@
 export interface TransferPolicy {
   /** Max chunk bytes that downloads may hold in memory at the same time. */
   readonly transferBuffer: Bytes;
-  /**
-   * Max concurrent downloads and uploads; low, so that little queues on the
-   * link.
-   */
+  /** Max concurrent downloads; enough to keep a link busy. */
   readonly downloadSlots: number;
+  /** Max concurrent uploads; low, so that little queues on the link. */
   readonly uploadSlots: number;
   /**
    * Max members of a zone that copy the same chunk from another zone at once.
@@ -40,13 +38,13 @@
  *   between zones is costly.
  * - Agents learn of a version within 100 ms of one another; the settle time is
  *   slightly longer.
- * - A version must arrive within 8 s and needs 4 s of them. With origin
+ * - A version must arrive within 8 s, and its transfer takes 4 s. With origin
  *   backoffs of up to 5 s, engines had a version only 4.9 s after the origin
  *   came back, and no request could start anywhere for 3.4 s.
  * - Alongside live requests, transfers use 0.7 of a link, because a response
  *   event that queues behind chunks reaches its caller late. An engine that
- *   serves nothing has no such events, and its agent leaves free only what
- *   reports need.
+ *   serves nothing has no such events, and its agent leaves free only the
+ *   headroom, which reports need.
  * - A whole chunk occupies a link of 6.6 Mbit/s for 60 ms, and an event of a
  *   live response would wait for it. Chunks are therefore sent in pieces.
  */
--- a/packages/standins/src/plain_service/plain_service.ts
+++ b/packages/standins/src/plain_service/plain_service.ts
@@ -31,7 +31,10 @@
   readonly callTime?: Milliseconds;
 }
 
-/** Starts a plain service that counts how often each reference took effect. */
+/**
+ * Starts a stand-in for a plain service. It counts how often the calls with each
+ * reference took effect.
+ */
 export async function startPlainService(
   options: PlainServiceOptions,
 ): Promise<StandIn> {
--- a/test/fleet/attempt_recorder.test.ts
+++ b/test/fleet/attempt_recorder.test.ts
@@ -15,10 +15,7 @@
 
 const target = (instance: string) => plainTarget(instance, {slots: 100});
 
-/**
- * Two targets, the first of which the attempts are sent to; the clock stands
- * still.
- */
+/** Lists two targets. All attempts go to the first; the clock is stopped. */
 function startSite() {
   const registry = createTargetRegistry({instance: 'entry', zone: 'north'});
   const [doubted, other] = [target('doubted'), target('other')];
@@ -86,7 +83,7 @@
   expect(isAvoided()).toBe(false);
 });
 
-test('a silent attempt that reaches its deadline is no success of its target', () => {
+test('a silent attempt that reaches its deadline does not count as a success of its target', () => {
   const {send, isAvoided} = startSite();
   const both = [send(), send()];
   for (const recorder of both) recorder.recordSilence();
@@ -94,7 +91,7 @@
   expect(isAvoided()).toBe(true);
 });
 
-test('a target at whose address nothing listens has ended while it ran its request', () => {
+test('a lost connection counts as the end of its target if nothing listens at the address', () => {
   const {send, endings} = startSite();
   const foundClosed = new AbortController();
   foundClosed.abort();
--- a/test/fleet/hedge.test.ts
+++ b/test/fleet/hedge.test.ts
@@ -99,7 +99,7 @@
   await eventually(() => lastRun(begun[0])?.isCut());
 });
 
-test('a stream whose silent target resumes leaves a second one that is silent', async () => {
+test('a stream whose silent target resumes drops a second one that is silent', async () => {
   await serveByTwo();
   const begun = injectFaultsInTurn(silentFor(SILENCE_MS, 1), {kind: 'mute'});
   expect((await sendRequest('going')).text).toBe(
--- a/test/fleet/load_orders.test.ts
+++ b/test/fleet/load_orders.test.ts
@@ -59,9 +59,9 @@
 }
 
 // A request that reaches an engine right after the order to load version 2
-// waits there for all that runs and for the load, and begins on version 2 after
-// the bound of version 3. So the entries must be informed first that the engine
-// accepts nothing more.
+// waits there until the running requests have ended and the load is done. It
+// then starts on version 2 after the bound of version 3. So the entries must be
+// informed first that the engine accepts no more requests.
 test('entries are informed of a load before the engine is ordered to load', async () => {
   let newest = 1;
   const origin = await startHostOrigin(6, () => newest);
@@ -93,14 +93,14 @@
   closers.push(origin.close);
   const site = await startSite(origin);
   let orders = 0;
-  let isSilentYet = false;
+  let wasSilent = false;
   const engine: HostEngine = await startHostEngine({
     instance: 'one',
     version: 1,
     onOrder: () => void (orders += 1),
     onOrderCall: () => {
-      if (!isSilentYet) engine.fallSilent(1_500);
-      isSilentYet = true;
+      if (!wasSilent) engine.fallSilent(1_500);
+      wasSilent = true;
     },
   });
   closers.push(engine.close);
--- a/test/fleet/operator_follower.test.ts
+++ b/test/fleet/operator_follower.test.ts
@@ -50,7 +50,7 @@
   vi.useRealTimers();
 });
 
-/** A store whose configuration `version` is written by the test. */
+/** Starts a follower of a store whose configurations the test writes. */
 function startFollower(source: () => TableSource) {
   const now = () => Date.now();
   let version = 1;
@@ -248,9 +248,9 @@
   expect(site.isFresh()).toBe(false);
 });
 
-// If each entry read a change of one route in 0.35 MB from the store, that
-// would load links between regions that carry 2 MB a second. So the relay sends
-// it.
+// A change of one route writes a configuration of 0.35 MB. If each entry read it
+// from the store, that would fill links between regions that carry 2 MB a
+// second. So the relay sends it.
 test('adopts a configuration from its relay without querying the store', async () => {
   const site = startFollower(() => 'zoneRelay');
   await vi.advanceTimersByTimeAsync(100);
@@ -279,8 +279,8 @@
   expect(site.held()).toBe(3);
 });
 
-// Changes come every 60 ms. Read one by one, each costs 30 ms of a core here
-// and at every follower, and requests wait behind them.
+// Changes come every 60 ms. Read one by one, each costs 30 ms of CPU time at
+// this entry and at every follower, and requests wait behind them.
 test('configurations in quick succession are read together', async () => {
   const site = startFollower(() => 'store');
   await vi.advanceTimersByTimeAsync(1_000);
@@ -319,8 +319,8 @@
 });
 
 // The answer to the relay's query is lost, and the relay misses changes until
-// it gives the query up after 0.8 s more. A follower once used a removed route
-// 0.6 s after the bound of 2 s.
+// the query times out 0.8 s later. A follower once used a removed route 0.6 s
+// after the bound of 2 s.
 test('reads a configuration within its bound though the relay misses it', async () => {
   for (const writtenAt of [5_000, 5_100, 5_250, 5_400]) {
     stopped.abort();
@@ -361,8 +361,8 @@
   expect(site.minVersion()).toBe(2);
 });
 
-// All processes are killed six seconds after a naming. Counted from their first
-// reading, the bound would end six seconds after the operator's.
+// All processes are killed six seconds after a naming. Counted from the first
+// reading after the restart, the bound would end six seconds too late.
 test('the bound of a recorded naming survives a restart of all processes', async () => {
   const before = startFollower(() => 'store');
   await vi.advanceTimersByTimeAsync(100);
@@ -379,7 +379,7 @@
   expect(after.recorded).toHaveLength(0);
 });
 
-// With 43 entries, each naming would cost 43 calls to the store.
+// If all 43 entries recorded a naming, it would cost 43 calls to the store.
 test('an entry that follows a relay records no naming', async () => {
   const site = startFollower(() => 'zoneRelay');
   await vi.advanceTimersByTimeAsync(100);
@@ -458,9 +458,9 @@
   );
 });
 
-// Without the longer interval, each of 43 entries queries the store twice a
-// second while it is unavailable for 8 s; the relay queries it and relays the
-// result.
+// Without a longer interval, each of 43 entries would query the store twice a
+// second while it is unavailable for 8 s, although the relay queries it and
+// relays the result.
 test.each([
   {source: 'zoneRelay', most: 6},
   {source: 'store', most: 20},
--- a/test/fleet/origin_reader.test.ts
+++ b/test/fleet/origin_reader.test.ts
@@ -41,7 +41,7 @@
   return true;
 }
 
-// The origin is unavailable for six seconds while a version is moved. All
+// The origin is unavailable for six seconds while a version is distributed. All
 // agents wait, and the log must show what they wait for.
 test('logs once that the origin is lost, and once that it is back', async () => {
   let away = true;
