--- a/packages/hibiscusbeam/src/commands/dump.ts
+++ b/packages/hibiscusbeam/src/commands/dump.ts
@@ -21,13 +21,13 @@
   program
     .command('dump')
     .argument('<address>', 'IP:port of the process (listen.site)', toAddress)
-    .description("print one process's state as JSON")
+    .description('print the state of a process as JSON')
     .addOption(
       new Option('--key-file <file>', "file with the site's key")
         .env('HIBISCUSBEAM_SITE_KEY_FILE')
         .makeOptionMandatory(),
     )
-    .option('--json', 'print on one line, for scripts', false)
+    .option('--json', 'print the JSON on one line, for scripts', false)
     .addHelpText(
       'after',
       formatExample('dump 10.0.1.7:7400 --key-file site.key'),
--- a/packages/hibiscusbeam/src/commands/experiment.ts
+++ b/packages/hibiscusbeam/src/commands/experiment.ts
@@ -36,8 +36,13 @@
 ): void {
   program
     .command('experiment')
-    .argument('<file>', 'site, version, cases and policies, in YAML')
-    .description('play how long a version takes to all engines of a site')
+    .argument(
+      '<file>',
+      'experiment file with site, version, cases and policies, in YAML',
+    )
+    .description(
+      'simulate how long a version takes to reach all engines of a site',
+    )
     .option('--json', 'print the results as JSON, for scripts', false)
     .addHelpText('after', formatExample('experiment moving_a_version.yaml'))
     .action((file: string, options: ExperimentOptions) => {
--- a/packages/hibiscusbeam/src/commands/explain.ts
+++ b/packages/hibiscusbeam/src/commands/explain.ts
@@ -17,17 +17,23 @@
 ): void {
   program
     .command('explain')
-    .argument('<request>', 'id of the request')
-    .argument('[files...]', 'logs of several processes; standard input if none')
-    .description("tell one request's story and its cause from logs")
+    .argument('<request>', 'ID of the request')
+    .argument(
+      '[files...]',
+      'log files of one or more processes (default: standard input)',
+    )
+    .description('explain what happened to a request, and why, from logs')
     .addHelpText('after', formatExample('explain 16cbfbb98f38a87d entry-*.log'))
     .action(async (request: string, files: readonly string[]) => {
       finish(await explain(io, request, files));
     });
   program
     .command('failures')
-    .argument('[files...]', 'logs of several processes; standard input if none')
-    .description('count failed requests by cause from logs')
+    .argument(
+      '[files...]',
+      'log files of one or more processes (default: standard input)',
+    )
+    .description('count the failed requests in logs by cause')
     .addHelpText('after', formatExample('failures entry-*.log'))
     .action(async (files: readonly string[]) => {
       finish(await listFailures(io, files));
--- a/packages/hibiscusbeam/src/commands/intent.ts
+++ b/packages/hibiscusbeam/src/commands/intent.ts
@@ -20,7 +20,7 @@
 ): void {
   const intent = program
     .command('intent')
-    .description('state an intent, read its plan, confirm it');
+    .description('plan intents; confirm, show, list and abandon plans');
   addPlan(intent, context, finish);
   addConfirm(intent, context, finish);
   addShow(intent, context, finish);
@@ -40,8 +40,8 @@
 ): void {
   const command = intent
     .command('plan')
-    .argument('<file>', 'the intent, in YAML')
-    .description('ask for the plan of an intent; nothing changes')
+    .argument('<file>', 'intent file, in YAML')
+    .description('request a plan for an intent; nothing changes')
     .addHelpText(
       'after',
       formatExample(`intent plan intent.yaml ${ENTRY_EXAMPLE}`),
@@ -62,8 +62,8 @@
 ): void {
   const command = intent
     .command('confirm')
-    .argument('<plan>', 'id of the plan', toPlanId)
-    .description('put a plan into force; safe to repeat')
+    .argument('<plan>', 'ID of the plan', toPlanId)
+    .description('confirm a plan, which puts it into force; safe to repeat')
     .addHelpText(
       'after',
       formatExample(`intent confirm PLAN ${ENTRY_EXAMPLE}`),
@@ -89,8 +89,8 @@
 ): void {
   const command = intent
     .command('show')
-    .argument('<plan>', 'id of the plan', toPlanId)
-    .description('show a plan and what became of it')
+    .argument('<plan>', 'ID of the plan', toPlanId)
+    .description('show a plan and its current state')
     .addHelpText('after', formatExample(`intent show PLAN ${ENTRY_EXAMPLE}`));
   addEntryOptions(command).action(
     async (planId: string, options: EntryOptions) => {
@@ -122,8 +122,8 @@
 ): void {
   const command = intent
     .command('abandon')
-    .argument('<plan>', 'id of the plan', toPlanId)
-    .description('make sure that a plan is never put into force')
+    .argument('<plan>', 'ID of the plan', toPlanId)
+    .description('abandon a plan, so that it is never put into force')
     .addHelpText(
       'after',
       formatExample(`intent abandon PLAN ${ENTRY_EXAMPLE}`),
--- a/packages/hibiscusbeam/src/commands/options.ts
+++ b/packages/hibiscusbeam/src/commands/options.ts
@@ -24,7 +24,10 @@
 export function addEntryOptions(command: Command): Command {
   return command
     .addOption(
-      new Option('--entry <url>', 'entry to ask, such as http://10.0.1.7:8400')
+      new Option(
+        '--entry <url>',
+        'URL of the entry, such as http://10.0.1.7:8400',
+      )
         .env('HIBISCUSBEAM_ENTRY')
         .argParser(toBaseUrl)
         .makeOptionMandatory(),
--- a/packages/hibiscusbeam/src/commands/run_process.ts
+++ b/packages/hibiscusbeam/src/commands/run_process.ts
@@ -24,9 +24,9 @@
   addProcess(
     program,
     'entry',
-    'run an entry: the face for callers and operators',
+    'run an entry, which serves callers and operators',
   );
-  addProcess(program, 'agent', "run the agent in a target's slot");
+  addProcess(program, 'agent', "run the agent of a target's slot");
 
   function addProcess(
     parent: Command,
@@ -36,7 +36,7 @@
     parent
       .command(role)
       .description(description)
-      .requiredOption('--settings <file>', 'settings in YAML')
+      .requiredOption('--settings <file>', 'settings file, in YAML')
       .addHelpText('after', formatExample(`${role} --settings ${role}.yaml`))
       .action(async (options: ProcessOptions) => {
         finish(await runProcess(context, role, options.settings));
--- a/packages/hibiscusbeam/src/commands/settings_check.ts
+++ b/packages/hibiscusbeam/src/commands/settings_check.ts
@@ -18,7 +18,7 @@
     .command('settings')
     .description('work with settings files')
     .command('check')
-    .argument('<file>', 'the settings, in YAML')
+    .argument('<file>', 'settings file, in YAML')
     .description('check a settings file and print every fault')
     .option('--json', 'print the faults as JSON, for scripts', false)
     .addHelpText('after', formatExample('settings check entry.yaml'))
--- a/packages/hibiscusbeam/src/commands/status.ts
+++ b/packages/hibiscusbeam/src/commands/status.ts
@@ -29,10 +29,10 @@
 ): void {
   const command = program
     .command('status')
-    .description('show each version on its way to its instances')
-    .option('--watch', 'repeat until every instance is done', false)
+    .description('show how far each version is distributed to its instances')
+    .option('--watch', 'refresh until every instance is done', false)
     .addOption(
-      new Option('--interval <duration>', 'time between repeats')
+      new Option('--interval <duration>', 'time between refreshes')
         .default(DEFAULT_INTERVAL_MILLISECONDS, '1s')
         .argParser(toInterval),
     )
--- a/packages/hibiscusbeam/src/program.ts
+++ b/packages/hibiscusbeam/src/program.ts
@@ -17,7 +17,9 @@
   finish: (code: ExitCode) => void,
 ): Command {
   const program = new Command('hibiscusbeam')
-    .description('Distributes weights and routes requests through bursts.')
+    .description(
+      'Distributes model weights and routes requests, also during bursts of traffic.',
+    )
     .version(VERSION)
     .showHelpAfterError('(add --help for the usage)')
     .addHelpText('after', `\n${describeExitCodes()}`);
