--- a/packages/daemon/src/settings/common_schema.ts
+++ b/packages/daemon/src/settings/common_schema.ts
@@ -12,7 +12,7 @@
 export const siteListenerField = field(socketAddressSchema.clone(), {
   type: 'IP:port',
   meaning:
-    'Where this process listens for other processes of the site (gRPC); announced to them.',
+    'Address on which this process listens for other processes of the site (gRPC); it is announced to them.',
   example: '10.0.1.7:7400',
 });
 
@@ -24,7 +24,7 @@
   {
     type: 'path',
     meaning:
-      "File with the key that the site's processes show one another, at least 16 characters; a relative path starts at the settings file.",
+      "File with the key with which the site's processes authenticate to one another, at least 16 characters; a relative path starts at the folder of the settings file.",
     example: 'site.key',
   },
 );
@@ -32,13 +32,13 @@
 const platformGroup = group({
   url: field(urlSchema.clone(), {
     type: 'URL',
-    meaning: "Base address of the platform's HTTP interface.",
+    meaning: "Base URL of the platform's HTTP interface.",
     example: 'http://10.0.0.5:8080',
   }),
   timeout: fieldWithDefault(durationSchema({least: '10ms', most: '1m'}), '2s', {
     type: 'duration',
     meaning:
-      'A call to the platform without answer for so long counts as lost.',
+      'Time after which a call to the platform without an answer counts as lost.',
     example: '2s',
   }),
 });
@@ -49,13 +49,13 @@
     'info',
     {
       type: 'debug, info, warn or error',
-      meaning: 'Least severity that is logged.',
+      meaning: 'Minimum severity that is logged.',
       example: 'info',
     },
   ),
   format: fieldWithDefault(choiceSchema(['json', 'pretty']), 'json', {
     type: 'json or pretty',
-    meaning: 'One JSON object a line, or lines for people.',
+    meaning: 'Log format: one JSON object per line, or human-readable lines.',
     example: 'json',
   }),
 });
@@ -64,7 +64,7 @@
   address: field(socketAddressSchema.clone(), {
     type: 'IP:port',
     meaning:
-      'Where metrics go (StatsD over UDP); required if `metrics` is present. Without `metrics` none are sent.',
+      'Address to which metrics are sent (StatsD over UDP); required if `metrics` is present. Without `metrics`, none are sent.',
     example: '10.0.0.9:8125',
   }),
   prefix: fieldWithDefault(
@@ -74,7 +74,7 @@
     'hibiscusbeam.',
     {
       type: 'text',
-      meaning: 'Put before each metric name.',
+      meaning: 'Prefix of each metric name.',
       example: 'hibiscusbeam.',
     },
   ),
@@ -85,7 +85,7 @@
   instance: field(nameSchema.clone(), {
     type: 'name',
     meaning:
-      'Name of this instance; a replacement gets a new name, never an old one.',
+      'Name of this instance. A replacement must get a new name, never an earlier one.',
     example: 'bilbao-7',
   }),
   zone: field(nameSchema.clone(), {
--- a/packages/daemon/src/settings/schema.ts
+++ b/packages/daemon/src/settings/schema.ts
@@ -24,7 +24,7 @@
         sha256: field(sha256Schema.clone(), {
           type: 'SHA-256, hexadecimal',
           meaning:
-            'Hash of the bearer key, as `hibiscusbeam keys hash` prints it; each key belongs to one name.',
+            'Hash of the bearer key, as printed by `hibiscusbeam keys hash`; each key must belong to only one name.',
           example:
             '9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08',
         }),
@@ -39,19 +39,21 @@
     '1MiB',
     {
       type: 'size',
-      meaning: 'Largest body of a request; a larger one gets 413.',
+      meaning:
+        'Maximum size of a request body; a larger one is refused with 413.',
       example: '1MiB',
     },
   ),
   jsonDepth: fieldWithDefault(countSchema(1, 256), 32, {
     type: 'whole number',
-    meaning: 'Deepest nesting of a JSON body; a deeper one gets 400.',
+    meaning:
+      'Maximum nesting depth of a JSON body; a deeper one is refused with 400.',
     example: '32',
   }),
   waiting: fieldWithDefault(countSchema(1, 100_000), 512, {
     type: 'whole number',
     meaning:
-      'Most requests that wait for a target at this entry; one more gets 429.',
+      'Maximum number of requests that wait for a target at this entry; any further one is refused with 429.',
     example: '512',
   }),
   longestDeadline: fieldWithDefault(
@@ -59,7 +61,7 @@
     '5m',
     {
       type: 'duration',
-      meaning: 'Longest deadline that a caller may ask for.',
+      meaning: 'Longest deadline that a caller may request.',
       example: '5m',
     },
   ),
@@ -69,7 +71,7 @@
   url: field(urlSchema.clone(), {
     type: 'URL',
     meaning:
-      'Where the older system says what it owns and is told so; required if `olderSystem` is present. Without `olderSystem` no move can end.',
+      "Base URL of the older system's HTTP interface, which reports what that system owns and receives what it is to own; required if `olderSystem` is present. Without `olderSystem`, no move can be completed.",
     example: 'http://10.0.0.6:8500',
   }),
 });
@@ -81,7 +83,8 @@
     site: siteListenerField,
     callers: field(socketAddressSchema.clone(), {
       type: 'IP:port',
-      meaning: 'Where callers and operators connect (HTTP).',
+      meaning:
+        'Address on which this entry listens for callers and operators (HTTP).',
       example: '10.0.1.7:8400',
     }),
   }),
@@ -98,7 +101,7 @@
     {
       type: 'duration',
       meaning:
-        'How long callers may keep the list of entries; a stopping entry goes on serving for so long, and three seconds more for those whom another entry still named it to.',
+        'How long callers may cache the list of entries. A stopping entry continues to serve for this time, plus three seconds for callers to which another entry still listed it.',
       example: '30s',
     },
   ),
@@ -112,23 +115,24 @@
   }),
   kind: field(choiceSchema(['modelEngine', 'plainService']), {
     type: 'modelEngine or plainService',
-    meaning: 'What kind of target it is.',
+    meaning: 'Kind of the target.',
     example: 'modelEngine',
   }),
   service: optionalField(nameSchema, {
     type: 'name',
     meaning:
-      "The plain service's name; required for a plainService, not allowed for a modelEngine.",
+      'Name of the plain service; required for a plainService, not allowed for a modelEngine.',
     example: 'invoicing',
   }),
   url: field(urlSchema.clone(), {
     type: 'URL',
-    meaning: "Base address of the target's HTTP interface.",
+    meaning: "Base URL of the target's HTTP interface.",
     example: 'http://10.0.1.7:9000',
   }),
   fencing: fieldWithDefault(choiceSchema(['checked', 'ignored']), 'ignored', {
     type: 'checked or ignored',
-    meaning: 'Whether the target refuses an order with an old fencing number.',
+    meaning:
+      'Whether the target refuses an order with an outdated fencing number.',
     example: 'checked',
   }),
 });
@@ -144,7 +148,8 @@
     '256MiB',
     {
       type: 'size',
-      meaning: "Most chunk bytes held in the agent's memory at once.",
+      meaning:
+        "Maximum number of chunk bytes held in the agent's memory at once.",
       example: '256MiB',
     },
   ),
@@ -165,7 +170,7 @@
   ...agentShape,
   role: field(choiceSchema(['entry', 'agent']), {
     type: 'entry or agent',
-    meaning: 'What this process is.',
+    meaning: 'Role of this process.',
     example: 'entry',
   }),
   listen: entryShape.listen.partial({callers: true}),
