--- a/packages/daemon/src/metrics/metric_definitions.ts
+++ b/packages/daemon/src/metrics/metric_definitions.ts
@@ -12,19 +12,19 @@
     kind: 'counter',
     unit: 'requests',
     tags: ['workspace'],
-    meaning: 'Requests that an entry took from callers.',
+    meaning: 'Requests that an entry received from callers.',
   },
   'requests.answered': {
     kind: 'counter',
     unit: 'requests',
     tags: ['workspace'],
-    meaning: 'Requests answered whole.',
+    meaning: 'Requests answered completely.',
   },
   'requests.not_run': {
     kind: 'counter',
     unit: 'requests',
     tags: ['workspace', 'reason'],
-    meaning: 'Requests that certainly did not run, by reason.',
+    meaning: 'Requests that definitely did not run, by reason.',
   },
   'requests.outcome_unknown': {
     kind: 'counter',
@@ -36,7 +36,7 @@
     kind: 'timing',
     unit: 'milliseconds',
     tags: ['outcome'],
-    meaning: 'Time from taking a request to its final answer.',
+    meaning: 'Time from the receipt of a request to its final outcome.',
   },
   'requests.waiting': {
     kind: 'gauge',
@@ -48,7 +48,8 @@
     kind: 'counter',
     unit: 'attempts',
     tags: [],
-    meaning: 'Attempts after the first of a repeatable request.',
+    meaning:
+      'Attempts to run a repeatable request again after its first attempt.',
   },
   'callers.refused': {
     kind: 'counter',
@@ -61,13 +62,14 @@
     kind: 'counter',
     unit: 'calls',
     tags: ['reason'],
-    meaning: 'Calls between processes refused, for example without the key.',
+    meaning:
+      'Refused calls between processes, for example calls without the key.',
   },
   'claims.in_flight': {
     kind: 'gauge',
     unit: 'claims',
     tags: [],
-    meaning: 'Claims of requests that may not be repeated, not yet finished.',
+    meaning: 'Unfinished claims of requests that may not be repeated.',
   },
   'claims.batch_size': {
     kind: 'gauge',
@@ -85,7 +87,7 @@
     kind: 'timing',
     unit: 'milliseconds',
     tags: ['operation'],
-    meaning: 'Time of a call to the platform.',
+    meaning: 'Duration of a call to the platform.',
   },
   'configuration.generation': {
     kind: 'gauge',
@@ -97,7 +99,7 @@
     kind: 'gauge',
     unit: 'processes',
     tags: ['role'],
-    meaning: 'Processes of the site that this process sees as live.',
+    meaning: 'Processes of the site that this process considers live.',
   },
   'transfers.bytes': {
     kind: 'counter',
@@ -110,38 +112,39 @@
     unit: 'peers',
     tags: [],
     meaning:
-      'Peers from which nothing more is taken, since they sent bad chunks.',
+      'Peers from which this process no longer fetches because they sent corrupt chunks.',
   },
   'activation.swaps': {
     kind: 'counter',
     unit: 'swaps',
     tags: ['step'],
     meaning:
-      'Steps of swaps: a permit taken, or the target counted as serving again.',
+      'Steps of swaps: a permit acquired, or the target counted as serving again.',
   },
   'target.orders': {
     kind: 'counter',
     unit: 'orders',
     tags: ['outcome'],
-    meaning: 'Orders given to the target, by outcome.',
+    meaning: 'Orders sent to the target, by outcome.',
   },
   'target.running': {
     kind: 'gauge',
     unit: 'requests',
     tags: [],
-    meaning: 'Requests that the target runs, as it last reported.',
+    meaning: 'Requests running in the target, as it last reported.',
   },
   'target.queued': {
     kind: 'gauge',
     unit: 'requests',
     tags: [],
-    meaning: 'Requests that wait inside the target, as it last reported.',
+    meaning: 'Requests queued in the target, as it last reported.',
   },
   'process.loop_delay': {
     kind: 'timing',
     unit: 'milliseconds',
     tags: [],
-    meaning: 'How late the loop of the process runs.',
+    meaning:
+      'Maximum event loop delay of the process since the last measurement.',
   },
 } as const satisfies {readonly [name: string]: MetricDefinition};
 
