--- a/packages/daemon/src/agent/agent.ts
+++ b/packages/daemon/src/agent/agent.ts
@@ -258,7 +258,7 @@
     node.sessions.setAddresses(new Set(addresses));
   };
 
-  const gone = (): ReadonlySet<TargetName> =>
+  const unavailableTargets = (): ReadonlySet<TargetName> =>
     new Set(
       node.membership
         .members()
@@ -331,7 +331,7 @@
       weights,
       swarm,
       accepted,
-      gone,
+      unavailableTargets,
       log,
       metrics,
       onRoutableChanged: () => node.sessions.sendHeartbeats(),
--- a/packages/daemon/src/agent/engine_control.ts
+++ b/packages/daemon/src/agent/engine_control.ts
@@ -62,7 +62,7 @@
   readonly swarm: SwarmDriver;
   readonly accepted: () => AcceptedConfiguration;
   /** Targets known to be dead or leaving. */
-  readonly gone: () => ReadonlySet<TargetName>;
+  readonly unavailableTargets: () => ReadonlySet<TargetName>;
   readonly log: Log;
   readonly metrics: Metrics;
   /** Called when the routable versions have changed. */
@@ -171,7 +171,9 @@
     next: ReconcilePlan,
     models: AcceptedConfiguration['configuration']['models'],
   ): void => {
-    for (const model of next.needsPermit) permits.take(model, options.gone());
+    for (const model of next.needsPermit) {
+      permits.take(model, options.unavailableTargets());
+    }
     for (const {model, versionDigest} of next.routable) {
       const isWanted = models[model]?.versionDigest === versionDigest;
       if (isWanted && !permits.isServing(model)) permits.reportServing(model);
--- a/packages/fleet/src/entry/buffered_bytes.ts
+++ b/packages/fleet/src/entry/buffered_bytes.ts
@@ -31,9 +31,9 @@
    */
   readonly hold: (bytes: Bytes) => void;
   /** Schedules a check, after something was written. */
-  readonly note: () => void;
+  readonly scheduleCheck: () => void;
   /** Counts what is sent to a target until its connection closes. */
-  readonly watchTarget: (request: ClientRequest) => void;
+  readonly trackTarget: (request: ClientRequest) => void;
   /**
    * Releases all whole answers: what is forwarded is counted in the response.
    */
@@ -150,8 +150,8 @@
           wholeAnswerBytes += bytes;
           note();
         },
-        note,
-        watchTarget: request =>
+        scheduleCheck: note,
+        trackTarget: request =>
           track(
             {
               kind: 'target',
--- a/packages/fleet/src/entry/exchange.ts
+++ b/packages/fleet/src/entry/exchange.ts
@@ -21,7 +21,7 @@
    */
   readonly mayBegin: () => boolean;
   /** Tracks what is buffered of it. */
-  readonly buffers: Pick<RequestBuffers, 'watchTarget'>;
+  readonly buffers: Pick<RequestBuffers, 'trackTarget'>;
 }
 
 /** The start of a target's answer; its body is still to be read. */
@@ -93,7 +93,7 @@
     agent: false,
     setHost: false,
   });
-  outgoing.buffers.watchTarget(request);
+  outgoing.buffers.trackTarget(request);
   const answer = awaitAnswer(request, protocol, outgoing);
   return {answer, abort: () => void request.destroy()};
 }
--- a/packages/fleet/src/entry/stream_relay.ts
+++ b/packages/fleet/src/entry/stream_relay.ts
@@ -23,7 +23,7 @@
 export interface StreamRelayOptions {
   readonly answer: IncomingAnswer;
   readonly response: ServerResponse;
-  readonly buffers: Pick<RequestBuffers, 'note'>;
+  readonly buffers: Pick<RequestBuffers, 'scheduleCheck'>;
   readonly protocol: RequestProtocol;
   readonly progress: StreamProgress;
   /** Records the target's bytes; paused while none are read. */
@@ -95,7 +95,7 @@
         options.onEvent();
         progress.lastEventId = event.id ?? progress.lastEventId;
         if (response.write(event.bytes)) continue;
-        options.buffers.note();
+        options.buffers.scheduleCheck();
         reading.awaitCaller();
       }
     });
--- a/packages/standins/src/engine/run.ts
+++ b/packages/standins/src/engine/run.ts
@@ -28,7 +28,7 @@
 }
 
 /** A request to an engine to generate an answer. */
-export interface Generation {
+export interface GenerationRequest {
   readonly attempt: AttemptId;
   readonly model: ModelName;
   readonly versionDigest: VersionDigest;
@@ -40,7 +40,7 @@
 
 /** Execution of one attempt. */
 export interface Run {
-  readonly generation: Generation;
+  readonly generation: GenerationRequest;
   readonly state: () => 'queued' | 'running' | 'finished' | 'cancelled';
   readonly start: () => void;
   /** Produces the next token; ends the run after the last one. */
@@ -51,7 +51,7 @@
 }
 
 /** Creates a queued run. */
-export function createRun(generation: Generation): Run {
+export function createRun(generation: GenerationRequest): Run {
   const {attempt, versionDigest, maximumTokens: count} = generation;
   const text = tokenTexts(generation);
   const sinks = new Map<AnswerSink, number>();
--- a/test/fleet/exchange.test.ts
+++ b/test/fleet/exchange.test.ts
@@ -24,7 +24,7 @@
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-const buffers = {watchTarget: () => undefined};
+const buffers = {trackTarget: () => undefined};
 
 async function readAnswer(address: string, mayBegin = () => true) {
   const lines = ['Host', 'a.example'];
--- a/test/fleet/request_run.test.ts
+++ b/test/fleet/request_run.test.ts
@@ -109,8 +109,8 @@
     progress: {begun: false, lastEventId: undefined, begunAt: undefined},
     buffers: {
       hold: () => undefined,
-      note: () => undefined,
-      watchTarget: () => undefined,
+      scheduleCheck: () => undefined,
+      trackTarget: () => undefined,
       releaseAnswers: () => undefined,
     },
     signal: new AbortController().signal,
