--- a/scripts/mixed_builds.mjs
+++ b/scripts/mixed_builds.mjs
@@ -583,23 +583,26 @@
     engines: 2,
     plainServices: 2,
   });
-  await pause(SETTLE_MS);
-  for (const group of [site.entries, site.engines, site.plainServices]) {
-    const paths = await Promise.all(
-      group.map(async ({place}) =>
-        [...new Set(fieldPaths(await dumpOf(place.siteAddress)))]
-          .sort()
-          .join('\n'),
-      ),
-    );
-    check(
-      `state dumps of ${group.map(({name}) => name).join(' and ')} have the same fields`,
-      paths[0] === paths[1],
-      `: ${paths[0].split('\n').length} fields`,
-    );
-    if (paths[0] !== paths[1]) console.log(paths.join('\n--\n'));
+  try {
+    await pause(SETTLE_MS);
+    for (const group of [site.entries, site.engines, site.plainServices]) {
+      const paths = await Promise.all(
+        group.map(async ({spec}) =>
+          [...new Set(fieldPaths(await dumpOf(spec.siteAddress)))]
+            .sort()
+            .join('\n'),
+        ),
+      );
+      check(
+        `state dumps of ${group.map(({name}) => name).join(' and ')} have the same fields`,
+        paths[0] === paths[1],
+        `: ${paths[0].split('\n').length} fields`,
+      );
+      if (paths[0] !== paths[1]) console.log(paths.join('\n--\n'));
+    }
+  } finally {
+    await site.stop();
   }
-  await site.stop();
 }
 
 /**
